--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -39,12 +39,12 @@
 			now := time.Duration(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				now += loads.Every
+				now += loads.ReportInterval
 				c, _ := r.Pick(Query{Service: "s"}, now)
 				c.Sent(nil, now)
 				c.Done(Served, now)
-				teller.Note(r.Own())
-				r.Told(teller.Take(board.Exchange(teller.Report(now), now), now), now)
+				teller.Observe(r.Own())
+				r.Told(teller.HandleReply(board.Exchange(teller.NextReport(now), now), now), now)
 			}
 		})
 	}
--- a/core/balance/cold_test.go
+++ b/core/balance/cold_test.go
@@ -37,7 +37,7 @@
 	for now := time.Duration(0); now < until; now += step {
 		for _, r := range registries {
 			if told && now%(10*step) == 0 {
-				r.Told(loads.Learned{Fresh: true, Hosts: hosts - 1}, now)
+				r.Told(loads.Update{Accepted: true, OtherHosts: hosts - 1}, now)
 			}
 			x := r.targets["cold"]
 			if x.obstacle(now) == "" {
--- a/core/balance/load.go
+++ b/core/balance/load.go
@@ -20,7 +20,7 @@
 // Heard takes the load that an answer reports.
 func (t *Target) Heard(load request.Load, now time.Duration) {
 	t.reported, t.reportedAt, t.hasReport = load, now, true
-	t.told.word, t.told.hasWord = loads.Word{Load: load, At: now}, true
+	t.told.word, t.told.hasWord = loads.LoadReport{Load: load, ReceivedAt: now}, true
 	if load.Places > 0 {
 		t.Places = load.Places
 	}
--- a/core/balance/told.go
+++ b/core/balance/told.go
@@ -55,7 +55,7 @@
 	key     loads.Key
 	in      *Registry
 	others  int
-	word    loads.Word
+	word    loads.LoadReport
 	hasWord bool
 	// failed and served count this host's requests.
 	failed, served uint32
@@ -127,13 +127,13 @@
 }
 
 // Own is what this host sees of all targets by itself.
-func (r *Registry) Own() []loads.Own {
+func (r *Registry) Own() []loads.Observation {
 	r.list()
-	all := make([]loads.Own, 0, len(r.sharing.listed))
+	all := make([]loads.Observation, 0, len(r.sharing.listed))
 	for _, t := range r.sharing.listed {
 		x := &t.told
-		all = append(all, loads.Own{
-			Key: x.key, InFlight: t.inFlight, Failed: x.failed, Served: x.served, Word: x.word, HasWord: x.hasWord,
+		all = append(all, loads.Observation{
+			Key: x.key, InFlight: t.inFlight, Failed: x.failed, Served: x.served, LoadReport: x.word, HasLoadReport: x.hasWord,
 		})
 	}
 	return all
@@ -181,8 +181,8 @@
 }
 
 // Told takes what an exchange with other hosts brought.
-func (r *Registry) Told(l loads.Learned, now time.Duration) {
-	if !l.Fresh {
+func (r *Registry) Told(l loads.Update, now time.Duration) {
+	if !l.Accepted {
 		return
 	}
 	r.list()
@@ -195,9 +195,9 @@
 	if !x.told || now-x.toldAt > hostsTrust {
 		x.settledAt = now
 	}
-	x.told, x.toldAt, x.hosts = true, now, l.Hosts
+	x.told, x.toldAt, x.hosts = true, now, l.OtherHosts
 	x.round++
-	for _, line := range l.Told {
+	for _, line := range l.Targets {
 		if t := x.byKey[line.Key]; t != nil {
 			t.take(line, now)
 		}
@@ -216,11 +216,11 @@
 }
 
 // take takes what other hosts say of the target.
-func (t *Target) take(line loads.Told, now time.Duration) {
-	t.told.others = line.Others
-	if line.HasWord && (!t.hasReport || line.Word.At > t.reportedAt+wordGain) {
-		t.reported, t.reportedAt, t.hasReport = line.Word.Load, line.Word.At, true
-		t.reported.Running += t.sentSince(line.Word.At)
+func (t *Target) take(line loads.TargetUpdate, now time.Duration) {
+	t.told.others = line.OthersInFlight
+	if line.HasLoadReport && (!t.hasReport || line.LoadReport.ReceivedAt > t.reportedAt+wordGain) {
+		t.reported, t.reportedAt, t.hasReport = line.LoadReport.Load, line.LoadReport.ReceivedAt, true
+		t.reported.Running += t.sentSince(line.LoadReport.ReceivedAt)
 	}
 	if line.Failed == 0 && (line.Served == 0 || t.faults == 0) {
 		return
--- a/core/balance/told_test.go
+++ b/core/balance/told_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-func learned(told ...loads.Told) loads.Learned {
-	return loads.Learned{Fresh: true, Hosts: 16, Told: told}
+func learned(told ...loads.TargetUpdate) loads.Update {
+	return loads.Update{Accepted: true, OtherHosts: 16, Targets: told}
 }
 
 func keyOf(id string) loads.Key { return loads.KeyOf(id, 0) }
@@ -22,13 +22,13 @@
 	r := registryOf(2)
 	x := target(t, r, "t0")
 	x.Sent(nil, 0)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Others: 6}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), OthersInFlight: 6}), 0)
 	require.Equal(t, 7, x.estimate(toldTrust))
 	require.Equal(t, 4, x.estimate(toldTrust+toldHalfLife))
 	require.Equal(t, 1, x.estimate(10*time.Second), "its own")
-	r.Told(loads.Learned{Fresh: true, Reset: true}, 10*time.Second)
+	r.Told(loads.Update{Accepted: true, Reset: true}, 10*time.Second)
 	require.Equal(t, 1, x.estimate(10*time.Second), "another board has told nothing yet")
-	r.Told(loads.Learned{Hosts: 16}, 20*time.Second)
+	r.Told(loads.Update{OtherHosts: 16}, 20*time.Second)
 	require.Equal(t, 10*time.Second, r.ToldAge(20*time.Second), "no answer")
 }
 
@@ -36,25 +36,25 @@
 	r := registryOf(1)
 	x := target(t, r, "t0")
 	x.Heard(request.Load{Running: 9, Places: 10}, time.Second)
-	word := loads.Word{Load: request.Load{Running: 2, Slowdown: 3}, At: 900 * time.Millisecond}
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
+	word := loads.LoadReport{Load: request.Load{Running: 2, Slowdown: 3}, ReceivedAt: 900 * time.Millisecond}
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), LoadReport: word, HasLoadReport: true}), 1100*time.Millisecond)
 	require.Equal(t, 9, x.reported.Running, "an older one")
-	word.At = 1050 * time.Millisecond
+	word.ReceivedAt = 1050 * time.Millisecond
 	x.Sent(nil, 1080*time.Millisecond)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), LoadReport: word, HasLoadReport: true}), 1100*time.Millisecond)
 	require.Equal(t, request.Load{Running: 3, Slowdown: 3}, x.reported, "with what this host has sent since")
-	require.Equal(t, word.At, x.reportedAt)
+	require.Equal(t, word.ReceivedAt, x.reportedAt)
 	require.Equal(t, 10, x.Places)
-	require.Equal(t, 9, r.Own()[0].Word.Load.Running, "its own word is what it tells")
+	require.Equal(t, 9, r.Own()[0].LoadReport.Load.Running, "its own word is what it tells")
 }
 
 func TestWhatIsToldOfAStartIsNotOfTheNext(t *testing.T) {
 	r := NewRegistry("dc0", DefaultWeights())
 	r.Set(Listed{ID: "t0", Service: "s", DataCentre: "dc0", Places: 10, Born: 1})
-	r.Told(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 5, Failed: 9}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: loads.KeyOf("t0", 1), OthersInFlight: 5, Failed: 9}), 0)
 	require.Equal(t, 5, target(t, r, "t0").estimate(0))
 	r.Set(Listed{ID: "t0", Service: "s", DataCentre: "dc0", Places: 10, Born: 2})
-	r.Told(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 7, Failed: 9}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: loads.KeyOf("t0", 1), OthersInFlight: 7, Failed: 9}), 0)
 	require.Zero(t, target(t, r, "t0").estimate(0))
 	require.Zero(t, target(t, r, "t0").faults)
 }
@@ -64,16 +64,16 @@
 	r := registryOf(2)
 	own, other := target(t, r, "t1"), target(t, r, "t0")
 	own.Done(Failed, 0)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 1}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), Failed: 1}), 0)
 	require.Less(t, other.fade(0), own.fade(0))
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 6}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), Failed: 6}), 0)
 	require.Greater(t, other.fade(0), own.fade(0))
 	require.Equal(t, "t1", pick(t, r, Query{Only: map[string]bool{"t0": true, "t1": true}}), "far, and failed once")
 	for range 20 {
-		r.Told(learned(loads.Told{Key: keyOf("t0"), Served: 5}), 0)
+		r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), Served: 5}), 0)
 	}
 	require.Less(t, other.fade(0), 0.1, "it works again")
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 1000}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), Failed: 1000}), 0)
 	require.LessOrEqual(t, other.fade(0), float64(faultMost))
 }
 
@@ -85,7 +85,7 @@
 	x := target(t, r, "t0")
 	r.targets["again"] = x // the same id and start
 	require.Len(t, r.Own(), 2)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Others: 5}), 0)
+	r.Told(learned(loads.TargetUpdate{Key: keyOf("t0"), OthersInFlight: 5}), 0)
 	require.Zero(t, x.estimate(0))
 }
 
@@ -185,10 +185,10 @@
 }
 
 func (d *dataCentre) exchange(i int, r *Registry, spread bool) {
-	d.tellers[i].Note(r.Own())
-	l := d.tellers[i].Take(d.board.Exchange(d.tellers[i].Report(d.now), d.now), d.now)
+	d.tellers[i].Observe(r.Own())
+	l := d.tellers[i].HandleReply(d.board.Exchange(d.tellers[i].NextReport(d.now), d.now), d.now)
 	if !spread {
-		l.Hosts = 0
+		l.OtherHosts = 0
 	}
 	r.Told(l, d.now)
 }
--- a/core/hedge/hedge.go
+++ b/core/hedge/hedge.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// Share is the load that second sends may add, over the answers of their service.
-	Share = 0.02
+	// BudgetRatio is the load that second sends may add, over the answers of their service.
+	BudgetRatio = 0.02
 	// Burst is the second sends that may be saved up: some that a stalled target holds.
 	Burst = 5
 	// quantile is the part of a kind's calls that are done before one is sent again.
@@ -44,14 +44,14 @@
 	sent, without int64
 }
 
-// Answered notes a call that was answered, the time since its first send.
-func (h *Hedger) Answered(service, kind string, d time.Duration) {
+// RecordAnswer notes a call that was answered, the time since its first send.
+func (h *Hedger) RecordAnswer(service, kind string, d time.Duration) {
 	if len(h.kinds) >= kindsMost || len(h.services) >= kindsMost {
 		clear(h.kinds)
 		clear(h.services)
 	}
 	b := h.bucket(service)
-	b.tokens = min(Burst, b.tokens+Share)
+	b.tokens = min(Burst, b.tokens+BudgetRatio)
 	t := h.kinds[kind]
 	if t == nil {
 		t = &times{}
@@ -79,8 +79,8 @@
 	return t.quantile(), true
 }
 
-// Take takes the token for a second send to a service, if there is one.
-func (h *Hedger) Take(service string) bool {
+// TakeToken takes the token for a second send to a service, if there is one.
+func (h *Hedger) TakeToken(service string) bool {
 	b := h.bucket(service)
 	if b.tokens < 1 {
 		b.without++
@@ -131,7 +131,7 @@
 	Service string  `json:"service"`
 	Tokens  float64 `json:"tokens"`
 	Sent    int64   `json:"sent"`
-	Without int64   `json:"without_token"`
+	Denied  int64   `json:"without_token"`
 }
 
 // State returns what is known, in order of names.
@@ -145,7 +145,7 @@
 		s.Kinds = append(s.Kinds, k)
 	}
 	for service, b := range h.services {
-		s.Services = append(s.Services, ServiceState{Service: service, Tokens: b.tokens, Sent: b.sent, Without: b.without})
+		s.Services = append(s.Services, ServiceState{Service: service, Tokens: b.tokens, Sent: b.sent, Denied: b.without})
 	}
 	slices.SortFunc(s.Kinds, func(a, b KindState) int { return strings.Compare(a.Kind, b.Kind) })
 	slices.SortFunc(s.Services, func(a, b ServiceState) int { return strings.Compare(a.Service, b.Service) })
--- a/core/hedge/hedge_test.go
+++ b/core/hedge/hedge_test.go
@@ -13,11 +13,11 @@
 	_, ok := h.Delay("lookup")
 	require.False(t, ok)
 	for range known - 1 {
-		h.Answered("s", "lookup", time.Millisecond)
+		h.RecordAnswer("s", "lookup", time.Millisecond)
 	}
 	_, ok = h.Delay("lookup")
 	require.False(t, ok)
-	h.Answered("s", "lookup", time.Millisecond)
+	h.RecordAnswer("s", "lookup", time.Millisecond)
 	d, ok := h.Delay("lookup")
 	require.True(t, ok)
 	require.Equal(t, time.Millisecond, d)
@@ -31,7 +31,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	play := func(mean float64) time.Duration {
 		for range 4 * kept {
-			h.Answered("s", "lookup", time.Duration(mean*rng.ExpFloat64()*float64(time.Millisecond)))
+			h.RecordAnswer("s", "lookup", time.Duration(mean*rng.ExpFloat64()*float64(time.Millisecond)))
 		}
 		d, ok := h.Delay("lookup")
 		require.True(t, ok)
@@ -50,28 +50,28 @@
 	granted := make([]int, 0, n)
 	sent := 0
 	for range n {
-		h.Answered("s", "lookup", time.Second)
-		if h.Take("s") {
+		h.RecordAnswer("s", "lookup", time.Second)
+		if h.TakeToken("s") {
 			sent++
 		}
 		granted = append(granted, sent)
 	}
-	require.Greater(t, sent, int(0.9*Share*n), "the budget is there to be used")
+	require.Greater(t, sent, int(0.9*BudgetRatio*n), "the budget is there to be used")
 	for _, span := range []int{100, 1000, n - 1} {
 		for from := 0; from+span < n; from += 37 {
-			require.LessOrEqual(t, float64(granted[from+span]-granted[from]), Share*float64(span)+Burst)
+			require.LessOrEqual(t, float64(granted[from+span]-granted[from]), BudgetRatio*float64(span)+Burst)
 		}
 	}
-	require.False(t, h.Take("other"), "each service has its own")
+	require.False(t, h.TakeToken("other"), "each service has its own")
 }
 
 func TestSavedTokensAreBounded(t *testing.T) {
 	h := New()
 	for range 10_000 {
-		h.Answered("s", "lookup", time.Second)
+		h.RecordAnswer("s", "lookup", time.Second)
 	}
 	sent := 0
-	for h.Take("s") {
+	for h.TakeToken("s") {
 		sent++
 	}
 	require.Equal(t, Burst, sent)
@@ -79,17 +79,17 @@
 
 func TestStateNamesKindsAndServices(t *testing.T) {
 	h := New()
-	h.Answered("s", "lookup", time.Second)
-	require.False(t, h.Take("s"))
+	h.RecordAnswer("s", "lookup", time.Second)
+	require.False(t, h.TakeToken("s"))
 	s := h.State()
 	require.Equal(t, []KindState{{Kind: "lookup", DelayMs: -1}}, s.Kinds)
-	require.Equal(t, []ServiceState{{Service: "s", Tokens: Share, Without: 1}}, s.Services)
+	require.Equal(t, []ServiceState{{Service: "s", Tokens: BudgetRatio, Denied: 1}}, s.Services)
 }
 
 func TestWhatIsRememberedIsBounded(t *testing.T) {
 	h := New()
 	for i := range 3 * kindsMost {
-		h.Answered("s", string(rune('a'+i)), time.Second)
+		h.RecordAnswer("s", string(rune('a'+i)), time.Second)
 	}
 	require.LessOrEqual(t, len(h.kinds), kindsMost)
 }
--- a/core/loads/board.go
+++ b/core/loads/board.go
@@ -51,7 +51,7 @@
 	key      Key
 	inFlight int
 	counts
-	word    Word
+	word    LoadReport
 	hasWord bool
 	shares  int
 	at      *list.Element
@@ -81,16 +81,16 @@
 // ID is the start of the board.
 func (b *Board) ID() uint64 { return b.id }
 
-// Reporters is the number of hosts that were heard lately.
-func (b *Board) Reporters(now time.Duration) int {
+// ReporterCount is the number of hosts that were heard lately.
+func (b *Board) ReporterCount(now time.Duration) int {
 	b.expire(now)
 	return len(b.reporters)
 }
 
 // Exchange merges a report and answers it.
-func (b *Board) Exchange(m Report, now time.Duration) Reply {
+func (b *Board) Exchange(m HostReport, now time.Duration) Reply {
 	b.expire(now)
-	reply := Reply{Board: b.id, Session: m.Session, Sequence: m.Sequence}
+	reply := Reply{BoardID: b.id, Session: m.Session, Sequence: m.Sequence}
 	r, known := b.session(m)
 	if !known {
 		reply.Restart = true
@@ -98,7 +98,7 @@
 	}
 	if m.Session == r.session && m.Sequence > r.sequence {
 		r.sequence, r.heard = m.Sequence, now
-		for _, l := range m.Lines {
+		for _, l := range m.Targets {
 			b.merge(r, l, now)
 		}
 	}
@@ -108,23 +108,23 @@
 
 // session returns what is known of the reporter, or begins a session; known is false if the
 // reporter must begin one, since it counts as told what this board does not have.
-func (b *Board) session(m Report) (r *reporter, known bool) {
-	if m.Board != 0 && m.Board != b.id {
+func (b *Board) session(m HostReport) (r *reporter, known bool) {
+	if m.BoardID != 0 && m.BoardID != b.id {
 		return nil, false
 	}
-	r = b.reporters[m.Reporter]
+	r = b.reporters[m.ReporterID]
 	if r != nil && m.Session < r.session {
 		return r, true
 	}
 	if r != nil && m.Session == r.session {
-		return r, m.Acknowledged <= r.sequence
+		return r, m.AckedSequence <= r.sequence
 	}
-	if m.Acknowledged > 0 {
+	if m.AckedSequence > 0 {
 		return nil, false
 	}
 	b.drop(r)
-	r = &reporter{id: m.Reporter, session: m.Session, shares: map[Key]*share{}}
-	b.reporters[m.Reporter] = r
+	r = &reporter{id: m.ReporterID, session: m.Session, shares: map[Key]*share{}}
+	b.reporters[m.ReporterID] = r
 	return r, true
 }
 
@@ -132,7 +132,7 @@
 func (b *Board) expire(now time.Duration) {
 	var silent []uint64
 	for id, r := range b.reporters {
-		if now-r.heard > Expiry {
+		if now-r.heard > ReporterTimeout {
 			silent = append(silent, id)
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-func (b *Board) merge(r *reporter, l Line, now time.Duration) {
+func (b *Board) merge(r *reporter, l TargetStats, now time.Duration) {
 	e := b.entries[l.Key]
 	if e == nil {
 		e = &entry{key: l.Key}
@@ -194,8 +194,8 @@
 	e.failed, s.merged.failed = e.failed+failed, s.merged.failed+failed
 	e.served, s.merged.served = e.served+served, s.merged.served+served
 	s.inFlight, s.counts = l.InFlight, counts{l.Failed, l.Served}
-	if at := now - l.Age; l.HasWord && (!e.hasWord || at > e.word.At) {
-		e.word, e.hasWord, news = Word{Load: l.Load, At: at}, true, true
+	if at := now - l.LoadAge; l.HasLoad && (!e.hasWord || at > e.word.ReceivedAt) {
+		e.word, e.hasWord, news = LoadReport{Load: l.Load, ReceivedAt: at}, true, true
 	}
 	if news {
 		b.touch(e, r.id, now)
@@ -216,42 +216,42 @@
 // of these come first, so that none waits for ever where more changes than fits. Where the
 // message is cut goes by what is news to the asker: its own later change of a target must not
 // count as told what others changed there before.
-func (b *Board) tell(reply *Reply, m Report, now time.Duration) {
-	asker := b.reporters[m.Reporter]
-	reply.Hosts = len(b.reporters) - 1
-	reply.Have = b.revision
+func (b *Board) tell(reply *Reply, m HostReport, now time.Duration) {
+	asker := b.reporters[m.ReporterID]
+	reply.OtherHosts = len(b.reporters) - 1
+	reply.KnownRevision = b.revision
 	var due []*entry
 	for at := b.order.Back(); at != nil; at = at.Prev() {
 		e := at.Value.(*entry)
-		if e.last <= m.Have {
+		if e.last <= m.KnownRevision {
 			break
 		}
-		if e.changedFor(m.Reporter) > m.Have {
+		if e.changedFor(m.ReporterID) > m.KnownRevision {
 			due = append(due, e)
 		}
 	}
 	slices.Reverse(due)
-	if len(due) > LinesMost {
+	if len(due) > MaxTargetsPerMessage {
 		slices.SortFunc(due, func(x, y *entry) int {
-			return cmp.Compare(x.changedFor(m.Reporter), y.changedFor(m.Reporter))
+			return cmp.Compare(x.changedFor(m.ReporterID), y.changedFor(m.ReporterID))
 		})
-		due = due[:LinesMost]
-		reply.Have, reply.More = due[LinesMost-1].changedFor(m.Reporter), true
+		due = due[:MaxTargetsPerMessage]
+		reply.KnownRevision, reply.More = due[MaxTargetsPerMessage-1].changedFor(m.ReporterID), true
 	}
 	for _, e := range due {
-		reply.Lines = append(reply.Lines, e.line(asker, now))
+		reply.Targets = append(reply.Targets, e.line(asker, now))
 	}
 }
 
 // line is the entry as the asker is told it: without its own part.
-func (e *entry) line(asker *reporter, now time.Duration) Line {
-	l := Line{Key: e.key, InFlight: e.inFlight, Failed: e.failed, Served: e.served}
+func (e *entry) line(asker *reporter, now time.Duration) TargetStats {
+	l := TargetStats{Key: e.key, InFlight: e.inFlight, Failed: e.failed, Served: e.served}
 	if s := asker.shares[e.key]; s != nil {
 		l.InFlight -= s.inFlight
 		l.Failed, l.Served = since(l.Failed, s.merged.failed), since(l.Served, s.merged.served)
 	}
-	if age := now - e.word.At; e.hasWord && age < wordKept {
-		l.HasWord, l.Load, l.Age = true, e.word.Load, max(0, age)
+	if age := now - e.word.ReceivedAt; e.hasWord && age < wordKept {
+		l.HasLoad, l.Load, l.LoadAge = true, e.word.Load, max(0, age)
 	}
 	return l
 }
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -15,31 +15,31 @@
 // host is a reporter and what it was told.
 type host struct {
 	r    *Reporter
-	own  map[Key]*Own
-	told map[Key]Told
+	own  map[Key]*Observation
+	told map[Key]TargetUpdate
 	// failed is the failures of others that it was told of.
 	failed map[Key]int
 }
 
 func newHost(id uint64) *host {
-	return &host{r: NewReporter(id), own: map[Key]*Own{}, told: map[Key]Told{}, failed: map[Key]int{}}
+	return &host{r: NewReporter(id), own: map[Key]*Observation{}, told: map[Key]TargetUpdate{}, failed: map[Key]int{}}
 }
 
-func (h *host) report(now time.Duration) Report {
-	all := make([]Own, 0, len(h.own))
+func (h *host) report(now time.Duration) HostReport {
+	all := make([]Observation, 0, len(h.own))
 	for _, o := range h.own {
 		all = append(all, *o)
 	}
-	h.r.Note(all)
-	return h.r.Report(now)
+	h.r.Observe(all)
+	return h.r.NextReport(now)
 }
 
 func (h *host) take(m Reply, now time.Duration) {
-	l := h.r.Take(m, now)
+	l := h.r.HandleReply(m, now)
 	if l.Reset {
 		clear(h.told)
 	}
-	for _, t := range l.Told {
+	for _, t := range l.Targets {
 		h.told[t.Key] = t
 		h.failed[t.Key] += int(t.Failed)
 	}
@@ -47,10 +47,10 @@
 
 func (h *host) exchange(b *Board, now time.Duration) { h.take(b.Exchange(h.report(now), now), now) }
 
-func (h *host) see(key Key, inFlight int) *Own {
+func (h *host) see(key Key, inFlight int) *Observation {
 	o := h.own[key]
 	if o == nil {
-		o = &Own{Key: key}
+		o = &Observation{Key: key}
 		h.own[key] = o
 	}
 	o.InFlight = inFlight
@@ -69,10 +69,10 @@
 		x.exchange(b, now)
 		y.exchange(b, now)
 	}
-	require.Equal(t, 2, x.told[7].Others)
-	require.Equal(t, 3, y.told[7].Others)
-	require.False(t, x.r.Pending())
-	require.Empty(t, b.Exchange(x.report(300*ms), 300*ms).Lines, "nothing has changed for it")
+	require.Equal(t, 2, x.told[7].OthersInFlight)
+	require.Equal(t, 3, y.told[7].OthersInFlight)
+	require.False(t, x.r.HasPending())
+	require.Empty(t, b.Exchange(x.report(300*ms), 300*ms).Targets, "nothing has changed for it")
 }
 
 // A target that resets connections is known to all after one exchange each.
@@ -111,12 +111,12 @@
 func TestTheNewestWordWins(t *testing.T) {
 	b := NewBoard(1)
 	x, y, z := newHost(1), newHost(2), newHost(3)
-	x.see(7, 0).Word, x.own[7].HasWord = Word{Load: request.Load{Running: 4}, At: 50 * ms}, true
-	y.see(7, 0).Word, y.own[7].HasWord = Word{Load: request.Load{Running: 9, Slowdown: 1.5}, At: 90 * ms}, true
+	x.see(7, 0).LoadReport, x.own[7].HasLoadReport = LoadReport{Load: request.Load{Running: 4}, ReceivedAt: 50 * ms}, true
+	y.see(7, 0).LoadReport, y.own[7].HasLoadReport = LoadReport{Load: request.Load{Running: 9, Slowdown: 1.5}, ReceivedAt: 90 * ms}, true
 	for _, h := range []*host{y, x, z} {
 		h.exchange(b, 100*ms)
 	}
-	require.Equal(t, Word{Load: request.Load{Running: 9, Slowdown: 1.5}, At: 90 * ms}, z.told[7].Word)
+	require.Equal(t, LoadReport{Load: request.Load{Running: 9, Slowdown: 1.5}, ReceivedAt: 90 * ms}, z.told[7].LoadReport)
 }
 
 // Requests of a host that dies, freezes or is cut off count for Expiry and no longer.
@@ -125,18 +125,18 @@
 	dead, h := newHost(1), newHost(2)
 	dead.see(7, 5)
 	dead.exchange(b, 0)
-	for now := time.Duration(0); now <= Expiry; now += 100 * ms {
+	for now := time.Duration(0); now <= ReporterTimeout; now += 100 * ms {
 		h.exchange(b, now)
-		require.Equal(t, 5, h.told[7].Others, "%s", now)
+		require.Equal(t, 5, h.told[7].OthersInFlight, "%s", now)
 	}
-	h.exchange(b, Expiry+ms)
-	require.Zero(t, h.told[7].Others)
+	h.exchange(b, ReporterTimeout+ms)
+	require.Zero(t, h.told[7].OthersInFlight)
 	// One that was frozen, and goes on with its old session, says all again.
-	dead.exchange(b, Expiry+10*ms)
+	dead.exchange(b, ReporterTimeout+10*ms)
 	require.Empty(t, b.entries[7].inFlight)
-	dead.exchange(b, Expiry+110*ms)
-	h.exchange(b, Expiry+110*ms)
-	require.Equal(t, 5, h.told[7].Others)
+	dead.exchange(b, ReporterTimeout+110*ms)
+	h.exchange(b, ReporterTimeout+110*ms)
+	require.Equal(t, 5, h.told[7].OthersInFlight)
 }
 
 // Another board, or the same one started anew, knows nothing: hosts say all again.
@@ -152,10 +152,10 @@
 		x.exchange(b, time.Duration(i+1)*100*ms)
 		y.exchange(b, time.Duration(i+1)*100*ms)
 	}
-	require.Equal(t, 2, x.told[8].Others)
-	require.Equal(t, 3, y.told[7].Others)
+	require.Equal(t, 2, x.told[8].OthersInFlight)
+	require.Equal(t, 3, y.told[7].OthersInFlight)
 	require.Zero(t, y.failed[7], "told before")
-	require.Equal(t, b.ID(), x.r.Board())
+	require.Equal(t, b.ID(), x.r.BoardID())
 }
 
 // A target that starts again under its id is another one: what was told of it stays behind.
@@ -167,29 +167,29 @@
 	x.see(old, 6)
 	x.exchange(b, 0)
 	y.exchange(b, 0)
-	require.Equal(t, 6, y.told[old].Others)
+	require.Equal(t, 6, y.told[old].OthersInFlight)
 	delete(x.own, old)
 	x.see(renewed, 1)
 	x.exchange(b, 100*ms)
 	y.exchange(b, 100*ms)
-	require.Zero(t, y.told[old].Others)
-	require.Equal(t, 1, y.told[renewed].Others)
+	require.Zero(t, y.told[old].OthersInFlight)
+	require.Equal(t, 1, y.told[renewed].OthersInFlight)
 }
 
 // Lines beyond the bound of a message come with the next ones, none waits for ever.
 func TestMessagesAreBounded(t *testing.T) {
 	b := NewBoard(1)
 	x, y := newHost(1), newHost(2)
-	const targets = 5 * LinesMost
+	const targets = 5 * MaxTargetsPerMessage
 	for now := time.Duration(0); now < 20*100*ms; now += 100 * ms {
 		for k := range targets {
 			x.see(Key(k), int(now/(100*ms))+1) // all change all the time
 		}
 		m := x.report(now)
-		require.LessOrEqual(t, len(m.Lines), LinesMost)
+		require.LessOrEqual(t, len(m.Targets), MaxTargetsPerMessage)
 		x.take(b.Exchange(m, now), now)
 		reply := b.Exchange(y.report(now), now)
-		require.LessOrEqual(t, len(reply.Lines), LinesMost)
+		require.LessOrEqual(t, len(reply.Targets), MaxTargetsPerMessage)
 		y.take(reply, now)
 	}
 	require.Len(t, y.told, targets)
@@ -204,7 +204,7 @@
 	const shared = Key(1)
 	y.see(shared, 3)
 	y.exchange(b, 100*ms)
-	for k := range 2 * LinesMost {
+	for k := range 2 * MaxTargetsPerMessage {
 		y.see(Key(1000+k), 1)
 	}
 	y.exchange(b, 200*ms)
@@ -214,23 +214,23 @@
 		x.exchange(b, now)
 		y.exchange(b, now)
 	}
-	require.Len(t, x.told, 2*LinesMost+1)
-	require.Equal(t, 3, x.told[shared].Others)
+	require.Len(t, x.told, 2*MaxTargetsPerMessage+1)
+	require.Equal(t, 3, x.told[shared].OthersInFlight)
 }
 
 func TestMessagesSurviveTheWire(t *testing.T) {
-	lines := []Line{
-		{Key: 1, InFlight: 3, HasWord: true, Age: 70 * ms, Load: request.Load{Running: 5, Waiting: 2, Slowdown: 1.25}},
+	lines := []TargetStats{
+		{Key: 1, InFlight: 3, HasLoad: true, LoadAge: 70 * ms, Load: request.Load{Running: 5, Waiting: 2, Slowdown: 1.25}},
 		{Key: 1 << 31, Failed: 2, Served: 300},
 	}
-	report := Report{Reporter: 9, Session: 2, Sequence: 8, Board: 7, Have: 55, Acknowledged: 6, Lines: lines}
-	reply := Reply{Board: 7, Session: 2, Sequence: 8, Restart: true, Have: 56, More: true, Hosts: 16, Lines: lines}
-	require.Equal(t, report, DecodeReport(EncodeReport(report)))
+	report := HostReport{ReporterID: 9, Session: 2, Sequence: 8, BoardID: 7, KnownRevision: 55, AckedSequence: 6, Targets: lines}
+	reply := Reply{BoardID: 7, Session: 2, Sequence: 8, Restart: true, KnownRevision: 56, More: true, OtherHosts: 16, Targets: lines}
+	require.Equal(t, report, DecodeHostReport(EncodeHostReport(report)))
 	require.Equal(t, reply, DecodeReply(EncodeReply(reply)))
-	require.Empty(t, DecodeReport(nil).Lines)
-	short := EncodeReport(report)
+	require.Empty(t, DecodeHostReport(nil).Targets)
+	short := EncodeHostReport(report)
 	short.Lines.InFlight = short.Lines.InFlight[:1]
-	require.Zero(t, DecodeReport(short).Lines[1].InFlight, "a short column")
+	require.Zero(t, DecodeHostReport(short).Targets[1].InFlight, "a short column")
 }
 
 // Encoded messages of a host stay within its share of what control may cost.
@@ -259,18 +259,18 @@
 			for range changes {
 				o := h.see(KeyOf(fmt.Sprint(rng.IntN(targets)), 1), rng.IntN(6))
 				o.Served++
-				o.Word, o.HasWord = Word{Load: request.Load{Running: rng.IntN(12), Slowdown: 1 + 3*rng.Float64()}, At: now - time.Duration(rng.IntN(100))*ms}, true
+				o.LoadReport, o.HasLoadReport = LoadReport{Load: request.Load{Running: rng.IntN(12), Slowdown: 1 + 3*rng.Float64()}, ReceivedAt: now - time.Duration(rng.IntN(100))*ms}, true
 			}
 			m := h.report(now)
 			reply := b.Exchange(m, now)
 			h.take(reply, now)
 			if h == first {
-				out += proto.Size(EncodeReport(m))
+				out += proto.Size(EncodeHostReport(m))
 				in += proto.Size(EncodeReply(reply))
 			}
 		}
 	}
-	for range 2 + targets/LinesMost { // let what waits be told
+	for range 2 + targets/MaxTargetsPerMessage { // let what waits be told
 		now += every
 		for _, h := range all {
 			h.exchange(b, now)
@@ -278,6 +278,6 @@
 	}
 	const idleEvery = 500 * ms
 	m := first.report(now)
-	idle = (proto.Size(EncodeReport(m)) + proto.Size(EncodeReply(b.Exchange(m, now)))) * int(time.Second/idleEvery)
+	idle = (proto.Size(EncodeHostReport(m)) + proto.Size(EncodeReply(b.Exchange(m, now)))) * int(time.Second/idleEvery)
 	return in / seconds, out / seconds, idle
 }
--- a/core/loads/reporter.go
+++ b/core/loads/reporter.go
@@ -32,7 +32,7 @@
 
 // ownLine is what the host knows of one target.
 type ownLine struct {
-	Own
+	Observation
 	// base is the counts when the session began.
 	base counts
 	// version changes with the line; dirty is its place among those to be told, 0 if it was.
@@ -46,11 +46,11 @@
 	return &Reporter{id: id, session: 1, own: map[Key]*ownLine{}, told: map[Key]counts{}}
 }
 
-// Board is the start of the board that the host reports to, 0 if there is none yet.
-func (r *Reporter) Board() uint64 { return r.board }
+// BoardID is the start of the board that the host reports to, 0 if there is none yet.
+func (r *Reporter) BoardID() uint64 { return r.board }
 
-// Note takes what the host sees now of all targets.
-func (r *Reporter) Note(all []Own) {
+// Observe takes what the host sees now of all targets.
+func (r *Reporter) Observe(all []Observation) {
 	seen := make(map[Key]bool, len(all))
 	for i := range all {
 		seen[all[i].Key] = true
@@ -68,7 +68,7 @@
 	}
 }
 
-func (r *Reporter) note(o *Own) {
+func (r *Reporter) note(o *Observation) {
 	l := r.own[o.Key]
 	if l == nil {
 		if o.empty() {
@@ -76,17 +76,17 @@
 		}
 		l = &ownLine{}
 		r.own[o.Key] = l
-	} else if l.Own == *o && !l.gone {
+	} else if l.Observation == *o && !l.gone {
 		return
 	}
-	l.Own, l.gone = *o, false
+	l.Observation, l.gone = *o, false
 	r.changed(l)
 }
 
 // lose notes that a target is gone: nothing is in flight there.
 func (r *Reporter) lose(key Key, l *ownLine) {
 	if !l.gone {
-		l.gone, l.InFlight, l.HasWord = true, 0, false
+		l.gone, l.InFlight, l.HasLoadReport = true, 0, false
 		r.changed(l)
 	}
 	if l.dirty == 0 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Pending reports whether there is anything to tell.
-func (r *Reporter) Pending() bool {
+// HasPending reports whether there is anything to tell.
+func (r *Reporter) HasPending() bool {
 	for _, l := range r.own {
 		if l.dirty > 0 {
 			return true
@@ -112,8 +112,8 @@
 	return false
 }
 
-// Report makes the next message. A reply to the one before it counts no more.
-func (r *Reporter) Report(now time.Duration) Report {
+// NextReport makes the next message. A reply to the one before it counts no more.
+func (r *Reporter) NextReport(now time.Duration) HostReport {
 	var due []*ownLine
 	for _, l := range r.own {
 		if l.dirty > 0 {
@@ -121,24 +121,24 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *ownLine) int { return cmp.Compare(a.dirty, b.dirty) })
-	due = due[:min(len(due), LinesMost)]
+	due = due[:min(len(due), MaxTargetsPerMessage)]
 	r.sequence++
 	r.waiting, r.sent = true, make(map[Key]uint64, len(due))
-	m := Report{Reporter: r.id, Session: r.session, Sequence: r.sequence, Board: r.board, Have: r.have, Acknowledged: r.acknowledged}
+	m := HostReport{ReporterID: r.id, Session: r.session, Sequence: r.sequence, BoardID: r.board, KnownRevision: r.have, AckedSequence: r.acknowledged}
 	for _, l := range due {
 		r.sent[l.Key] = l.version
-		m.Lines = append(m.Lines, l.line(now))
+		m.Targets = append(m.Targets, l.line(now))
 	}
 	return m
 }
 
-func (l *ownLine) line(now time.Duration) Line {
-	m := Line{
+func (l *ownLine) line(now time.Duration) TargetStats {
+	m := TargetStats{
 		Key: l.Key, InFlight: l.InFlight,
 		Failed: since(l.Failed, l.base.failed), Served: since(l.Served, l.base.served),
 	}
-	if age := now - l.Word.At; l.HasWord && age < wordKept {
-		m.HasWord, m.Load, m.Age = true, l.Word.Load, max(0, age)
+	if age := now - l.LoadReport.ReceivedAt; l.HasLoadReport && age < wordKept {
+		m.HasLoad, m.Load, m.LoadAge = true, l.LoadReport.Load, max(0, age)
 	}
 	return m
 }
@@ -151,44 +151,44 @@
 	return count - before
 }
 
-// Told is what a host learns of one target. Failed and Served are those of others since it
+// TargetUpdate is what a host learns of one target. Failed and Served are those of others since it
 // was last told.
-type Told struct {
+type TargetUpdate struct {
 	Key            Key
-	Others         int
+	OthersInFlight int
 	Failed, Served uint32
-	Word           Word
-	HasWord        bool
+	LoadReport     LoadReport
+	HasLoadReport  bool
 }
 
-// Learned is what a reply brings.
-type Learned struct {
-	// Fresh: the reply is the one waited for; without it nothing else holds.
-	Fresh bool
+// Update is what a reply brings.
+type Update struct {
+	// Accepted: the reply is the one waited for; without it nothing else holds.
+	Accepted bool
 	// Reset: another board, or a board that knew this host no more. What it told of others'
 	// requests is void.
-	Reset bool
-	Hosts int
-	Told  []Told
+	Reset      bool
+	OtherHosts int
+	Targets    []TargetUpdate
 }
 
-// Take takes a reply.
-func (r *Reporter) Take(m Reply, now time.Duration) Learned {
+// HandleReply takes a reply.
+func (r *Reporter) HandleReply(m Reply, now time.Duration) Update {
 	if !r.waiting || m.Session != r.session || m.Sequence != r.sequence {
-		return Learned{}
+		return Update{}
 	}
 	r.waiting = false
-	if m.Restart || r.board != 0 && m.Board != r.board {
-		r.restart(m.Board)
-		return Learned{Fresh: true, Reset: true}
+	if m.Restart || r.board != 0 && m.BoardID != r.board {
+		r.restart(m.BoardID)
+		return Update{Accepted: true, Reset: true}
 	}
-	r.board = m.Board
+	r.board = m.BoardID
 	r.acknowledge()
-	learned := Learned{Fresh: true, Hosts: m.Hosts}
-	for _, l := range m.Lines {
-		learned.Told = append(learned.Told, r.learn(l, now))
+	learned := Update{Accepted: true, OtherHosts: m.OtherHosts}
+	for _, l := range m.Targets {
+		learned.Targets = append(learned.Targets, r.learn(l, now))
 	}
-	r.have = max(r.have, m.Have)
+	r.have = max(r.have, m.KnownRevision)
 	r.whole = r.whole || !m.More
 	return learned
 }
@@ -205,10 +205,10 @@
 
 // learn turns counts since the board began into what was added. Of the first lines of a
 // session it is not known what is new.
-func (r *Reporter) learn(l Line, now time.Duration) Told {
-	t := Told{Key: l.Key, Others: l.InFlight}
-	if l.HasWord {
-		t.HasWord, t.Word = true, Word{Load: l.Load, At: now - l.Age}
+func (r *Reporter) learn(l TargetStats, now time.Duration) TargetUpdate {
+	t := TargetUpdate{Key: l.Key, OthersInFlight: l.InFlight}
+	if l.HasLoad {
+		t.HasLoadReport, t.LoadReport = true, LoadReport{Load: l.Load, ReceivedAt: now - l.LoadAge}
 	}
 	before, known := r.told[l.Key]
 	if known || r.whole {
--- a/core/loads/schedule_test.go
+++ b/core/loads/schedule_test.go
@@ -71,7 +71,7 @@
 func (s *schedule) send(h *host) {
 	m := h.report(s.now)
 	deliver := func() {
-		s.heard[m.Reporter] = s.now
+		s.heard[m.ReporterID] = s.now
 		reply := s.board.Exchange(m, s.now)
 		if s.rng.IntN(4) > 0 {
 			h.take(reply, s.now)
@@ -91,7 +91,7 @@
 	s.board.expire(s.now)
 	sums := map[Key]int{}
 	for id, r := range s.board.reporters {
-		require.LessOrEqual(s.t, s.now-s.heard[id], Expiry)
+		require.LessOrEqual(s.t, s.now-s.heard[id], ReporterTimeout)
 		for key, x := range r.shares {
 			sums[key] += x.inFlight
 		}
@@ -104,7 +104,7 @@
 
 // settle lets time pass without loss, and checks that all are told what is.
 func (s *schedule) settle() {
-	for end := s.now + 2*Expiry; s.now < end; s.now += 50 * ms {
+	for end := s.now + 2*ReporterTimeout; s.now < end; s.now += 50 * ms {
 		for _, h := range s.hosts {
 			h.exchange(s.board, s.now)
 		}
@@ -118,7 +118,7 @@
 					want += o.InFlight
 				}
 			}
-			require.Equal(s.t, want, h.told[key].Others, "target %d", target)
+			require.Equal(s.t, want, h.told[key].OthersInFlight, "target %d", target)
 		}
 	}
 }
--- a/core/loads/wire.go
+++ b/core/loads/wire.go
@@ -15,37 +15,37 @@
 	hundredths = 100
 )
 
-// EncodeReport returns the message of a report.
-func EncodeReport(m Report) *historypb.ExchangeLoads {
+// EncodeHostReport returns the message of a report.
+func EncodeHostReport(m HostReport) *historypb.ExchangeLoads {
 	return &historypb.ExchangeLoads{
-		Reporter: m.Reporter, Session: m.Session, Sequence: m.Sequence, Board: m.Board, Have: m.Have, Acknowledged: m.Acknowledged, Lines: encode(m.Lines),
+		Reporter: m.ReporterID, Session: m.Session, Sequence: m.Sequence, Board: m.BoardID, Have: m.KnownRevision, Acknowledged: m.AckedSequence, Lines: encode(m.Targets),
 	}
 }
 
-// DecodeReport returns the report of a message.
-func DecodeReport(m *historypb.ExchangeLoads) Report {
-	return Report{
-		Reporter: m.GetReporter(), Session: m.GetSession(), Sequence: m.GetSequence(), Board: m.GetBoard(), Have: m.GetHave(),
-		Acknowledged: m.GetAcknowledged(), Lines: decode(m.GetLines()),
+// DecodeHostReport returns the report of a message.
+func DecodeHostReport(m *historypb.ExchangeLoads) HostReport {
+	return HostReport{
+		ReporterID: m.GetReporter(), Session: m.GetSession(), Sequence: m.GetSequence(), BoardID: m.GetBoard(), KnownRevision: m.GetHave(),
+		AckedSequence: m.GetAcknowledged(), Targets: decode(m.GetLines()),
 	}
 }
 
 // EncodeReply returns the message of a reply.
 func EncodeReply(m Reply) *historypb.LoadsTold {
 	return &historypb.LoadsTold{
-		Board: m.Board, Session: m.Session, Sequence: m.Sequence, Restart: m.Restart, Have: m.Have, More: m.More, Hosts: uint32(m.Hosts), Lines: encode(m.Lines),
+		Board: m.BoardID, Session: m.Session, Sequence: m.Sequence, Restart: m.Restart, Have: m.KnownRevision, More: m.More, Hosts: uint32(m.OtherHosts), Lines: encode(m.Targets),
 	}
 }
 
 // DecodeReply returns the reply of a message.
 func DecodeReply(m *historypb.LoadsTold) Reply {
 	return Reply{
-		Board: m.GetBoard(), Session: m.GetSession(), Sequence: m.GetSequence(), Restart: m.GetRestart(), Have: m.GetHave(), More: m.GetMore(),
-		Hosts: int(m.GetHosts()), Lines: decode(m.GetLines()),
+		BoardID: m.GetBoard(), Session: m.GetSession(), Sequence: m.GetSequence(), Restart: m.GetRestart(), KnownRevision: m.GetHave(), More: m.GetMore(),
+		OtherHosts: int(m.GetHosts()), Targets: decode(m.GetLines()),
 	}
 }
 
-func encode(lines []Line) *historypb.LoadLines {
+func encode(lines []TargetStats) *historypb.LoadLines {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -53,18 +53,18 @@
 	for _, l := range lines {
 		m.Keys = append(m.Keys, uint32(l.Key))
 	}
-	m.InFlight = column(lines, func(l *Line) uint32 { return whole(l.InFlight) })
-	m.Failed = column(lines, func(l *Line) uint32 { return l.Failed })
-	m.Served = column(lines, func(l *Line) uint32 { return l.Served })
-	m.Ages = column(lines, func(l *Line) uint32 { return bit(l.HasWord) * (1 + uint32(l.Age/ageUnit)) })
-	m.Running = column(lines, func(l *Line) uint32 { return bit(l.HasWord) * whole(l.Load.Running) })
-	m.Waiting = column(lines, func(l *Line) uint32 { return bit(l.HasWord) * whole(l.Load.Waiting) })
-	m.Slowdowns = column(lines, func(l *Line) uint32 { return bit(l.HasWord) * slowdown(l.Load.Slowdown) })
+	m.InFlight = column(lines, func(l *TargetStats) uint32 { return whole(l.InFlight) })
+	m.Failed = column(lines, func(l *TargetStats) uint32 { return l.Failed })
+	m.Served = column(lines, func(l *TargetStats) uint32 { return l.Served })
+	m.Ages = column(lines, func(l *TargetStats) uint32 { return bit(l.HasLoad) * (1 + uint32(l.LoadAge/ageUnit)) })
+	m.Running = column(lines, func(l *TargetStats) uint32 { return bit(l.HasLoad) * whole(l.Load.Running) })
+	m.Waiting = column(lines, func(l *TargetStats) uint32 { return bit(l.HasLoad) * whole(l.Load.Waiting) })
+	m.Slowdowns = column(lines, func(l *TargetStats) uint32 { return bit(l.HasLoad) * slowdown(l.Load.Slowdown) })
 	return m
 }
 
 // column is one value of all lines; nil if all are zero.
-func column(lines []Line, of func(*Line) uint32) []uint32 {
+func column(lines []TargetStats, of func(*TargetStats) uint32) []uint32 {
 	var values []uint32
 	for i := range lines {
 		v := of(&lines[i])
@@ -97,15 +97,15 @@
 	return uint32(min(mostWhole, math.Round(x*hundredths)))
 }
 
-func decode(m *historypb.LoadLines) []Line {
+func decode(m *historypb.LoadLines) []TargetStats {
 	if m == nil {
 		return nil
 	}
-	lines := make([]Line, len(m.Keys))
+	lines := make([]TargetStats, len(m.Keys))
 	for i, key := range m.Keys {
-		l := Line{Key: Key(key), InFlight: int(at(m.InFlight, i)), Failed: at(m.Failed, i), Served: at(m.Served, i)}
+		l := TargetStats{Key: Key(key), InFlight: int(at(m.InFlight, i)), Failed: at(m.Failed, i), Served: at(m.Served, i)}
 		if age := at(m.Ages, i); age > 0 {
-			l.HasWord, l.Age = true, time.Duration(age-1)*ageUnit
+			l.HasLoad, l.LoadAge = true, time.Duration(age-1)*ageUnit
 			l.Load = request.Load{Running: int(at(m.Running, i)), Waiting: int(at(m.Waiting, i)), Slowdown: float64(at(m.Slowdowns, i)) / hundredths}
 		}
 		lines[i] = l
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -23,8 +23,8 @@
 // The rest is for requests that run twice.
 const toleranceUsed = 0.8
 
-// Widen adds a part of what is tolerated to the burst.
-func (l Limit) Widen(t Tolerance) Limit {
+// WithTolerance adds a part of what is tolerated to the burst.
+func (l Limit) WithTolerance(t Tolerance) Limit {
 	l.Burst += toleranceUsed * (t.Overage*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack)
 	return l
 }
@@ -104,7 +104,7 @@
 	b.refused++
 	rate := b.limit.part(b.parts).Rate
 	if rate <= 0 {
-		return Grant{Due: mostPromise, In: mostPromise}
+		return Grant{NextTokenIn: mostPromise, RetryDelay: mostPromise}
 	}
 	missing := max(0, 1-b.tokens)
 	if first {
@@ -113,7 +113,7 @@
 	due := seconds(missing / rate)
 	at := min(max(now+due, b.promised), now+mostPromise)
 	b.promised = min(at+seconds(1/rate), now+mostPromise)
-	return Grant{Due: due, In: at - now}
+	return Grant{NextTokenIn: due, RetryDelay: at - now}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/quota/buckets.go
+++ b/core/quota/buckets.go
@@ -14,42 +14,42 @@
 // NewBuckets returns the buckets of a member that has granted nothing that counts.
 func NewBuckets() *Buckets { return &Buckets{by: map[string]*bucket{}} }
 
-// Ask is a question for one token.
-type Ask struct {
+// TokenRequest is a question for one token.
+type TokenRequest struct {
 	Customer string
 	// Limit is the customer's by the configuration Version that the asker knows.
 	Limit   Limit
 	Version uint64
-	// First reports that the request is the first of a program; see bucket.allows.
-	First bool
+	// FirstOfProgram reports that the request is the first of a program; see bucket.allows.
+	FirstOfProgram bool
 	// Parts is among how many members the quota is split.
 	Parts int
-	// Since is from when on this member holds the part: as a running process, as a keeper
+	// HeldSince is from when on this member holds the part: as a running process, as a keeper
 	// of the customer's slot.
-	Since time.Duration
+	HeldSince time.Duration
 }
 
 // Grant is the answer to an Ask.
 type Grant struct {
 	Granted bool
-	// Due is when the member's next token comes, if it has granted none, and In when there
+	// NextTokenIn is when the member's next token comes, if it has granted none, and RetryDelay when there
 	// will be one for this asker: others were told of those before.
-	Due, In time.Duration
+	NextTokenIn, RetryDelay time.Duration
 }
 
 // Take grants a token if there is one.
-func (s *Buckets) Take(a Ask, now time.Duration) Grant {
+func (s *Buckets) Take(a TokenRequest, now time.Duration) Grant {
 	b := s.by[a.Customer]
-	if b == nil || b.at < a.Since {
-		b = &bucket{limit: a.Limit, version: a.Version, parts: a.Parts, at: a.Since}
+	if b == nil || b.at < a.HeldSince {
+		b = &bucket{limit: a.Limit, version: a.Version, parts: a.Parts, at: a.HeldSince}
 		s.by[a.Customer] = b
 	}
 	b.fill(now)
 	b.follow(a.Version, a.Limit, a.Parts)
-	if !b.allows(a.First) {
-		return b.refuse(a.First, now)
+	if !b.allows(a.FirstOfProgram) {
+		return b.refuse(a.FirstOfProgram, now)
 	}
-	b.take(a.First)
+	b.take(a.FirstOfProgram)
 	return Grant{Granted: true}
 }
 
@@ -79,8 +79,8 @@
 	return list
 }
 
-// Drop forgets the buckets that are full: a new one would be the same.
-func (s *Buckets) Drop(now time.Duration) {
+// DropFull forgets the buckets that are full: a new one would be the same.
+func (s *Buckets) DropFull(now time.Duration) {
 	for name, b := range s.by {
 		b.fill(now)
 		if b.tokens >= b.limit.part(b.parts).Burst {
--- a/core/quota/order.go
+++ b/core/quota/order.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Order says which members an entry host asks for a customer's tokens. Not safe for
+// MemberSelector says which members an entry host asks for a customer's tokens. Not safe for
 // concurrent use.
-type Order struct {
+type MemberSelector struct {
 	// empty is until when each member has no token of a customer.
 	empty map[place]time.Duration
 }
@@ -18,25 +18,25 @@
 	first            bool
 }
 
-// NewOrder returns an order of a host that has asked nobody.
-func NewOrder() *Order { return &Order{empty: map[place]time.Duration{}} }
+// NewMemberSelector returns an order of a host that has asked nobody.
+func NewMemberSelector() *MemberSelector { return &MemberSelector{empty: map[place]time.Duration{}} }
 
 // mostEmpty bounds the members known to be empty; beyond it those whose time is over go.
 const mostEmpty = 4096
 
-// Refused notes that a member will have a token of the customer no sooner than due. The
+// RecordRefusal notes that a member will have a token of the customer no sooner than due. The
 // times that callers are told are later, and noting them would leave tokens unused while
 // requests are refused.
-func (o *Order) Refused(customer, member string, first bool, due, now time.Duration) {
+func (o *MemberSelector) RecordRefusal(customer, member string, first bool, due, now time.Duration) {
 	if len(o.empty) >= mostEmpty {
 		maps.DeleteFunc(o.empty, func(_ place, until time.Duration) bool { return until <= now })
 	}
 	o.empty[place{customer, member, first}] = now + due
 }
 
-// Ask returns the members to ask, in order: those that are not known to be empty, as
+// Candidates returns the members to ask, in order: those that are not known to be empty, as
 // they are given. Where all are empty it returns none, and when the first will not be.
-func (o *Order) Ask(customer string, first bool, members []string, now time.Duration) (ask []string, in time.Duration) {
+func (o *MemberSelector) Candidates(customer string, first bool, members []string, now time.Duration) (ask []string, in time.Duration) {
 	in = -1
 	for _, m := range members {
 		key := place{customer, m, first}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -32,7 +32,7 @@
 }
 
 func (f *fleet) take(i int, limit Limit, version uint64, now time.Duration) Grant {
-	g := f.members[i].Take(Ask{Customer: customer, Limit: limit, Version: version, Parts: len(f.members), Since: f.since[i]}, now)
+	g := f.members[i].Take(TokenRequest{Customer: customer, Limit: limit, Version: version, Parts: len(f.members), HeldSince: f.since[i]}, now)
 	if g.Granted {
 		f.granted = append(f.granted, now)
 	}
@@ -80,7 +80,7 @@
 			case 0:
 				f.restart(r.IntN(parts), now)
 			case 1:
-				f.members[r.IntN(parts)].Drop(now)
+				f.members[r.IntN(parts)].DropFull(now)
 			}
 		}
 		allowed := limit.Rate*window.Seconds() + max(limit.Burst, float64(parts)) + float64(parts)
@@ -109,10 +109,10 @@
 func TestWidenedLimitStaysWithinTheTolerance(t *testing.T) {
 	for _, l := range []Limit{{0.5, 0}, {5, 5}, {229, 229}} {
 		allowed := (l.Rate*5+l.Burst)*1.1 + 20
-		wide := l.Widen(tolerance)
+		wide := l.WithTolerance(tolerance)
 		require.Less(t, wide.Rate*5+max(wide.Burst, 5), allowed, "in five parts")
 	}
-	require.Equal(t, Limit{5, 5}, Limit{5, 5}.Widen(Tolerance{}))
+	require.Equal(t, Limit{5, 5}, Limit{5, 5}.WithTolerance(Tolerance{}))
 }
 
 // Customers who stay under their limit are refused nothing, though no member knows of the
@@ -126,7 +126,7 @@
 				f := newFleet(5)
 				for now := 2 * time.Second; now < 60*time.Second; now += time.Duration(r.ExpFloat64() / (0.6 * limit.Rate) * float64(time.Second)) {
 					asked++
-					if !f.ask(r, limit.Widen(tolerance), now) {
+					if !f.ask(r, limit.WithTolerance(tolerance), now) {
 						refused++
 					}
 				}
@@ -166,35 +166,35 @@
 	for i := range 5 {
 		g := f.take(0, limit, 1, time.Second)
 		require.False(t, g.Granted)
-		require.InDelta(t, (100 * time.Duration(i+1) * time.Millisecond).Seconds(), g.In.Seconds(), 0.001)
-		require.InDelta(t, 0.1, g.Due.Seconds(), 0.001, "the next token comes all the same")
+		require.InDelta(t, (100 * time.Duration(i+1) * time.Millisecond).Seconds(), g.RetryDelay.Seconds(), 0.001)
+		require.InDelta(t, 0.1, g.NextTokenIn.Seconds(), 0.001, "the next token comes all the same")
 	}
 	for range 100 {
-		require.LessOrEqual(t, f.take(0, limit, 1, time.Second).In, mostPromise)
+		require.LessOrEqual(t, f.take(0, limit, 1, time.Second).RetryDelay, mostPromise)
 	}
 }
 
 func TestEmptyMembersAreNotAskedUntilTheirTokenIsDue(t *testing.T) {
-	o, members := NewOrder(), []string{"m1", "m2"}
-	ask, _ := o.Ask(customer, false, members, 0)
+	o, members := NewMemberSelector(), []string{"m1", "m2"}
+	ask, _ := o.Candidates(customer, false, members, 0)
 	require.Equal(t, members, ask)
-	o.Refused(customer, "m1", false, 300*time.Millisecond, 0)
-	ask, _ = o.Ask(customer, false, members, 0)
+	o.RecordRefusal(customer, "m1", false, 300*time.Millisecond, 0)
+	ask, _ = o.Candidates(customer, false, members, 0)
 	require.Equal(t, []string{"m2"}, ask)
-	o.Refused(customer, "m2", false, 100*time.Millisecond, 0)
-	ask, in := o.Ask(customer, false, members, 50*time.Millisecond)
+	o.RecordRefusal(customer, "m2", false, 100*time.Millisecond, 0)
+	ask, in := o.Candidates(customer, false, members, 50*time.Millisecond)
 	require.Empty(t, ask)
 	require.Equal(t, 50*time.Millisecond, in)
-	ask, _ = o.Ask("another", false, members, 0)
+	ask, _ = o.Candidates("another", false, members, 0)
 	require.Equal(t, members, ask)
-	ask, _ = o.Ask(customer, false, members, 120*time.Millisecond)
+	ask, _ = o.Candidates(customer, false, members, 120*time.Millisecond)
 	require.Equal(t, []string{"m2"}, ask)
 }
 
 func TestOrderIsBounded(t *testing.T) {
-	o := NewOrder()
+	o := NewMemberSelector()
 	for i := range 3 * mostEmpty {
-		o.Refused(fmt.Sprint(i), "m", false, time.Millisecond, time.Duration(i)*time.Millisecond)
+		o.RecordRefusal(fmt.Sprint(i), "m", false, time.Millisecond, time.Duration(i)*time.Millisecond)
 	}
 	require.LessOrEqual(t, len(o.empty), mostEmpty)
 }
@@ -204,10 +204,10 @@
 // know first requests, patience how long others wait for a token.
 func playPrograms(seed uint64, limit Limit, perSecond float64, size int, told bool, patience time.Duration) (well, begun int) {
 	r := rand.New(rand.NewPCG(seed, 4))
-	f, orders := newFleet(5), []*Order{}
+	f, orders := newFleet(5), []*MemberSelector{}
 	names := []string{"0", "1", "2", "3", "4"}
 	for range 20 {
-		orders = append(orders, NewOrder()) // of entry hosts
+		orders = append(orders, NewMemberSelector()) // of entry hosts
 	}
 	type step struct {
 		at   time.Duration
@@ -233,17 +233,17 @@
 		first := s.left == size && told
 		o := orders[r.IntN(len(orders))]
 		n := r.IntN(5)
-		ask, in := o.Ask(customer, first, append(append([]string{}, names[n:]...), names[:n]...), s.at)
+		ask, in := o.Candidates(customer, first, append(append([]string{}, names[n:]...), names[:n]...), s.at)
 		granted := false
 		for _, m := range ask {
 			k := int(m[0] - '0')
-			g := f.members[k].Take(Ask{Customer: customer, Limit: limit, Version: 1, Parts: 5, First: first}, s.at)
+			g := f.members[k].Take(TokenRequest{Customer: customer, Limit: limit, Version: 1, Parts: 5, FirstOfProgram: first}, s.at)
 			if granted = g.Granted; granted {
 				break
 			}
-			o.Refused(customer, m, first, g.Due, s.at)
-			if in == 0 || g.In < in {
-				in = g.In
+			o.RecordRefusal(customer, m, first, g.NextTokenIn, s.at)
+			if in == 0 || g.RetryDelay < in {
+				in = g.RetryDelay
 			}
 		}
 		switch {
@@ -266,7 +266,7 @@
 const wait = 600 * time.Millisecond
 
 func TestProgramsUnderWayEndBeforeNewOnesBegin(t *testing.T) {
-	limit := Limit{Rate: 40, Burst: 40}.Widen(tolerance)
+	limit := Limit{Rate: 40, Burst: 40}.WithTolerance(tolerance)
 	const size = 14
 	ended := func(told bool, patience time.Duration) (well int) {
 		for seed := range uint64(10) {
@@ -287,7 +287,7 @@
 	for rate, percent := range map[float64]int{8: 85, 40: 97} {
 		well, begun := 0, 0
 		for seed := range uint64(10) {
-			w, b := playPrograms(seed, Limit{Rate: rate, Burst: rate}.Widen(tolerance), 0.9*rate/14, 14, true, wait)
+			w, b := playPrograms(seed, Limit{Rate: rate, Burst: rate}.WithTolerance(tolerance), 0.9*rate/14, 14, true, wait)
 			well, begun = well+w, begun+b
 		}
 		require.Greater(t, well*100, begun*percent, "%g a second: %d of %d", rate, well, begun)
--- a/ctl/player/loads.go
+++ b/ctl/player/loads.go
@@ -40,7 +40,7 @@
 	teller := loads.NewReporter(salt)
 	h.registry.Salt(salt)
 	h.teller = teller
-	w.After(time.Duration(w.reporters%phases)*loads.Every/phases, func() { h.exchange(teller) })
+	w.After(time.Duration(w.reporters%phases)*loads.ReportInterval/phases, func() { h.exchange(teller) })
 }
 
 // exchange tells the board, until the host starts again.
@@ -49,11 +49,11 @@
 	if h.teller != teller || !h.up {
 		return
 	}
-	next := loads.IdleEvery
+	next := loads.IdleReportInterval
 	if h.registry.Hushed(w.Now()) {
-		teller.Note(h.registry.Own())
-		if teller.Pending() || h.registry.InFlight() > 0 {
-			next = loads.Every
+		teller.Observe(h.registry.Own())
+		if teller.HasPending() || h.registry.InFlight() > 0 {
+			next = loads.ReportInterval
 		}
 		h.tell(teller)
 	}
@@ -62,9 +62,9 @@
 
 func (h *host) tell(teller *loads.Reporter) {
 	w, board := h.w, h.w.boards[h.centre]
-	m := teller.Report(w.Now())
+	m := teller.NextReport(w.Now())
 	w.After(nearDelay, func() {
 		reply := board.Exchange(m, w.Now())
-		w.After(nearDelay, func() { h.registry.Told(teller.Take(reply, w.Now()), w.Now()) })
+		w.After(nearDelay, func() { h.registry.Told(teller.HandleReply(reply, w.Now()), w.Now()) })
 	})
 }
--- a/ctl/player/second.go
+++ b/ctl/player/second.go
@@ -56,7 +56,7 @@
 
 func (c *call) second() {
 	h := c.h
-	if c.over || len(c.tried) >= plainAttempts || !c.waits() || !h.hedger.Take(plainService) {
+	if c.over || len(c.tried) >= plainAttempts || !c.waits() || !h.hedger.TakeToken(plainService) {
 		return
 	}
 	if v := c.decide(); v.Decision == dispatch.Send {
@@ -67,7 +67,7 @@
 
 // answered notes the time of a call for second sends.
 func (c *call) answered() {
-	c.h.hedger.Answered(plainService, c.tool.Name, c.h.w.Now()-c.began)
+	c.h.hedger.RecordAnswer(plainService, c.tool.Name, c.h.w.Now()-c.began)
 }
 
 // cancel drops a job whose sender has left.
--- a/ctl/player/uneven_test.go
+++ b/ctl/player/uneven_test.go
@@ -134,7 +134,7 @@
 	require.Zero(t, before.second)
 	require.Positive(t, now.second)
 	const seeds = 2
-	most := hedge.Share*float64(now.plain.Near+now.plain.Far) + hedge.Burst*float64(seeds*f.Hosts)
+	most := hedge.BudgetRatio*float64(now.plain.Near+now.plain.Far) + hedge.Burst*float64(seeds*f.Hosts)
 	require.LessOrEqual(t, float64(now.second), most)
 	t.Logf("calls %.0f and %.0f ms (99th), in time %d and %d, with second sends and without; %d sent", now.callsP99, before.callsP99, now.inTime, before.inTime, now.second)
 	require.Less(t, now.callsP99, before.callsP99)
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -196,7 +196,7 @@
 		return
 	}
 	h.registry.Took(x.target, x.route.Name, d, h.now())
-	h.hedger.Answered(x.service, x.route.Name, time.Since(x.firstSent))
+	h.hedger.RecordAnswer(x.service, x.route.Name, time.Since(x.firstSent))
 }
 
 // firstEvent tells the registry how long the target took for the first event of a stream.
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -120,7 +120,7 @@
 		return balance.Listed{}, false
 	}
 	h.mu.Lock()
-	paid := h.hedger.Take(x.service)
+	paid := h.hedger.TakeToken(x.service)
 	h.mu.Unlock()
 	if !paid {
 		h.Meter.Count("second_sends", "no_token")
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -39,11 +39,11 @@
 		}
 	}
 	h.hedger = hedge.New()
-	for range max(100, tokens*int(1/hedge.Share)+1) {
-		h.hedger.Answered("s", "", soon)
+	for range max(100, tokens*int(1/hedge.BudgetRatio)+1) {
+		h.hedger.RecordAnswer("s", "", soon)
 	}
 	for range max(0, hedge.Burst-tokens) {
-		h.hedger.Take("s")
+		h.hedger.TakeToken("s")
 	}
 }
 
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -29,7 +29,7 @@
 
 // run exchanges until the context ends.
 func (t *teller) run(ctx context.Context) {
-	timer := time.NewTimer(loads.IdleEvery)
+	timer := time.NewTimer(loads.IdleReportInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -44,7 +44,7 @@
 // step exchanges once, if the host hears too little by itself, and returns when to look again.
 func (t *teller) step(ctx context.Context) time.Duration {
 	if !t.hushed() {
-		return loads.IdleEvery
+		return loads.IdleReportInterval
 	}
 	return t.exchange(ctx)
 }
@@ -67,24 +67,24 @@
 	h.mu.Lock()
 	own, active := h.registry.Own(), h.registry.InFlight() > 0
 	h.mu.Unlock()
-	t.reporter.Note(own)
-	every := loads.IdleEvery
-	if active || t.reporter.Pending() {
-		every = loads.Every
+	t.reporter.Observe(own)
+	every := loads.IdleReportInterval
+	if active || t.reporter.HasPending() {
+		every = loads.ReportInterval
 	}
-	reply, err := h.History.ExchangeLoads(ctx, t.reporter.Report(h.now()))
+	reply, err := h.History.ExchangeLoads(ctx, t.reporter.NextReport(h.now()))
 	if err != nil {
 		return t.failed(err)
 	}
 	h.Meter.Count("load_exchanges", "ok")
 	if t.broken {
-		h.Log.Info("loads are told again", "board", reply.Board, "hosts", reply.Hosts)
+		h.Log.Info("loads are told again", "board", reply.BoardID, "hosts", reply.OtherHosts)
 	}
 	t.broken = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	learned := t.reporter.Take(reply, h.now())
-	t.board, t.hosts = reply.Board, reply.Hosts
+	learned := t.reporter.HandleReply(reply, h.now())
+	t.board, t.hosts = reply.BoardID, reply.OtherHosts
 	h.registry.Told(learned, h.now())
 	return every
 }
@@ -95,11 +95,11 @@
 	h := t.host
 	h.Meter.Count("load_exchanges", "failed")
 	if t.broken {
-		return loads.IdleEvery
+		return loads.IdleReportInterval
 	}
 	t.broken = true
 	h.Log.Warn("loads are not told", "error", err.Error())
-	return loads.Every
+	return loads.ReportInterval
 }
 
 // LoadsState is what a host was told of the targets' loads, for operators.
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -35,8 +35,8 @@
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
 	grant, err := x.takeToken(ctx)
-	for left := x.tokenPatience(); err == nil && !grant.Granted && grant.In <= left && sleep(ctx, grant.In); {
-		left -= grant.In
+	for left := x.tokenPatience(); err == nil && !grant.Granted && grant.RetryDelay <= left && sleep(ctx, grant.RetryDelay); {
+		left -= grant.RetryDelay
 		grant, err = x.takeToken(ctx)
 	}
 	switch {
@@ -44,7 +44,7 @@
 		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "quota of %s: %v", x.customer.Name, err)
 	case !grant.Granted:
 		x.host.Meter.Count("turned_away", "quota")
-		return failure.Retry(failure.QuotaExceeded, grant.In, "customer %s, %g requests a second and %g at once, version %d, first of its program: %t",
+		return failure.Retry(failure.QuotaExceeded, grant.RetryDelay, "customer %s, %g requests a second and %g at once, version %d, first of its program: %t",
 			x.customer.Name, x.customer.Quota.Rate, x.customer.Quota.Burst, x.customerVersion, x.begins())
 	}
 	return nil
@@ -52,9 +52,9 @@
 
 func (x *exchange) takeToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
-	return x.host.History.Take(ctx, quota.Ask{
-		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.Widen(x.host.Quotas), Version: x.customerVersion,
-		First: x.begins(),
+	return x.host.History.Take(ctx, quota.TokenRequest{
+		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
+		FirstOfProgram: x.begins(),
 	})
 }
 
--- a/daemon/history/loads.go
+++ b/daemon/history/loads.go
@@ -25,7 +25,7 @@
 	s.meter.Count("load_reports")
 	s.loads.mu.Lock()
 	defer s.loads.mu.Unlock()
-	reply := s.loads.board.Exchange(loads.DecodeReport(m), s.elapsed())
+	reply := s.loads.board.Exchange(loads.DecodeHostReport(m), s.elapsed())
 	return &historypb.Reply{Status: historypb.Status_STATUS_OK, Loads: loads.EncodeReply(reply)}
 }
 
@@ -40,5 +40,5 @@
 func (s *Server) loadsState() LoadsState {
 	s.loads.mu.Lock()
 	defer s.loads.mu.Unlock()
-	return LoadsState{Board: s.loads.board.ID(), Reporters: s.loads.board.Reporters(s.elapsed())}
+	return LoadsState{Board: s.loads.board.ID(), Reporters: s.loads.board.ReporterCount(s.elapsed())}
 }
--- a/daemon/history/loads_test.go
+++ b/daemon/history/loads_test.go
@@ -9,8 +9,8 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-func exchangeOf(member string, m loads.Report) *historypb.Request {
-	return &historypb.Request{Member: member, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeReport(m)}}
+func exchangeOf(member string, m loads.HostReport) *historypb.Request {
+	return &historypb.Request{Member: member, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(m)}}
 }
 
 // Loads concern no slot: they are exchanged without a map, and nothing of them is on disk.
@@ -18,16 +18,16 @@
 	dir := t.TempDir()
 	s := openServer(t, dir)
 	r := loads.NewReporter(1)
-	r.Note([]loads.Own{{Key: 7, InFlight: 3}})
-	reply := ask(s, exchangeOf(s.Member(), r.Report(0)))
+	r.Observe([]loads.Observation{{Key: 7, InFlight: 3}})
+	reply := ask(s, exchangeOf(s.Member(), r.NextReport(0)))
 	require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
-	require.True(t, r.Take(loads.DecodeReply(reply.Loads), 0).Fresh)
+	require.True(t, r.HandleReply(loads.DecodeReply(reply.Loads), 0).Accepted)
 	require.Equal(t, 1, s.loadsState().Reporters)
-	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeOf("other", r.Report(0))).Status)
+	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeOf("other", r.NextReport(0))).Status)
 	before := s.loadsState().Board
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
 	require.NotEqual(t, before, s.loadsState().Board)
-	require.True(t, ask(s, exchangeOf(s.Member(), r.Report(0))).Loads.Restart)
+	require.True(t, ask(s, exchangeOf(s.Member(), r.NextReport(0))).Loads.Restart)
 }
--- a/daemon/history/server.go
+++ b/daemon/history/server.go
@@ -363,7 +363,7 @@
 func (s *Server) sweep(nowMs int64) {
 	s.mu.Lock()
 	dropped := s.ledger.Expire(nowMs)
-	s.quotas.Drop(s.elapsed())
+	s.quotas.DropFull(s.elapsed())
 	s.mu.Unlock()
 	if dropped > 0 {
 		s.logger.Info("programs past their retention dropped", "programs", dropped)
--- a/daemon/history/take.go
+++ b/daemon/history/take.go
@@ -41,8 +41,8 @@
 	if !keeps(s.slots, int(slot), s.member) || !sound(limit) {
 		return &historypb.Reply{Status: historypb.Status_STATUS_UNAVAILABLE}
 	}
-	grant := s.quotas.Take(quota.Ask{
-		Customer: t.Customer, First: t.First, Limit: limit, Version: t.Version, Parts: len(replicas), Since: s.heldSince[slot],
+	grant := s.quotas.Take(quota.TokenRequest{
+		Customer: t.Customer, FirstOfProgram: t.First, Limit: limit, Version: t.Version, Parts: len(replicas), HeldSince: s.heldSince[slot],
 	}, s.elapsed())
 	reply := &historypb.Reply{Status: historypb.Status_STATUS_OK}
 	if grant.Granted {
@@ -50,8 +50,8 @@
 		return reply
 	}
 	s.meter.Count("quota_tokens", "refused")
-	us := grant.In.Microseconds()
-	reply.TokenInUs, reply.TokenDueUs = &us, grant.Due.Microseconds()
+	us := grant.RetryDelay.Microseconds()
+	reply.TokenInUs, reply.TokenDueUs = &us, grant.NextTokenIn.Microseconds()
 	return reply
 }
 
--- a/daemon/quorum/loads.go
+++ b/daemon/quorum/loads.go
@@ -33,7 +33,7 @@
 
 // ExchangeLoads tells the board what this host sees of the targets. A member that does not
 // answer is asked no more until it answers probes.
-func (c *Client) ExchangeLoads(ctx context.Context, m loads.Report) (loads.Reply, error) {
+func (c *Client) ExchangeLoads(ctx context.Context, m loads.HostReport) (loads.Reply, error) {
 	board, ok := c.Board()
 	if !ok {
 		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s", c.dataCentre)
@@ -41,7 +41,7 @@
 	bounded, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	reply, err := c.pool.Client(board.Address).Call(bounded, &historypb.Request{
-		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeReport(m)},
+		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(m)},
 	})
 	if ctx.Err() == nil {
 		c.note(board.ID, err)
--- a/daemon/quorum/loads_test.go
+++ b/daemon/quorum/loads_test.go
@@ -36,7 +36,7 @@
 	}
 	_, ok = c.Board()
 	require.False(t, ok)
-	_, err = c.ExchangeLoads(t.Context(), loads.Report{})
+	_, err = c.ExchangeLoads(t.Context(), loads.HostReport{})
 	require.True(t, failure.Is(err, failure.PeerUnavailable))
 	c.note("m1", nil)
 	board, _ := c.Board()
--- a/daemon/quorum/quorum.go
+++ b/daemon/quorum/quorum.go
@@ -41,7 +41,7 @@
 	// watch is the members that are asked for signs of life.
 	watch watch
 	// order says whom to ask for tokens of quotas.
-	order *quota.Order
+	order *quota.MemberSelector
 	// rotation spreads questions for tokens over the members of other data centres.
 	rotation int
 	// isolated is since when most slots cannot be served.
@@ -51,7 +51,7 @@
 // New returns a client without a slot map. Replicas of dataCentre are read first; m
 // may be nil.
 func New(dialer rpc.Dialer, dataCentre string, logger *log.Logger, m *meter.Meter) *Client {
-	c := &Client{pool: rpc.NewPool(dialer), dataCentre: dataCentre, logger: logger, meter: m, health: map[string]*health{}, order: quota.NewOrder(), start: time.Now(), callTimeout: callTimeout, watch: newWatch()}
+	c := &Client{pool: rpc.NewPool(dialer), dataCentre: dataCentre, logger: logger, meter: m, health: map[string]*health{}, order: quota.NewMemberSelector(), start: time.Now(), callTimeout: callTimeout, watch: newWatch()}
 	c.pool.TrafficOf = c.trafficOf
 	c.traffic.serve(m)
 	m.Gauge("slot_map_epoch", func() int64 { return int64(c.epoch()) })
--- a/daemon/quorum/take.go
+++ b/daemon/quorum/take.go
@@ -18,7 +18,7 @@
 // Take asks the members that keep the customer's slot for a token, one after the other. It
 // goes on trying until a member grants, all refuse, or the context ends; the failure is then
 // HistoryUnavailable. The version and limit of the ask are the sender's.
-func (c *Client) Take(ctx context.Context, a quota.Ask) (quota.Grant, error) {
+func (c *Client) Take(ctx context.Context, a quota.TokenRequest) (quota.Grant, error) {
 	began := time.Now()
 	for {
 		grant, err := c.takeOnce(ctx, a)
@@ -33,7 +33,7 @@
 	}
 }
 
-func (c *Client) takeOnce(ctx context.Context, a quota.Ask) (quota.Grant, error) {
+func (c *Client) takeOnce(ctx context.Context, a quota.TokenRequest) (quota.Grant, error) {
 	m := c.current()
 	if m == nil || !m.Assigned() {
 		return quota.Grant{}, failure.New(failure.HistoryUnavailable, "no slot map")
@@ -46,7 +46,7 @@
 
 // takeFrom returns the members to ask in order: one of this data centre first, so that most
 // tokens cost no way between data centres, those that do not answer last.
-func (c *Client) takeFrom(m *placement.Map, s *placement.Slot, a quota.Ask) (members []string, in time.Duration) {
+func (c *Client) takeFrom(m *placement.Map, s *placement.Slot, a quota.TokenRequest) (members []string, in time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rotation++
@@ -64,14 +64,14 @@
 		}
 	}
 	all := append(append(near, far...), failing...)
-	return c.order.Ask(a.Customer, a.First, all, now.Sub(c.start))
+	return c.order.Candidates(a.Customer, a.FirstOfProgram, all, now.Sub(c.start))
 }
 
 // refused notes that a member has no token.
-func (c *Client) refused(a quota.Ask, member string, due time.Duration) {
+func (c *Client) refused(a quota.TokenRequest, member string, due time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order.Refused(a.Customer, member, a.First, due, time.Since(c.start))
+	c.order.RecordRefusal(a.Customer, member, a.FirstOfProgram, due, time.Since(c.start))
 }
 
 // take is one round of questions for a token.
@@ -79,7 +79,7 @@
 	client  *Client
 	slots   *placement.Map
 	slot    uint32
-	ask     quota.Ask
+	ask     quota.TokenRequest
 	members []string
 	asked   int
 	waiting int
@@ -108,7 +108,7 @@
 		}
 	}
 	if t.soonest > 0 {
-		return quota.Grant{In: t.soonest}, nil
+		return quota.Grant{RetryDelay: t.soonest}, nil
 	}
 	return quota.Grant{}, incomplete(t.last, "none of %d replicas of slot %d answered for a token", len(t.members), t.slot)
 }
@@ -122,7 +122,7 @@
 	t.asked++
 	t.waiting++
 	t.client.send(t.slots, t.slot, id, &historypb.Request{Call: &historypb.Request_Take{Take: &historypb.Take{
-		Customer: t.ask.Customer, Version: t.ask.Version, Rate: t.ask.Limit.Rate, Burst: t.ask.Limit.Burst, First: t.ask.First,
+		Customer: t.ask.Customer, Version: t.ask.Version, Rate: t.ask.Limit.Rate, Burst: t.ask.Limit.Burst, First: t.ask.FirstOfProgram,
 	}}}, t.answers)
 }
 
