--- a/core/loads/board.go
+++ b/core/loads/board.go
@@ -9,249 +9,255 @@
 )
 
 const (
-	// entryKept is how long a target that no reporter tells of is remembered.
-	entryKept = 30 * time.Second
-	// entriesMost bounds the targets remembered, the starts of the past among them: beyond
-	// it all hosts say anew what they see of those that there are.
-	entriesMost = 20_000
-	// sweepEvery paces the search for targets that can be forgotten.
-	sweepEvery = time.Second
+	// targetRetention is how long a target is kept that no reporter contributes to.
+	targetRetention = 30 * time.Second
+	// maxTargets bounds the targets kept, including past incarnations. A board beyond it
+	// starts empty, and all hosts report again the targets that exist.
+	maxTargets = 20_000
+	// sweepInterval is the time between two searches for targets past their retention.
+	sweepInterval = time.Second
 )
 
-// Board merges what the hosts of a data centre see. Not safe for concurrent use.
+// Board merges the reports of the hosts of a data centre. Not safe for concurrent use.
 type Board struct {
 	id        uint64
 	revision  uint64
-	reporters map[uint64]*reporter
-	entries   map[Key]*entry
-	// order is the entries by their last change, the oldest first.
-	order   *list.List
-	sweptAt time.Duration
+	reporters map[uint64]*reporterState
+	targets   map[Key]*target
+	// byLastChange holds the targets in order of their last change, the oldest first.
+	byLastChange *list.List
+	lastSweep    time.Duration
 }
 
-// reporter is what one host has told.
-type reporter struct {
-	id       uint64
-	session  uint32
-	sequence uint64
-	heard    time.Duration
-	shares   map[Key]*share
+// reporterState is what one host has reported in its session.
+type reporterState struct {
+	id            uint64
+	session       uint32
+	sequence      uint64
+	lastReportAt  time.Duration
+	contributions map[Key]*contribution
 }
 
-// share is one reporter's part of an entry: as it told last, and what of its counts went into
-// the entry's.
-type share struct {
+// contribution is one reporter's share of a target: the counts of its last report, and the
+// part of them that was added to the target's counts.
+type contribution struct {
 	inFlight int
-	counts
-	merged counts
+	outcomeCounts
+	merged outcomeCounts
 }
 
-// entry is all that is known of one target.
-type entry struct {
+// target is the merged state of one target.
+type target struct {
 	key      Key
 	inFlight int
-	counts
-	word    LoadReport
-	hasWord bool
-	shares  int
-	at      *list.Element
-	touched time.Duration
-	// last is the revision of the last change, which by made; before is that of the last
-	// change that somebody else made.
-	last, before uint64
-	by           uint64
+	outcomeCounts
+	loadReport    LoadReport
+	hasLoadReport bool
+	contributors  int
+	element       *list.Element
+	changedAt     time.Duration
+	// lastRevision is the revision of the last change, made by changedBy; otherRevision is
+	// the revision of the last change by a different reporter.
+	lastRevision, otherRevision uint64
+	changedBy                   uint64
 }
 
-// nobody is no reporter's id: drawn ids are not zero.
-const nobody = 0
+// noReporter is the id of no reporter: ids are never zero.
+const noReporter = 0
 
-// changedFor is the revision of the last change that is news to a reporter.
-func (e *entry) changedFor(reporter uint64) uint64 {
-	if e.by == reporter {
-		return e.before
+// revisionFor returns the revision of the last change that was not made by the reporter.
+func (t *target) revisionFor(reporter uint64) uint64 {
+	if t.changedBy == reporter {
+		return t.otherRevision
 	}
-	return e.last
+	return t.lastRevision
 }
 
-// NewBoard returns an empty board; id is drawn at random for each.
+// NewBoard returns an empty board. The id identifies this board instance and must be drawn at
+// random for each.
 func NewBoard(id uint64) *Board {
-	return &Board{id: id, reporters: map[uint64]*reporter{}, entries: map[Key]*entry{}, order: list.New()}
+	return &Board{id: id, reporters: map[uint64]*reporterState{}, targets: map[Key]*target{}, byLastChange: list.New()}
 }
 
-// ID is the start of the board.
+// ID returns the id of the board instance.
 func (b *Board) ID() uint64 { return b.id }
 
-// ReporterCount is the number of hosts that were heard lately.
+// ReporterCount returns the number of hosts that reported within ReporterTimeout.
 func (b *Board) ReporterCount(now time.Duration) int {
 	b.expire(now)
 	return len(b.reporters)
 }
 
-// Exchange merges a report and answers it.
-func (b *Board) Exchange(m HostReport, now time.Duration) Reply {
+// Exchange merges a report and returns the reply to it.
+func (b *Board) Exchange(report HostReport, now time.Duration) Reply {
 	b.expire(now)
-	reply := Reply{BoardID: b.id, Session: m.Session, Sequence: m.Sequence}
-	r, known := b.session(m)
+	reply := Reply{BoardID: b.id, Session: report.Session, Sequence: report.Sequence}
+	r, known := b.resolveSession(report)
 	if !known {
 		reply.Restart = true
 		return reply
 	}
-	if m.Session == r.session && m.Sequence > r.sequence {
-		r.sequence, r.heard = m.Sequence, now
-		for _, l := range m.Targets {
-			b.merge(r, l, now)
+	if report.Session == r.session && report.Sequence > r.sequence {
+		r.sequence, r.lastReportAt = report.Sequence, now
+		for _, stats := range report.Targets {
+			b.merge(r, stats, now)
 		}
 	}
-	b.tell(&reply, m, now)
+	b.addChanges(&reply, report, now)
 	return reply
 }
 
-// session returns what is known of the reporter, or begins a session; known is false if the
-// reporter must begin one, since it counts as told what this board does not have.
-func (b *Board) session(m HostReport) (r *reporter, known bool) {
-	if m.BoardID != 0 && m.BoardID != b.id {
+// resolveSession returns the state of the sender of a report, and starts the session if the
+// report is the first of it. known is false if the sender must start a new session, since it
+// takes as acknowledged what this board instance does not have.
+func (b *Board) resolveSession(report HostReport) (r *reporterState, known bool) {
+	if report.BoardID != 0 && report.BoardID != b.id {
 		return nil, false
 	}
-	r = b.reporters[m.ReporterID]
-	if r != nil && m.Session < r.session {
+	r = b.reporters[report.ReporterID]
+	if r != nil && report.Session < r.session {
 		return r, true
 	}
-	if r != nil && m.Session == r.session {
-		return r, m.AckedSequence <= r.sequence
+	if r != nil && report.Session == r.session {
+		return r, report.AckedSequence <= r.sequence
 	}
-	if m.AckedSequence > 0 {
+	if report.AckedSequence > 0 {
 		return nil, false
 	}
-	b.drop(r)
-	r = &reporter{id: m.ReporterID, session: m.Session, shares: map[Key]*share{}}
-	b.reporters[m.ReporterID] = r
+	b.removeReporter(r)
+	r = &reporterState{id: report.ReporterID, session: report.Session, contributions: map[Key]*contribution{}}
+	b.reporters[report.ReporterID] = r
 	return r, true
 }
 
-// expire drops reporters that are silent: their hosts died, froze or were cut off.
+// expire removes reporters that are silent, because their hosts died, froze or were cut off,
+// and targets past their retention.
 func (b *Board) expire(now time.Duration) {
-	var silent []uint64
+	var expired []uint64
 	for id, r := range b.reporters {
-		if now-r.heard > ReporterTimeout {
-			silent = append(silent, id)
+		if now-r.lastReportAt > ReporterTimeout {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(silent)
-	for _, id := range silent {
-		b.drop(b.reporters[id])
+	slices.Sort(expired)
+	for _, id := range expired {
+		b.removeReporter(b.reporters[id])
 	}
-	if now-b.sweptAt < sweepEvery {
+	if now-b.lastSweep < sweepInterval {
 		return
 	}
-	b.sweptAt = now
-	if len(b.entries) > entriesMost {
+	b.lastSweep = now
+	if len(b.targets) > maxTargets {
 		*b = *NewBoard(b.id + 1)
 	}
-	for key, e := range b.entries {
-		if e.shares == 0 && now-e.touched > entryKept {
-			b.order.Remove(e.at)
-			delete(b.entries, key)
+	for key, t := range b.targets {
+		if t.contributors == 0 && now-t.changedAt > targetRetention {
+			b.byLastChange.Remove(t.element)
+			delete(b.targets, key)
 		}
 	}
 }
 
-// drop forgets a reporter and its requests. What it saw of failures stays; nobody's, so that
-// the reporter is told all of it if it comes back.
-func (b *Board) drop(r *reporter) {
+// removeReporter removes a reporter and its requests in flight; nil is allowed. The outcomes
+// that it reported stay in the targets' counts, attributed to no reporter, so that the host
+// receives all of them if it comes back.
+func (b *Board) removeReporter(r *reporterState) {
 	if r == nil {
 		return
 	}
 	delete(b.reporters, r.id)
-	for _, key := range slices.Sorted(maps.Keys(r.shares)) {
-		e, s := b.entries[key], r.shares[key]
-		e.shares--
-		e.inFlight -= s.inFlight
-		if s.inFlight > 0 || s.merged.failed > 0 {
-			b.touch(e, nobody, e.touched)
+	for _, key := range slices.Sorted(maps.Keys(r.contributions)) {
+		t, c := b.targets[key], r.contributions[key]
+		t.contributors--
+		t.inFlight -= c.inFlight
+		if c.inFlight > 0 || c.merged.failed > 0 {
+			b.markChanged(t, noReporter, t.changedAt)
 		}
 	}
 }
 
-func (b *Board) merge(r *reporter, l TargetStats, now time.Duration) {
-	e := b.entries[l.Key]
-	if e == nil {
-		e = &entry{key: l.Key}
-		e.at = b.order.PushFront(e) // not changed yet
-		b.entries[l.Key] = e
+// merge replaces a reporter's contribution to a target.
+func (b *Board) merge(r *reporterState, stats TargetStats, now time.Duration) {
+	t := b.targets[stats.Key]
+	if t == nil {
+		t = &target{key: stats.Key}
+		t.element = b.byLastChange.PushFront(t) // no change yet
+		b.targets[stats.Key] = t
 	}
-	s := r.shares[l.Key]
-	if s == nil {
-		s = &share{}
-		r.shares[l.Key] = s
-		e.shares++
+	c := r.contributions[stats.Key]
+	if c == nil {
+		c = &contribution{}
+		r.contributions[stats.Key] = c
+		t.contributors++
 	}
-	failed, served := since(l.Failed, s.failed), since(l.Served, s.served)
-	if e.failed == 0 && failed == 0 {
-		served = 0 // successes matter only where there were failures
+	failed, served := increase(stats.Failed, c.failed), increase(stats.Served, c.served)
+	if t.failed == 0 && failed == 0 {
+		served = 0 // successes matter only after failures
 	}
-	news := l.InFlight != s.inFlight || failed > 0 || served > 0
-	e.inFlight += l.InFlight - s.inFlight
-	e.failed, s.merged.failed = e.failed+failed, s.merged.failed+failed
-	e.served, s.merged.served = e.served+served, s.merged.served+served
-	s.inFlight, s.counts = l.InFlight, counts{l.Failed, l.Served}
-	if at := now - l.LoadAge; l.HasLoad && (!e.hasWord || at > e.word.ReceivedAt) {
-		e.word, e.hasWord, news = LoadReport{Load: l.Load, ReceivedAt: at}, true, true
+	changed := stats.InFlight != c.inFlight || failed > 0 || served > 0
+	t.inFlight += stats.InFlight - c.inFlight
+	t.failed, c.merged.failed = t.failed+failed, c.merged.failed+failed
+	t.served, c.merged.served = t.served+served, c.merged.served+served
+	c.inFlight, c.outcomeCounts = stats.InFlight, outcomeCounts{stats.Failed, stats.Served}
+	if at := now - stats.LoadAge; stats.HasLoad && (!t.hasLoadReport || at > t.loadReport.ReceivedAt) {
+		t.loadReport, t.hasLoadReport, changed = LoadReport{Load: stats.Load, ReceivedAt: at}, true, true
 	}
-	if news {
-		b.touch(e, r.id, now)
+	if changed {
+		b.markChanged(t, r.id, now)
 	}
 }
 
-// touch notes a change that a reporter made.
-func (b *Board) touch(e *entry, by uint64, now time.Duration) {
+// markChanged records a change of a target by a reporter under a new revision.
+func (b *Board) markChanged(t *target, by uint64, now time.Duration) {
 	b.revision++
-	if e.by != by {
-		e.before, e.by = e.last, by
+	if t.changedBy != by {
+		t.otherRevision, t.changedBy = t.lastRevision, by
 	}
-	e.last, e.touched = b.revision, now
-	b.order.MoveToBack(e.at)
+	t.lastRevision, t.changedAt = b.revision, now
+	b.byLastChange.MoveToBack(t.element)
 }
 
-// tell adds what changed for the asker since the revision that it has. The longest unchanged
-// of these come first, so that none waits for ever where more changes than fits. Where the
-// message is cut goes by what is news to the asker: its own later change of a target must not
-// count as told what others changed there before.
-func (b *Board) tell(reply *Reply, m HostReport, now time.Duration) {
-	asker := b.reporters[m.ReporterID]
+// addChanges adds the targets that others changed since the revision that the sender of the
+// report knows. If they exceed the size of a message, those unchanged for longest come first,
+// so that no change is deferred for ever. The cut follows revisionFor, not lastRevision: the
+// sender's own later change of a target must not mark earlier changes by others as sent.
+func (b *Board) addChanges(reply *Reply, report HostReport, now time.Duration) {
+	sender := b.reporters[report.ReporterID]
 	reply.OtherHosts = len(b.reporters) - 1
 	reply.KnownRevision = b.revision
-	var due []*entry
-	for at := b.order.Back(); at != nil; at = at.Prev() {
-		e := at.Value.(*entry)
-		if e.last <= m.KnownRevision {
+	var due []*target
+	for element := b.byLastChange.Back(); element != nil; element = element.Prev() {
+		t := element.Value.(*target)
+		if t.lastRevision <= report.KnownRevision {
 			break
 		}
-		if e.changedFor(m.ReporterID) > m.KnownRevision {
-			due = append(due, e)
+		if t.revisionFor(report.ReporterID) > report.KnownRevision {
+			due = append(due, t)
 		}
 	}
 	slices.Reverse(due)
 	if len(due) > MaxTargetsPerMessage {
-		slices.SortFunc(due, func(x, y *entry) int {
-			return cmp.Compare(x.changedFor(m.ReporterID), y.changedFor(m.ReporterID))
+		slices.SortFunc(due, func(x, y *target) int {
+			return cmp.Compare(x.revisionFor(report.ReporterID), y.revisionFor(report.ReporterID))
 		})
 		due = due[:MaxTargetsPerMessage]
-		reply.KnownRevision, reply.More = due[MaxTargetsPerMessage-1].changedFor(m.ReporterID), true
+		reply.KnownRevision, reply.More = due[MaxTargetsPerMessage-1].revisionFor(report.ReporterID), true
 	}
-	for _, e := range due {
-		reply.Targets = append(reply.Targets, e.line(asker, now))
+	for _, t := range due {
+		reply.Targets = append(reply.Targets, t.statsFor(sender, now))
 	}
 }
 
-// line is the entry as the asker is told it: without its own part.
-func (e *entry) line(asker *reporter, now time.Duration) TargetStats {
-	l := TargetStats{Key: e.key, InFlight: e.inFlight, Failed: e.failed, Served: e.served}
-	if s := asker.shares[e.key]; s != nil {
-		l.InFlight -= s.inFlight
-		l.Failed, l.Served = since(l.Failed, s.merged.failed), since(l.Served, s.merged.served)
+// statsFor returns the target's stats for a reply to a reporter, without the reporter's own
+// contribution.
+func (t *target) statsFor(r *reporterState, now time.Duration) TargetStats {
+	stats := TargetStats{Key: t.key, InFlight: t.inFlight, Failed: t.failed, Served: t.served}
+	if c := r.contributions[t.key]; c != nil {
+		stats.InFlight -= c.inFlight
+		stats.Failed, stats.Served = increase(stats.Failed, c.merged.failed), increase(stats.Served, c.merged.served)
 	}
-	if age := now - e.word.ReceivedAt; e.hasWord && age < wordKept {
-		l.HasLoad, l.Load, l.LoadAge = true, e.word.Load, max(0, age)
+	if age := now - t.loadReport.ReceivedAt; t.hasLoadReport && age < maxLoadReportAge {
+		stats.HasLoad, stats.Load, stats.LoadAge = true, t.loadReport.Load, max(0, age)
 	}
-	return l
+	return stats
 }
--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -1,33 +1,37 @@
-// Package loads lets hosts know together what each of them sees of the targets: how many
-// requests are there, what targets say of their load, and which of them fail.
+// Package loads lets the hosts of a data centre share what each of them observes of the
+// targets: the number of requests in flight there, the load that targets report, and
+// failures.
 //
-// It answers many hosts before many targets: each hears one target once in seconds, takes
-// what it knew then for what is now, and finds each failing target by a failed request of
-// its own.
+// It addresses deployments with many hosts and many targets, in which a host alone hears from
+// one target only once in several seconds, acts on load reports that are out of date by then,
+// and discovers each failing target by a failed request of its own.
 //
-//	entry hosts --Report--> Board --Reply--> entry hosts
+//	entry hosts --HostReport--> Board --Reply--> entry hosts
 //
-// Boards of different data centres tell each other nothing: hosts choose targets of their own
-// data centre first, and those of others by their own words.
+// Boards of different data centres do not exchange data: hosts prefer targets of their own
+// data centre, and judge those of other data centres by their load reports alone.
 //
-// A Reporter is the side of a host: it tells what changed and takes what it is told. A Board
-// merges the reports of one data centre. Another one takes over with nothing kept: all hosts
-// say everything again.
+// A Reporter is the host's side: it sends what changed and applies the replies. A Board merges
+// the reports of one data centre. Its state is in memory only: when another board takes over,
+// all hosts report everything again.
 //
-// Messages may be lost, come late, twice or in another order:
+// Messages may be lost, delayed, duplicated or reordered:
 //
-//   - A line holds counts as they are, not changes, and is told until it is acknowledged.
-//   - One report is under way at a time. A board leaves out what it has merged, a reporter
-//     any reply but that to its last report.
-//   - A session is what one reporter has told one start of a board. A board that does not know
-//     it asks for a new one, in which all lines are told again and counts begin at nothing.
+//   - Target stats hold current counts, not differences, and are sent until acknowledged.
+//   - One report is in flight at a time. A board skips reports that it has merged, a reporter
+//     ignores every reply but the one to its last report.
+//   - A session comprises the reports of one reporter to one board instance. A board that does
+//     not know the session requests a new one, in which all target stats are sent again and
+//     counts start at zero.
 //
 // Invariants:
 //
-//   - without loss and changes, each host is told the sum of what all others have in flight;
-//   - a reporter that falls silent counts for Expiry and no longer;
-//   - a target is named by its start: nothing known of one start is told of the next.
+//   - without loss and changes, each host learns the sum of the requests that all other hosts
+//     have in flight at a target;
+//   - the requests of a silent reporter count for ReporterTimeout and no longer;
+//   - a target is identified by its incarnation: nothing known of one incarnation is
+//     attributed to the next.
 //
-// Targets are named by a hash of their id and start, so that no names have to be agreed on.
-// Hosts leave out targets of which two have the same.
+// Targets are identified by a hash of their id and start time, so that hosts and boards need
+// not agree on names for them. Hosts leave out targets whose hashes collide.
 package loads
--- a/core/loads/reporter.go
+++ b/core/loads/reporter.go
@@ -12,147 +12,157 @@
 	id       uint64
 	session  uint32
 	sequence uint64
-	// acknowledged is the last report of the session that was merged.
-	acknowledged uint64
-	board        uint64
-	have         uint64
-	own          map[Key]*ownLine
-	// dirtied orders lines by when they began to wait to be told.
-	dirtied uint64
-	// sent is the versions of lines in the report under way.
-	sent    map[Key]uint64
-	waiting bool
-	// told is the counts of others as told in this session; whole: all lines were told.
-	told  map[Key]counts
-	whole bool
-}
-
-// counts are ends of requests.
-type counts struct{ failed, served uint32 }
-
-// ownLine is what the host knows of one target.
-type ownLine struct {
+	// ackedSequence is the last report of the session that was merged.
+	ackedSequence uint64
+	boardID       uint64
+	knownRevision uint64
+	targets       map[Key]*localTarget
+	// lastQueued is the highest queue position assigned so far.
+	lastQueued uint64
+	// sentVersions holds the versions of the targets in the report in flight.
+	sentVersions  map[Key]uint64
+	awaitingReply bool
+	// received holds the counts of other hosts as received in this session. synced reports
+	// whether all of them were received once.
+	received map[Key]outcomeCounts
+	synced   bool
+}
+
+// outcomeCounts counts finished requests by outcome.
+type outcomeCounts struct{ failed, served uint32 }
+
+// localTarget is what the host knows of one target.
+type localTarget struct {
 	Observation
-	// base is the counts when the session began.
-	base counts
-	// version changes with the line; dirty is its place among those to be told, 0 if it was.
-	version, dirty uint64
-	// gone: the target is not listed any more.
-	gone bool
+	// baseline holds the counts at the start of the session.
+	baseline outcomeCounts
+	// version changes with the observation. queued is the target's position in the order of
+	// those to report, 0 if the current version was acknowledged.
+	version, queued uint64
+	// removed reports whether the target is no longer listed.
+	removed bool
 }
 
-// NewReporter returns a reporter of a host with an id drawn at random.
+// NewReporter returns the reporter of a host. The id must be drawn at random for each start of
+// the host.
 func NewReporter(id uint64) *Reporter {
-	return &Reporter{id: id, session: 1, own: map[Key]*ownLine{}, told: map[Key]counts{}}
+	return &Reporter{id: id, session: 1, targets: map[Key]*localTarget{}, received: map[Key]outcomeCounts{}}
 }
 
-// BoardID is the start of the board that the host reports to, 0 if there is none yet.
-func (r *Reporter) BoardID() uint64 { return r.board }
+// BoardID returns the id of the board instance that the host reports to, 0 if there is none
+// yet.
+func (r *Reporter) BoardID() uint64 { return r.boardID }
 
-// Observe takes what the host sees now of all targets.
+// Observe replaces the host's observations of all targets. Targets that are left out are
+// reported to have no requests in flight.
 func (r *Reporter) Observe(all []Observation) {
-	seen := make(map[Key]bool, len(all))
+	listed := make(map[Key]bool, len(all))
 	for i := range all {
-		seen[all[i].Key] = true
-		r.note(&all[i])
+		listed[all[i].Key] = true
+		r.updateTarget(&all[i])
 	}
-	var gone []Key
-	for key := range r.own {
-		if !seen[key] {
-			gone = append(gone, key)
+	var removed []Key
+	for key := range r.targets {
+		if !listed[key] {
+			removed = append(removed, key)
 		}
 	}
-	slices.Sort(gone)
-	for _, key := range gone {
-		r.lose(key, r.own[key])
+	slices.Sort(removed)
+	for _, key := range removed {
+		r.removeTarget(key, r.targets[key])
 	}
 }
 
-func (r *Reporter) note(o *Observation) {
-	l := r.own[o.Key]
-	if l == nil {
-		if o.empty() {
+func (r *Reporter) updateTarget(o *Observation) {
+	t := r.targets[o.Key]
+	if t == nil {
+		if o.isEmpty() {
 			return
 		}
-		l = &ownLine{}
-		r.own[o.Key] = l
-	} else if l.Observation == *o && !l.gone {
+		t = &localTarget{}
+		r.targets[o.Key] = t
+	} else if t.Observation == *o && !t.removed {
 		return
 	}
-	l.Observation, l.gone = *o, false
-	r.changed(l)
+	t.Observation, t.removed = *o, false
+	r.markChanged(t)
 }
 
-// lose notes that a target is gone: nothing is in flight there.
-func (r *Reporter) lose(key Key, l *ownLine) {
-	if !l.gone {
-		l.gone, l.InFlight, l.HasLoadReport = true, 0, false
-		r.changed(l)
+// removeTarget marks a target that is no longer listed as without requests in flight, and
+// deletes it once that was acknowledged.
+func (r *Reporter) removeTarget(key Key, t *localTarget) {
+	if !t.removed {
+		t.removed, t.InFlight, t.HasLoadReport = true, 0, false
+		r.markChanged(t)
 	}
-	if l.dirty == 0 {
-		delete(r.own, key)
+	if t.queued == 0 {
+		delete(r.targets, key)
 	}
 }
 
-func (r *Reporter) changed(l *ownLine) {
-	l.version++
-	if l.dirty == 0 {
-		r.dirtied++
-		l.dirty = r.dirtied
+// markChanged queues a target for the next reports. One that is queued keeps its position.
+func (r *Reporter) markChanged(t *localTarget) {
+	t.version++
+	if t.queued == 0 {
+		r.lastQueued++
+		t.queued = r.lastQueued
 	}
 }
 
-// HasPending reports whether there is anything to tell.
+// HasPending reports whether there are changes that were not acknowledged.
 func (r *Reporter) HasPending() bool {
-	for _, l := range r.own {
-		if l.dirty > 0 {
+	for _, t := range r.targets {
+		if t.queued > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// NextReport makes the next message. A reply to the one before it counts no more.
+// NextReport returns the next message to the board. A later reply to the previous one is
+// ignored.
 func (r *Reporter) NextReport(now time.Duration) HostReport {
-	var due []*ownLine
-	for _, l := range r.own {
-		if l.dirty > 0 {
-			due = append(due, l)
+	var due []*localTarget
+	for _, t := range r.targets {
+		if t.queued > 0 {
+			due = append(due, t)
 		}
 	}
-	slices.SortFunc(due, func(a, b *ownLine) int { return cmp.Compare(a.dirty, b.dirty) })
+	slices.SortFunc(due, func(a, b *localTarget) int { return cmp.Compare(a.queued, b.queued) })
 	due = due[:min(len(due), MaxTargetsPerMessage)]
 	r.sequence++
-	r.waiting, r.sent = true, make(map[Key]uint64, len(due))
-	m := HostReport{ReporterID: r.id, Session: r.session, Sequence: r.sequence, BoardID: r.board, KnownRevision: r.have, AckedSequence: r.acknowledged}
-	for _, l := range due {
-		r.sent[l.Key] = l.version
-		m.Targets = append(m.Targets, l.line(now))
+	r.awaitingReply, r.sentVersions = true, make(map[Key]uint64, len(due))
+	report := HostReport{ReporterID: r.id, Session: r.session, Sequence: r.sequence, BoardID: r.boardID, KnownRevision: r.knownRevision, AckedSequence: r.ackedSequence}
+	for _, t := range due {
+		r.sentVersions[t.Key] = t.version
+		report.Targets = append(report.Targets, t.stats(now))
 	}
-	return m
+	return report
 }
 
-func (l *ownLine) line(now time.Duration) TargetStats {
-	m := TargetStats{
-		Key: l.Key, InFlight: l.InFlight,
-		Failed: since(l.Failed, l.base.failed), Served: since(l.Served, l.base.served),
+// stats returns the target's stats for a report, with counts since the start of the session.
+func (t *localTarget) stats(now time.Duration) TargetStats {
+	stats := TargetStats{
+		Key: t.Key, InFlight: t.InFlight,
+		Failed: increase(t.Failed, t.baseline.failed), Served: increase(t.Served, t.baseline.served),
 	}
-	if age := now - l.LoadReport.ReceivedAt; l.HasLoadReport && age < wordKept {
-		m.HasLoad, m.Load, m.LoadAge = true, l.LoadReport.Load, max(0, age)
+	if age := now - t.LoadReport.ReceivedAt; t.HasLoadReport && age < maxLoadReportAge {
+		stats.HasLoad, stats.Load, stats.LoadAge = true, t.LoadReport.Load, max(0, age)
 	}
-	return m
+	return stats
 }
 
-// since is what a count grew by; nothing if it began anew.
-func since(count, before uint32) uint32 {
+// increase returns by how much a count has grown, 0 if it was reset.
+func increase(count, before uint32) uint32 {
 	if count < before {
 		return 0
 	}
 	return count - before
 }
 
-// TargetUpdate is what a host learns of one target. Failed and Served are those of others since it
-// was last told.
+// TargetUpdate is what a host learns of one target from a reply. OthersInFlight counts the
+// requests that other hosts have in flight; Failed and Served count those that ended there
+// since the last update of the target. LoadReport is valid if HasLoadReport.
 type TargetUpdate struct {
 	Key            Key
 	OthersInFlight int
@@ -161,71 +171,75 @@
 	HasLoadReport  bool
 }
 
-// Update is what a reply brings.
+// Update is the content of a reply.
 type Update struct {
-	// Accepted: the reply is the one waited for; without it nothing else holds.
+	// Accepted reports whether the reply is the expected one; the other fields are valid
+	// only then.
 	Accepted bool
-	// Reset: another board, or a board that knew this host no more. What it told of others'
-	// requests is void.
+	// Reset reports whether a new session starts, with another board or one that no longer
+	// knows this host. Earlier updates of other hosts' requests are then void.
 	Reset      bool
 	OtherHosts int
 	Targets    []TargetUpdate
 }
 
-// HandleReply takes a reply.
-func (r *Reporter) HandleReply(m Reply, now time.Duration) Update {
-	if !r.waiting || m.Session != r.session || m.Sequence != r.sequence {
+// HandleReply applies a reply to the last report and returns its content.
+func (r *Reporter) HandleReply(reply Reply, now time.Duration) Update {
+	if !r.awaitingReply || reply.Session != r.session || reply.Sequence != r.sequence {
 		return Update{}
 	}
-	r.waiting = false
-	if m.Restart || r.board != 0 && m.BoardID != r.board {
-		r.restart(m.BoardID)
+	r.awaitingReply = false
+	if reply.Restart || r.boardID != 0 && reply.BoardID != r.boardID {
+		r.startSession(reply.BoardID)
 		return Update{Accepted: true, Reset: true}
 	}
-	r.board = m.BoardID
+	r.boardID = reply.BoardID
 	r.acknowledge()
-	learned := Update{Accepted: true, OtherHosts: m.OtherHosts}
-	for _, l := range m.Targets {
-		learned.Targets = append(learned.Targets, r.learn(l, now))
+	update := Update{Accepted: true, OtherHosts: reply.OtherHosts}
+	for _, stats := range reply.Targets {
+		update.Targets = append(update.Targets, r.targetUpdate(stats, now))
 	}
-	r.have = max(r.have, m.KnownRevision)
-	r.whole = r.whole || !m.More
-	return learned
+	r.knownRevision = max(r.knownRevision, reply.KnownRevision)
+	r.synced = r.synced || !reply.More
+	return update
 }
 
-// acknowledge notes that the lines of the last report were merged.
+// acknowledge marks the targets of the last report as merged, except those that have changed
+// since it was made.
 func (r *Reporter) acknowledge() {
-	r.acknowledged = r.sequence
-	for key, version := range r.sent {
-		if l := r.own[key]; l != nil && l.version == version {
-			l.dirty = 0
+	r.ackedSequence = r.sequence
+	for key, version := range r.sentVersions {
+		if t := r.targets[key]; t != nil && t.version == version {
+			t.queued = 0
 		}
 	}
 }
 
-// learn turns counts since the board began into what was added. Of the first lines of a
-// session it is not known what is new.
-func (r *Reporter) learn(l TargetStats, now time.Duration) TargetUpdate {
-	t := TargetUpdate{Key: l.Key, OthersInFlight: l.InFlight}
-	if l.HasLoad {
-		t.HasLoadReport, t.LoadReport = true, LoadReport{Load: l.Load, ReceivedAt: now - l.LoadAge}
+// targetUpdate converts counts since the start of the board into increases since the last
+// reply. The first stats of a target in a session give no increase before the reporter is
+// synced, since it is not known which outcomes are new.
+func (r *Reporter) targetUpdate(stats TargetStats, now time.Duration) TargetUpdate {
+	u := TargetUpdate{Key: stats.Key, OthersInFlight: stats.InFlight}
+	if stats.HasLoad {
+		u.HasLoadReport, u.LoadReport = true, LoadReport{Load: stats.Load, ReceivedAt: now - stats.LoadAge}
 	}
-	before, known := r.told[l.Key]
-	if known || r.whole {
-		t.Failed, t.Served = since(l.Failed, before.failed), since(l.Served, before.served)
+	before, known := r.received[stats.Key]
+	if known || r.synced {
+		u.Failed, u.Served = increase(stats.Failed, before.failed), increase(stats.Served, before.served)
 	}
-	r.told[l.Key] = counts{l.Failed, l.Served}
-	return t
+	r.received[stats.Key] = outcomeCounts{stats.Failed, stats.Served}
+	return u
 }
 
-// restart begins a session with a start of a board.
-func (r *Reporter) restart(board uint64) {
+// startSession starts a session with a board instance, in which all targets are reported
+// again.
+func (r *Reporter) startSession(boardID uint64) {
 	r.session++
-	r.sequence, r.acknowledged, r.have, r.board, r.whole = 0, 0, 0, board, false
-	clear(r.told)
-	for _, key := range slices.Sorted(maps.Keys(r.own)) {
-		l := r.own[key]
-		l.base = counts{l.Failed, l.Served}
-		r.changed(l)
+	r.sequence, r.ackedSequence, r.knownRevision, r.boardID, r.synced = 0, 0, 0, boardID, false
+	clear(r.received)
+	for _, key := range slices.Sorted(maps.Keys(r.targets)) {
+		t := r.targets[key]
+		t.baseline = outcomeCounts{t.Failed, t.Served}
+		r.markChanged(t)
 	}
 }
--- a/core/loads/schedule_test.go
+++ b/core/loads/schedule_test.go
@@ -9,100 +9,102 @@
 	"github.com/stretchr/testify/require"
 )
 
-// schedule plays hosts before a board over a network that loses, delays, repeats and reorders
-// messages, where hosts and the board die, and targets are born again.
+// schedule simulates hosts and a board over a network that loses, delays, duplicates and
+// reorders messages, while hosts, the board and targets restart.
 type schedule struct {
 	t     *testing.T
 	rng   *rand.Rand
 	now   time.Duration
 	board *Board
 	hosts []*host
-	// ids are of the hosts, drawn for each start.
-	ids    uint64
-	boards uint64
-	born   [4]int64
-	// heard is when each start of a host was last heard by the board.
-	heard map[uint64]time.Duration
-	late  []func()
+	// lastHostID and lastBoardID are the last ids given out, one for each start.
+	lastHostID  uint64
+	lastBoardID uint64
+	startedAtMs [4]int64
+	// lastReportAt holds when the board last received a report, by host id.
+	lastReportAt map[uint64]time.Duration
+	// delayed holds deliveries of messages that may still arrive.
+	delayed []func()
 }
 
-func (s *schedule) key(target int) Key { return KeyOf(fmt.Sprint(target), s.born[target]) }
+func (s *schedule) key(target int) Key { return KeyOf(fmt.Sprint(target), s.startedAtMs[target]) }
 
-func (s *schedule) start() *host {
-	s.ids++
-	return newHost(s.ids)
+func (s *schedule) startHost() *host {
+	s.lastHostID++
+	return newHost(s.lastHostID)
 }
 
-// step does one random thing.
+// step performs one random action.
 func (s *schedule) step() {
 	s.now += time.Duration(s.rng.IntN(30)) * ms
 	i := s.rng.IntN(len(s.hosts))
 	h := s.hosts[i]
 	switch draw := s.rng.IntN(100); {
 	case draw < 40:
-		o := h.see(s.key(s.rng.IntN(len(s.born))), s.rng.IntN(5))
+		o := h.observe(s.key(s.rng.IntN(len(s.startedAtMs))), s.rng.IntN(5))
 		o.Failed += uint32(s.rng.IntN(2))
 	case draw < 90:
 		s.send(h)
-	case draw < 94 && len(s.late) > 0:
-		s.late[s.rng.IntN(len(s.late))]()
+	case draw < 94 && len(s.delayed) > 0:
+		s.delayed[s.rng.IntN(len(s.delayed))]()
 	case draw < 96:
-		s.hosts[i] = s.start() // died, and another start takes its place
+		s.hosts[i] = s.startHost() // the host restarts
 	case draw < 97:
-		s.boards++
-		s.board = NewBoard(s.boards)
+		s.lastBoardID++
+		s.board = NewBoard(s.lastBoardID)
 	case draw < 98:
-		s.bear(s.rng.IntN(len(s.born)))
+		s.restartTarget(s.rng.IntN(len(s.startedAtMs)))
 	}
 	s.check()
 }
 
-// bear starts a target again: hosts drop what they know of the start before.
-func (s *schedule) bear(target int) {
-	old := s.key(target)
-	s.born[target]++
+// restartTarget starts a new incarnation of a target: hosts drop the state of the previous
+// one.
+func (s *schedule) restartTarget(target int) {
+	previous := s.key(target)
+	s.startedAtMs[target]++
 	for _, h := range s.hosts {
-		delete(h.own, old)
-		delete(h.told, old)
+		delete(h.observed, previous)
+		delete(h.updates, previous)
 	}
 }
 
-// send sends a report, which may be lost, come twice or late, as may its reply.
+// send sends a report. The report and its reply may be lost, duplicated or delayed.
 func (s *schedule) send(h *host) {
-	m := h.report(s.now)
+	report := h.report(s.now)
 	deliver := func() {
-		s.heard[m.ReporterID] = s.now
-		reply := s.board.Exchange(m, s.now)
+		s.lastReportAt[report.ReporterID] = s.now
+		reply := s.board.Exchange(report, s.now)
 		if s.rng.IntN(4) > 0 {
-			h.take(reply, s.now)
+			h.handleReply(reply, s.now)
 		}
-		s.late = append(s.late, func() { h.take(reply, s.now) })
+		s.delayed = append(s.delayed, func() { h.handleReply(reply, s.now) })
 	}
 	if s.rng.IntN(4) > 0 {
 		deliver()
 	}
-	s.late = append(s.late, deliver)
-	s.late = s.late[max(0, len(s.late)-40):]
+	s.delayed = append(s.delayed, deliver)
+	s.delayed = s.delayed[max(0, len(s.delayed)-40):]
 }
 
-// check: the board counts no reporter that is silent for longer than Expiry, and its sums are
-// those of its reporters.
+// check requires that the board counts no reporter that is silent for longer than
+// ReporterTimeout, and that its sums equal the contributions of its reporters.
 func (s *schedule) check() {
 	s.board.expire(s.now)
 	sums := map[Key]int{}
 	for id, r := range s.board.reporters {
-		require.LessOrEqual(s.t, s.now-s.heard[id], ReporterTimeout)
-		for key, x := range r.shares {
-			sums[key] += x.inFlight
+		require.LessOrEqual(s.t, s.now-s.lastReportAt[id], ReporterTimeout)
+		for key, c := range r.contributions {
+			sums[key] += c.inFlight
 		}
 	}
-	for key, e := range s.board.entries {
-		require.Equal(s.t, sums[key], e.inFlight)
-		require.GreaterOrEqual(s.t, e.inFlight, 0)
+	for key, target := range s.board.targets {
+		require.Equal(s.t, sums[key], target.inFlight)
+		require.GreaterOrEqual(s.t, target.inFlight, 0)
 	}
 }
 
-// settle lets time pass without loss, and checks that all are told what is.
+// settle runs exchanges without loss, and requires that all hosts know the actual counts.
 func (s *schedule) settle() {
 	for end := s.now + 2*ReporterTimeout; s.now < end; s.now += 50 * ms {
 		for _, h := range s.hosts {
@@ -110,25 +112,26 @@
 		}
 	}
 	for _, h := range s.hosts {
-		for target := range s.born {
+		for target := range s.startedAtMs {
 			key := s.key(target)
 			want := 0
-			for _, x := range s.hosts {
-				if o := x.own[key]; o != nil && x != h {
+			for _, other := range s.hosts {
+				if o := other.observed[key]; o != nil && other != h {
 					want += o.InFlight
 				}
 			}
-			require.Equal(s.t, want, h.told[key].OthersInFlight, "target %d", target)
+			require.Equal(s.t, want, h.updates[key].OthersInFlight, "target %d", target)
 		}
 	}
 }
 
-// Whatever the network and deaths do, hosts are told the truth once it is calm.
-func TestAnyScheduleConverges(t *testing.T) {
+// After any loss, delay, reordering and restart, all hosts learn the actual counts once
+// messages are delivered again.
+func TestCountsConvergeAfterAnySchedule(t *testing.T) {
 	for seed := range uint64(500) {
-		s := &schedule{t: t, rng: rand.New(rand.NewPCG(seed, 3)), board: NewBoard(1 << 40), boards: 1 << 40, heard: map[uint64]time.Duration{}}
+		s := &schedule{t: t, rng: rand.New(rand.NewPCG(seed, 3)), board: NewBoard(1 << 40), lastBoardID: 1 << 40, lastReportAt: map[uint64]time.Duration{}}
 		for range 2 + s.rng.IntN(4) {
-			s.hosts = append(s.hosts, s.start())
+			s.hosts = append(s.hosts, s.startHost())
 		}
 		for range 200 {
 			s.step()
