--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -6,67 +6,71 @@
 type Limit struct {
 	// Rate is in requests a second.
 	Rate float64
-	// Burst is how many requests may come at once.
+	// Burst is the number of requests that may arrive at once.
 	Burst float64
 }
 
-// Tolerance is by how much a quota may be exceeded: in any span of Window, the requests of a
-// customer may be (rate * Window + burst) * (1 + Overage) + Slack.
+// Tolerance is the amount by which a quota may be exceeded: in any span of Window, a customer
+// may have (Rate * Window + Burst) * (1 + Overage) + Slack requests.
 type Tolerance struct {
-	Window  time.Duration
+	Window time.Duration
+	// Overage is a fraction of the quota.
 	Overage float64
-	Slack   float64
+	// Slack is in requests.
+	Slack float64
 }
 
-// toleranceUsed is the part of the tolerance by which members may hold more tokens. Small
-// quotas, split into parts of about one token, would refuse requests below them without it.
-// The rest is for requests that run twice.
-const toleranceUsed = 0.8
+// burstToleranceFraction is the fraction of the tolerance that is added to the burst. Without
+// it, small quotas, split into parts of about one token, would refuse requests below the
+// quota. The rest of the tolerance covers requests that run twice.
+const burstToleranceFraction = 0.8
 
-// WithTolerance adds a part of what is tolerated to the burst.
+// WithTolerance returns the limit with a fraction of the tolerance added to the burst.
 func (l Limit) WithTolerance(t Tolerance) Limit {
-	l.Burst += toleranceUsed * (t.Overage*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack)
+	l.Burst += burstToleranceFraction * (t.Overage*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack)
 	return l
 }
 
-// part is the share of one of n members. A part that holds less than one token could never
-// grant any.
+// part returns the part of one of n members. Its burst is at least one token, since a smaller
+// bucket could never grant any.
 func (l Limit) part(n int) Limit {
-	k := float64(max(1, n))
-	return Limit{Rate: l.Rate / k, Burst: max(1, l.Burst/k)}
+	parts := float64(max(1, n))
+	return Limit{Rate: l.Rate / parts, Burst: max(1, l.Burst/parts)}
 }
 
 // bucket is one member's part of a customer's quota.
 type bucket struct {
-	// limit is that of the newest configuration that an asker knew, and version its.
+	// limit is the customer's limit in the newest configuration that any host has sent, and
+	// version the version of that configuration.
 	limit   Limit
 	version uint64
 	parts   int
-	// tokens are those held at at.
-	tokens float64
-	at     time.Duration
-	// promised is up to when tokens that will come are spoken of to callers.
-	promised time.Duration
-	starts   starts
+	// tokens is the number of tokens at refilledAt.
+	tokens     float64
+	refilledAt time.Duration
+	// promisedUntil is the time up to which future tokens were promised to callers as
+	// retry delays.
+	promisedUntil time.Duration
+	starts        startLimiter
 	// granted and refused count requests, for operators.
 	granted, refused int64
 }
 
-// fill adds the tokens that have come since.
-func (b *bucket) fill(now time.Duration) {
+// refill adds the tokens of the time since the last refill.
+func (b *bucket) refill(now time.Duration) {
 	part := b.limit.part(b.parts)
-	if now > b.at {
-		come := part.Rate * (now - b.at).Seconds()
-		b.tokens += come
-		b.starts.fill(come)
-		b.at = now
+	if now > b.refilledAt {
+		added := part.Rate * (now - b.refilledAt).Seconds()
+		b.tokens += added
+		b.starts.refill(added)
+		b.refilledAt = now
 	}
 	b.tokens = min(b.tokens, part.Burst)
 }
 
-// follow takes the limit of a newer configuration, and the number of parts. Tokens that came
-// by the old ones stay, as far as the new ones allow.
-func (b *bucket) follow(version uint64, limit Limit, parts int) {
+// applyLimit applies the number of parts, and the limit if its configuration is newer. Tokens
+// earned before are kept as far as the new burst allows.
+func (b *bucket) applyLimit(version uint64, limit Limit, parts int) {
 	if version > b.version {
 		b.limit, b.version = limit, version
 	}
@@ -74,46 +78,47 @@
 	b.tokens = min(b.tokens, b.limit.part(b.parts).Burst)
 }
 
-// scarce is the part of its tokens below which a bucket is about to run out.
-const scarce = 0.5
+// lowTokensFraction is the fraction of its burst below which a bucket is about to run out.
+const lowTokensFraction = 0.5
 
-// allows reports whether a request may have a token: one of a program under way if there is
-// one, the first of a program only if those under way will have theirs as well. Programs of
-// a customer beyond its quota would else all be begun and nearly all fail on the way.
-func (b *bucket) allows(first bool) bool {
+// allows reports whether a request may have a token. Requests of running programs may have any
+// token that there is. When tokens are low, the first request of a program may have one only
+// if tokens remain for the running programs: otherwise all programs of a customer over its
+// quota would start, and nearly all would fail before they complete.
+func (b *bucket) allows(firstOfProgram bool) bool {
 	if b.tokens < 1 {
 		return false
 	}
-	return !first || b.tokens >= scarce*b.limit.part(b.parts).Burst || b.starts.allow()
+	return !firstOfProgram || b.tokens >= lowTokensFraction*b.limit.part(b.parts).Burst || b.starts.allows()
 }
 
-// take takes a token.
-func (b *bucket) take(first bool) {
+// take removes a token.
+func (b *bucket) take(firstOfProgram bool) {
 	b.tokens--
-	b.starts.take(first)
+	b.starts.record(firstOfProgram)
 	b.granted++
 }
 
-// mostPromise bounds how far ahead callers are told of a token: most wait no longer.
-const mostPromise = 2 * time.Second
+// maxRetryDelay bounds the retry delay sent to callers, most of which wait no longer.
+const maxRetryDelay = 2 * time.Second
 
-// refuse returns when the next token of the kind comes, and when one will be there for one
-// more caller. Callers that come back are told different times, so that each finds a token,
-// and not all the same one.
-func (b *bucket) refuse(first bool, now time.Duration) Grant {
+// refuse returns when the next token of the requested kind is due and when the caller should
+// retry. Concurrent callers receive different retry delays, one token interval apart, so that
+// each of them finds a token and they do not compete for the same one.
+func (b *bucket) refuse(firstOfProgram bool, now time.Duration) Grant {
 	b.refused++
 	rate := b.limit.part(b.parts).Rate
 	if rate <= 0 {
-		return Grant{NextTokenIn: mostPromise, RetryDelay: mostPromise}
+		return Grant{NextTokenIn: maxRetryDelay, RetryDelay: maxRetryDelay}
 	}
 	missing := max(0, 1-b.tokens)
-	if first {
-		missing = max(missing, b.starts.missing())
+	if firstOfProgram {
+		missing = max(missing, b.starts.missingTokens())
 	}
-	due := seconds(missing / rate)
-	at := min(max(now+due, b.promised), now+mostPromise)
-	b.promised = min(at+seconds(1/rate), now+mostPromise)
-	return Grant{NextTokenIn: due, RetryDelay: at - now}
+	nextTokenIn := seconds(missing / rate)
+	retryAt := min(max(now+nextTokenIn, b.promisedUntil), now+maxRetryDelay)
+	b.promisedUntil = min(retryAt+seconds(1/rate), now+maxRetryDelay)
+	return Grant{NextTokenIn: nextTokenIn, RetryDelay: retryAt - now}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/quota/buckets.go
+++ b/core/quota/buckets.go
@@ -6,54 +6,59 @@
 	"time"
 )
 
-// Buckets are one member's parts of all quotas. Not safe for concurrent use.
+// Buckets holds one member's parts of the quotas of all customers. Not safe for concurrent use.
 type Buckets struct {
-	by map[string]*bucket
+	byCustomer map[string]*bucket
 }
 
-// NewBuckets returns the buckets of a member that has granted nothing that counts.
-func NewBuckets() *Buckets { return &Buckets{by: map[string]*bucket{}} }
+// NewBuckets returns the buckets of a member that starts. Its grants before the start are not
+// known; TokenRequest.HeldSince makes sure that those tokens are not granted again.
+func NewBuckets() *Buckets { return &Buckets{byCustomer: map[string]*bucket{}} }
 
-// TokenRequest is a question for one token.
+// TokenRequest asks a member for one token.
 type TokenRequest struct {
 	Customer string
-	// Limit is the customer's by the configuration Version that the asker knows.
+	// Limit is the customer's limit in configuration Version, the newest that the asking
+	// host knows.
 	Limit   Limit
 	Version uint64
-	// FirstOfProgram reports that the request is the first of a program; see bucket.allows.
+	// FirstOfProgram reports whether the request is the first of a program. A bucket that is
+	// low on tokens prefers requests of running programs.
 	FirstOfProgram bool
-	// Parts is among how many members the quota is split.
+	// Parts is the number of members among which the quota is split.
 	Parts int
-	// HeldSince is from when on this member holds the part: as a running process, as a keeper
-	// of the customer's slot.
+	// HeldSince is the time since which this member has held the part: the later of its
+	// process's start and the time at which it took over the customer's slot.
 	HeldSince time.Duration
 }
 
-// Grant is the answer to an Ask.
+// Grant is the answer to a TokenRequest.
 type Grant struct {
 	Granted bool
-	// NextTokenIn is when the member's next token comes, if it has granted none, and RetryDelay when there
-	// will be one for this asker: others were told of those before.
+	// NextTokenIn is the time until the member's next token, if it granted none. RetryDelay
+	// is the time until a token is available for this caller: earlier tokens were promised
+	// to other callers.
 	NextTokenIn, RetryDelay time.Duration
 }
 
-// Take grants a token if there is one.
-func (s *Buckets) Take(a TokenRequest, now time.Duration) Grant {
-	b := s.by[a.Customer]
-	if b == nil || b.at < a.HeldSince {
-		b = &bucket{limit: a.Limit, version: a.Version, parts: a.Parts, at: a.HeldSince}
-		s.by[a.Customer] = b
+// Take grants a token if one is available.
+func (s *Buckets) Take(r TokenRequest, now time.Duration) Grant {
+	b := s.byCustomer[r.Customer]
+	if b == nil || b.refilledAt < r.HeldSince {
+		b = &bucket{limit: r.Limit, version: r.Version, parts: r.Parts, refilledAt: r.HeldSince}
+		s.byCustomer[r.Customer] = b
 	}
-	b.fill(now)
-	b.follow(a.Version, a.Limit, a.Parts)
-	if !b.allows(a.FirstOfProgram) {
-		return b.refuse(a.FirstOfProgram, now)
+	b.refill(now)
+	b.applyLimit(r.Version, r.Limit, r.Parts)
+	if !b.allows(r.FirstOfProgram) {
+		return b.refuse(r.FirstOfProgram, now)
 	}
-	b.take(a.FirstOfProgram)
+	b.take(r.FirstOfProgram)
 	return Grant{Granted: true}
 }
 
-// State is one customer's part at a member, for operators.
+// State is one customer's part at a member, for operators. Rate, in requests a second, and
+// Burst are those of the whole quota.
 type State struct {
 	Customer string  `json:"customer"`
 	Version  uint64  `json:"config_version"`
@@ -65,26 +70,26 @@
 	Refused  int64   `json:"refused"`
 }
 
-// State returns all parts, in order of customer.
+// State returns the state of all parts, sorted by customer.
 func (s *Buckets) State(now time.Duration) []State {
-	list := make([]State, 0, len(s.by))
-	for name, b := range s.by {
-		b.fill(now)
-		list = append(list, State{
-			Customer: name, Version: b.version, Rate: b.limit.Rate, Burst: b.limit.Burst, Parts: b.parts,
+	states := make([]State, 0, len(s.byCustomer))
+	for customer, b := range s.byCustomer {
+		b.refill(now)
+		states = append(states, State{
+			Customer: customer, Version: b.version, Rate: b.limit.Rate, Burst: b.limit.Burst, Parts: b.parts,
 			Tokens: b.tokens, Granted: b.granted, Refused: b.refused,
 		})
 	}
-	slices.SortFunc(list, func(a, b State) int { return strings.Compare(a.Customer, b.Customer) })
-	return list
+	slices.SortFunc(states, func(a, b State) int { return strings.Compare(a.Customer, b.Customer) })
+	return states
 }
 
-// DropFull forgets the buckets that are full: a new one would be the same.
+// DropFull deletes the buckets that are full, since a new one would fill up to the same level.
 func (s *Buckets) DropFull(now time.Duration) {
-	for name, b := range s.by {
-		b.fill(now)
+	for customer, b := range s.byCustomer {
+		b.refill(now)
 		if b.tokens >= b.limit.part(b.parts).Burst {
-			delete(s.by, name)
+			delete(s.byCustomer, customer)
 		}
 	}
 }
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -1,20 +1,20 @@
-// Package quota bounds the requests of each customer over all hosts together.
+// Package quota limits the requests of each customer across all hosts.
 //
-// A customer's quota is split into equal, fixed parts, one for each member that keeps the
-// customer's slot. Each member holds its part as a token bucket (Buckets) and grants a
-// token for each request; an entry host asks one member after the other (Order) until one
-// grants, and turns the request away only when all have refused.
+// A customer's quota is split into equal, fixed parts, one for each member that holds the
+// customer's slot. Each member keeps its part as a token bucket (Buckets) and grants a
+// token for each request. An entry host asks one member after the other (MemberSelector)
+// until one grants a token, and rejects the request only when all of them have refused.
 //
-//	entry host --take--> nearest member --no token--> next member ... --> refused
+//	entry host --TokenRequest--> nearest member --no token--> next member ... --> rejected
 //
-// No member needs to hear of another: a member that is cut off, stopped or started anew
-// grants its own part and no more, whoever asks.
+// Members do not communicate with each other: a member that is cut off, stopped or restarted
+// grants its own part and no more, whichever host asks.
 //
 // Invariants, for a quota of r requests a second and bursts of b, in n parts:
 //
-//   - in any span of w seconds, members grant at most r*w + max(b, n) tokens;
-//   - a member that starts, or takes a slot over, begins without tokens, so that what it
-//     granted before, or what the member before it granted, is not granted again.
+//   - in any window of w seconds, members grant at most r*w + max(b, n) tokens;
+//   - a member that starts, or takes over a slot, begins without tokens, so that tokens which
+//     it or the previous member granted earlier are not granted again.
 //
-// The price: while a member is out of reach its part is lost.
+// The cost of this design: while a member is unreachable, its part is unavailable.
 package quota
--- a/core/quota/starts.go
+++ b/core/quota/starts.go
@@ -1,49 +1,50 @@
 package quota
 
-// starts bounds the programs that begin by the requests that they will send: each takes as
-// many tokens as a program of the customer needs in all, of those that come.
-type starts struct {
-	// tokens are for programs that begin; they come at the rate of the quota.
+// startLimiter limits the programs that start by the requests that they are expected to send:
+// each start costs as many tokens as a whole program of the customer needs.
+type startLimiter struct {
+	// tokens are available for program starts; they refill at the rate of the quota.
 	tokens float64
-	// programs and requests are the first requests and all requests granted, fading.
+	// programs and requests count first requests and all requests granted, with exponential
+	// decay.
 	programs, requests float64
 }
 
 const (
-	// startsKept is what one granted request leaves of those before it in the count: some
-	// ten programs count.
-	startsKept = 0.995
-	// assumedSize is the number of requests of a program until some have been seen, which
-	// counts as so many programs.
-	assumedSize, assumedPrograms = 8, 1
-	// startsHeld is how many programs may begin at once when the bucket is about to run out.
-	// More would begin programs that the quota does not carry to their end.
-	startsHeld = 1
+	// countDecay is the factor by which each granted request scales the earlier counts, so
+	// that they cover about ten programs.
+	countDecay = 0.995
+	// initialSize is the number of requests assumed of a program before any are counted. It
+	// weighs as much as initialPrograms counted programs.
+	initialSize, initialPrograms = 8, 1
+	// maxStarts is the number of programs that may start at once when the bucket is about
+	// to run out. More would start programs that the quota cannot complete.
+	maxStarts = 1
 )
 
-// size is how many requests a program needs.
-func (s *starts) size() float64 {
-	return max(1, (s.requests+assumedSize*assumedPrograms)/(s.programs+assumedPrograms))
+// programSize returns the estimated number of requests of a program.
+func (s *startLimiter) programSize() float64 {
+	return max(1, (s.requests+initialSize*initialPrograms)/(s.programs+initialPrograms))
 }
 
-// fill adds tokens that have come.
-func (s *starts) fill(tokens float64) {
-	s.tokens = min(s.tokens+tokens, startsHeld*s.size())
+// refill adds tokens, up to those of maxStarts programs.
+func (s *startLimiter) refill(tokens float64) {
+	s.tokens = min(s.tokens+tokens, maxStarts*s.programSize())
 }
 
-// allow reports whether a program may begin.
-func (s *starts) allow() bool { return s.tokens >= s.size() }
+// allows reports whether a program may start.
+func (s *startLimiter) allows() bool { return s.tokens >= s.programSize() }
 
-// missing is how many tokens must come until a program may begin.
-func (s *starts) missing() float64 { return max(0, s.size()-s.tokens) }
+// missingTokens returns the number of tokens still needed before a program may start.
+func (s *startLimiter) missingTokens() float64 { return max(0, s.programSize()-s.tokens) }
 
-// take counts a request that was granted.
-func (s *starts) take(first bool) {
-	s.programs *= startsKept
-	s.requests = s.requests*startsKept + 1
-	if !first {
+// record counts a granted request.
+func (s *startLimiter) record(firstOfProgram bool) {
+	s.programs *= countDecay
+	s.requests = s.requests*countDecay + 1
+	if !firstOfProgram {
 		return
 	}
 	s.programs++
-	s.tokens = max(s.tokens-s.size(), -startsHeld*s.size())
+	s.tokens = max(s.tokens-s.programSize(), -maxStarts*s.programSize())
 }
