--- a/core/hedge/doc.go
+++ b/core/hedge/doc.go
@@ -1,20 +1,21 @@
-// Package hedge decides when a call that is still without an answer is sent a second time.
+// Package hedge decides when a call without an answer is sent a second time.
 //
-// It answers targets that stall for a moment while others are as usual: a call that takes
-// longer than most of its kind is likely to be at one of these, and another target has it
-// done sooner. That pays only while it is rare, and it must not grow when all are slow. So a
-// Hedger keeps two things:
+// It addresses targets that stall briefly while others work normally: a call that takes
+// longer than most calls of its kind is likely to wait at such a target, and another target
+// completes it sooner. Second sends pay off only while they are rare, and must not multiply
+// when all targets are slow. A Hedger therefore keeps
 //
-//   - for each kind of call, the times of its last ones, and from these the time that most
-//     stay below (Delay);
-//   - for each service, a token bucket that earns a small part of a token with each answer
-//     (Answered) and pays one for each second send (Take).
+//   - for each kind of call, the latencies of the last calls, and a quantile of them as the
+//     delay before the second send (Delay);
+//   - for each service, a token bucket that earns a fraction of a token with each answer
+//     (RecordAnswer) and pays one token for each second send (TakeToken).
 //
 // Invariants:
 //
-//   - over any run of n answers of a service, at most Share*n + Burst second sends;
-//   - no second send before enough calls of the kind are known.
+//   - over any n successive answers of a service, at most BudgetRatio*n + Burst second sends;
+//   - no second send of a kind before enough calls of that kind were recorded.
 //
-// Which calls may run twice is the caller's to know, and that the answer of only one of both
-// is used. The state is one host's own and is lost with it.
+// The caller is responsible for hedging only calls that may run twice, and for using the
+// answer of only one of the two sends. The state belongs to one host and is lost when it
+// stops.
 package hedge
--- a/core/hedge/hedge.go
+++ b/core/hedge/hedge.go
@@ -7,57 +7,65 @@
 )
 
 const (
-	// BudgetRatio is the load that second sends may add, over the answers of their service.
+	// BudgetRatio is the number of second sends allowed for each answer of their service,
+	// and so the relative load that they may add.
 	BudgetRatio = 0.02
-	// Burst is the second sends that may be saved up: some that a stalled target holds.
+	// Burst is the number of tokens that may accumulate, for the calls that one stalled
+	// target holds up.
 	Burst = 5
-	// quantile is the part of a kind's calls that are done before one is sent again.
-	quantile = 0.95
-	// kept is the times remembered of a kind, and known how many make a verdict.
-	kept  = 256
-	known = 40
-	// kindsMost bounds the kinds and services remembered; configurations name few.
-	kindsMost = 512
+	// delayQuantile is the quantile of the latencies of a kind after which a call is sent a
+	// second time.
+	delayQuantile = 0.95
+	// maxSamples is the number of latencies kept of a kind; minSamples is the number needed
+	// for a delay.
+	maxSamples = 256
+	minSamples = 40
+	// maxNames bounds the kinds and the services kept; configurations name few.
+	maxNames = 512
 )
 
-// Hedger decides for one host. Not safe for concurrent use.
+// Hedger decides on the second sends of one host. Not safe for concurrent use.
 type Hedger struct {
-	kinds    map[string]*times
+	kinds    map[string]*latencies
 	services map[string]*bucket
 }
 
-// New returns a Hedger that knows nothing.
-func New() *Hedger { return &Hedger{kinds: map[string]*times{}, services: map[string]*bucket{}} }
+// New returns a Hedger without recorded calls or tokens.
+func New() *Hedger {
+	return &Hedger{kinds: map[string]*latencies{}, services: map[string]*bucket{}}
+}
 
-// times is a ring of the last times of a kind.
-type times struct {
-	ring  []time.Duration
-	next  int
-	delay time.Duration
-	// fresh counts the times since delay was worked out.
-	fresh int
+// latencies is a ring buffer of the last latencies of a kind.
+type latencies struct {
+	ring []time.Duration
+	next int
+	// delay is the quantile at its last computation, and newSamples the number of latencies
+	// added since then.
+	delay      time.Duration
+	newSamples int
 }
 
-// bucket holds the tokens of a service.
+// bucket holds the tokens of a service, and counts the second sends made and those denied for
+// lack of a token.
 type bucket struct {
-	tokens        float64
-	sent, without int64
+	tokens       float64
+	sent, denied int64
 }
 
-// RecordAnswer notes a call that was answered, the time since its first send.
-func (h *Hedger) RecordAnswer(service, kind string, d time.Duration) {
-	if len(h.kinds) >= kindsMost || len(h.services) >= kindsMost {
+// RecordAnswer records an answered call and its latency since the first send.
+func (h *Hedger) RecordAnswer(service, kind string, latency time.Duration) {
+	if len(h.kinds) >= maxNames || len(h.services) >= maxNames {
 		clear(h.kinds)
 		clear(h.services)
 	}
 	b := h.bucket(service)
 	b.tokens = min(Burst, b.tokens+BudgetRatio)
-	t := h.kinds[kind]
-	if t == nil {
-		t = &times{}
-		h.kinds[kind] = t
+	l := h.kinds[kind]
+	if l == nil {
+		l = &latencies{}
+		h.kinds[kind] = l
 	}
-	t.add(d)
+	l.add(latency)
 }
 
 func (h *Hedger) bucket(service string) *bucket {
@@ -69,21 +77,21 @@
 	return b
 }
 
-// Delay is how long a call of a kind is waited for before it is sent again; false while too
-// little is known.
+// Delay returns the time from the first to the second send of a call of a kind, and false
+// while too few calls of the kind are recorded.
 func (h *Hedger) Delay(kind string) (time.Duration, bool) {
-	t := h.kinds[kind]
-	if t == nil || len(t.ring) < known {
+	l := h.kinds[kind]
+	if l == nil || len(l.ring) < minSamples {
 		return 0, false
 	}
-	return t.quantile(), true
+	return l.quantile(), true
 }
 
-// TakeToken takes the token for a second send to a service, if there is one.
+// TakeToken takes the token for a second send to a service and reports whether there was one.
 func (h *Hedger) TakeToken(service string) bool {
 	b := h.bucket(service)
 	if b.tokens < 1 {
-		b.without++
+		b.denied++
 		return false
 	}
 	b.tokens--
@@ -91,42 +99,43 @@
 	return true
 }
 
-func (t *times) add(d time.Duration) {
-	t.fresh++
-	if len(t.ring) < kept {
-		t.ring = append(t.ring, d)
+func (l *latencies) add(latency time.Duration) {
+	l.newSamples++
+	if len(l.ring) < maxSamples {
+		l.ring = append(l.ring, latency)
 		return
 	}
-	t.ring[t.next] = d
-	t.next = (t.next + 1) % kept
+	l.ring[l.next] = latency
+	l.next = (l.next + 1) % maxSamples
 }
 
-// quantile is worked out anew once a part of the times is new.
-func (t *times) quantile() time.Duration {
-	const renewed = 16
-	if t.delay > 0 && t.fresh < renewed {
-		return t.delay
+// quantile returns delayQuantile of the latencies. It sorts them only once several are new.
+func (l *latencies) quantile() time.Duration {
+	const recomputeAfter = 16 // new samples
+	if l.delay > 0 && l.newSamples < recomputeAfter {
+		return l.delay
 	}
-	sorted := slices.Sorted(slices.Values(t.ring))
-	t.delay, t.fresh = sorted[int(quantile*float64(len(sorted)-1))], 0
-	return t.delay
+	sorted := slices.Sorted(slices.Values(l.ring))
+	l.delay, l.newSamples = sorted[int(delayQuantile*float64(len(sorted)-1))], 0
+	return l.delay
 }
 
-// State is what a Hedger knows, for operators.
+// State is the state of a Hedger, for operators.
 type State struct {
 	Kinds    []KindState    `json:"kinds"`
 	Services []ServiceState `json:"services"`
 }
 
-// KindState is one kind of call.
+// KindState is the state of one kind of call.
 type KindState struct {
 	Kind string `json:"kind"`
-	// DelayMs is how long a call is waited for; -1 while too little is known.
+	// DelayMs is the delay before the second send, in milliseconds; -1 while too few calls
+	// are recorded.
 	DelayMs int64 `json:"delay_ms"`
 }
 
-// ServiceState is the bucket of one service: tokens left, second sends made, and those for
-// which there was no token.
+// ServiceState is the budget of one service: tokens left, second sends made, and second sends
+// denied for lack of a token.
 type ServiceState struct {
 	Service string  `json:"service"`
 	Tokens  float64 `json:"tokens"`
@@ -134,7 +143,7 @@
 	Denied  int64   `json:"without_token"`
 }
 
-// State returns what is known, in order of names.
+// State returns the state of all kinds and services, sorted by name.
 func (h *Hedger) State() State {
 	s := State{Kinds: []KindState{}, Services: []ServiceState{}}
 	for kind := range h.kinds {
@@ -145,7 +154,7 @@
 		s.Kinds = append(s.Kinds, k)
 	}
 	for service, b := range h.services {
-		s.Services = append(s.Services, ServiceState{Service: service, Tokens: b.tokens, Sent: b.sent, Denied: b.without})
+		s.Services = append(s.Services, ServiceState{Service: service, Tokens: b.tokens, Sent: b.sent, Denied: b.denied})
 	}
 	slices.SortFunc(s.Kinds, func(a, b KindState) int { return strings.Compare(a.Kind, b.Kind) })
 	slices.SortFunc(s.Services, func(a, b ServiceState) int { return strings.Compare(a.Service, b.Service) })
--- a/core/hedge/hedge_test.go
+++ b/core/hedge/hedge_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNothingIsSentAgainBeforeTheKindIsKnown(t *testing.T) {
+func TestNoDelayBeforeEnoughCallsAreRecorded(t *testing.T) {
 	h := New()
 	_, ok := h.Delay("lookup")
 	require.False(t, ok)
-	for range known - 1 {
+	for range minSamples - 1 {
 		h.RecordAnswer("s", "lookup", time.Millisecond)
 	}
 	_, ok = h.Delay("lookup")
@@ -25,47 +25,47 @@
 	require.False(t, ok)
 }
 
-// The delay follows what most calls of a kind take, and follows it when that changes.
-func TestDelayIsWhatMostCallsStayBelow(t *testing.T) {
+// The delay is the 95th percentile of the latencies and adapts when they change.
+func TestDelayFollowsQuantileOfLatencies(t *testing.T) {
 	h := New()
 	rng := rand.New(rand.NewPCG(1, 1))
-	play := func(mean float64) time.Duration {
-		for range 4 * kept {
-			h.RecordAnswer("s", "lookup", time.Duration(mean*rng.ExpFloat64()*float64(time.Millisecond)))
+	delayAfter := func(meanMs float64) time.Duration {
+		for range 4 * maxSamples {
+			h.RecordAnswer("s", "lookup", time.Duration(meanMs*rng.ExpFloat64()*float64(time.Millisecond)))
 		}
 		d, ok := h.Delay("lookup")
 		require.True(t, ok)
 		return d
 	}
-	// The 95th percentile of exponential times is three times their mean.
-	require.InDelta(t, 240, play(80).Milliseconds(), 60)
-	require.InDelta(t, 720, play(240).Milliseconds(), 180)
+	// The 95th percentile of an exponential distribution is three times its mean.
+	require.InDelta(t, 240, delayAfter(80).Milliseconds(), 60)
+	require.InDelta(t, 720, delayAfter(240).Milliseconds(), 180)
 }
 
-// When all targets stall, every call asks for a second send: the load grows by no more than
-// the share, over every stretch of the run.
-func TestSecondSendsStayWithinTheirShare(t *testing.T) {
+// When all targets stall, every call requests a second send. The load may grow by no more than
+// the budget, over any span of the run.
+func TestSecondSendsStayWithinBudget(t *testing.T) {
 	h := New()
-	const n = 20_000
-	granted := make([]int, 0, n)
+	const answers = 20_000
+	sentAfter := make([]int, 0, answers)
 	sent := 0
-	for range n {
+	for range answers {
 		h.RecordAnswer("s", "lookup", time.Second)
 		if h.TakeToken("s") {
 			sent++
 		}
-		granted = append(granted, sent)
+		sentAfter = append(sentAfter, sent)
 	}
-	require.Greater(t, sent, int(0.9*BudgetRatio*n), "the budget is there to be used")
-	for _, span := range []int{100, 1000, n - 1} {
-		for from := 0; from+span < n; from += 37 {
-			require.LessOrEqual(t, float64(granted[from+span]-granted[from]), BudgetRatio*float64(span)+Burst)
+	require.Greater(t, sent, int(0.9*BudgetRatio*answers), "the budget must be usable in full")
+	for _, span := range []int{100, 1000, answers - 1} {
+		for from := 0; from+span < answers; from += 37 {
+			require.LessOrEqual(t, float64(sentAfter[from+span]-sentAfter[from]), BudgetRatio*float64(span)+Burst)
 		}
 	}
-	require.False(t, h.TakeToken("other"), "each service has its own")
+	require.False(t, h.TakeToken("other"), "each service has its own budget")
 }
 
-func TestSavedTokensAreBounded(t *testing.T) {
+func TestAccumulatedTokensAreBounded(t *testing.T) {
 	h := New()
 	for range 10_000 {
 		h.RecordAnswer("s", "lookup", time.Second)
@@ -77,7 +77,7 @@
 	require.Equal(t, Burst, sent)
 }
 
-func TestStateNamesKindsAndServices(t *testing.T) {
+func TestStateListsKindsAndServices(t *testing.T) {
 	h := New()
 	h.RecordAnswer("s", "lookup", time.Second)
 	require.False(t, h.TakeToken("s"))
@@ -86,10 +86,10 @@
 	require.Equal(t, []ServiceState{{Service: "s", Tokens: BudgetRatio, Denied: 1}}, s.Services)
 }
 
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+func TestNumberOfKindsIsBounded(t *testing.T) {
 	h := New()
-	for i := range 3 * kindsMost {
+	for i := range 3 * maxNames {
 		h.RecordAnswer("s", string(rune('a'+i)), time.Second)
 	}
-	require.LessOrEqual(t, len(h.kinds), kindsMost)
+	require.LessOrEqual(t, len(h.kinds), maxNames)
 }
