--- a/core/held/held.go
+++ b/core/held/held.go
@@ -38,7 +38,7 @@
 
 const (
 	// FloorBytes is the least that a request is charged.
-	FloorBytes = 96 << 10
+	MinRequestBytes = 96 << 10
 	// runtimeBytes is the part of the floor for buffers of two connections and stacks of
 	// four goroutines; it adds to what a request holds.
 	runtimeBytes = 32 << 10
@@ -66,18 +66,18 @@
 	lower, upper int64
 	charged      int64
 	by           [kinds]int64
-	holders      map[*Holder]struct{}
+	holders      map[*RequestAccount]struct{}
 	enters       uint64
 }
 
 // New returns an account with the bounds that follow from a host's limits; a limit of 0
 // does not bind.
 func New(memoryBytes int64, descriptors int) *Account {
-	a := &Account{limit: 1 << 30, lower: unbounded, upper: unbounded, holders: map[*Holder]struct{}{}}
+	a := &Account{limit: 1 << 30, lower: unbounded, upper: unbounded, holders: map[*RequestAccount]struct{}{}}
 	if memoryBytes > 0 {
-		a.lower = max(leastRequests*FloorBytes, int64(memoryForRequests*float64(memoryBytes)))
+		a.lower = max(leastRequests*MinRequestBytes, int64(memoryForRequests*float64(memoryBytes)))
 		a.upper = max(a.lower, int64(memoryForAnswers*float64(memoryBytes)))
-		a.limit = min(a.limit, int(a.lower/FloorBytes))
+		a.limit = min(a.limit, int(a.lower/MinRequestBytes))
 	}
 	if descriptors > 0 {
 		a.limit = min(a.limit, descriptors/requestDescriptors)
@@ -87,7 +87,7 @@
 }
 
 // Holder is what one request holds.
-type Holder struct {
+type RequestAccount struct {
 	account *Account
 	order   uint64
 	by      [kinds]int64
@@ -100,29 +100,29 @@
 }
 
 // Enter admits a request, or reports that there is no room for it.
-func (a *Account) Enter() (*Holder, bool) {
-	if len(a.holders) >= a.limit || a.charged+FloorBytes > a.lower {
+func (a *Account) Admit() (*RequestAccount, bool) {
+	if len(a.holders) >= a.limit || a.charged+MinRequestBytes > a.lower {
 		return nil, false
 	}
 	a.enters++
-	h := &Holder{account: a, order: a.enters}
+	h := &RequestAccount{account: a, order: a.enters}
 	a.holders[h] = struct{}{}
-	a.charged += FloorBytes
+	a.charged += MinRequestBytes
 	return h, true
 }
 
 // charge is what a request that holds n bytes is charged.
-func charge(n int64) int64 { return max(FloorBytes, runtimeBytes+n) }
+func charge(n int64) int64 { return max(MinRequestBytes, runtimeBytes+n) }
 
 // gone reports whether the holder has left.
-func (h *Holder) gone() bool {
+func (h *RequestAccount) gone() bool {
 	_, in := h.account.holders[h]
 	return !in
 }
 
 // Grow charges n more bytes of a kind. It reports false, and charges nothing, where the
 // bound is reached or the holder has left.
-func (h *Holder) Grow(k Kind, n int64) bool {
+func (h *RequestAccount) Reserve(k Kind, n int64) bool {
 	if n <= 0 {
 		return true
 	}
@@ -146,14 +146,14 @@
 }
 
 // Release takes up to n bytes of a kind off.
-func (h *Holder) Release(k Kind, n int64) {
+func (h *RequestAccount) Release(k Kind, n int64) {
 	if n <= 0 || h.gone() {
 		return
 	}
 	h.add(k, -min(n, h.by[k]))
 }
 
-func (h *Holder) add(k Kind, n int64) {
+func (h *RequestAccount) add(k Kind, n int64) {
 	a := h.account
 	before := charge(h.bytes)
 	h.by[k] += n
@@ -163,7 +163,7 @@
 }
 
 // Leave ends the request and takes off all that it was charged.
-func (h *Holder) Leave() {
+func (h *RequestAccount) Close() {
 	if h.gone() {
 		return
 	}
@@ -178,16 +178,16 @@
 
 // Await notes that from now on the request waits for its caller to read or to send. Called
 // again when something has moved, it begins anew.
-func (h *Holder) Await(now time.Duration) { h.waits, h.waiting = true, now }
+func (h *RequestAccount) StartCallerWait(now time.Duration) { h.waits, h.waiting = true, now }
 
 // Arrived notes that the request waits for its caller no more.
-func (h *Holder) Arrived() { h.waits = false }
+func (h *RequestAccount) StopCallerWait() { h.waits = false }
 
 // Bytes is what the request holds.
-func (h *Holder) Bytes() int64 { return h.bytes }
+func (h *RequestAccount) HeldBytes() int64 { return h.bytes }
 
 // stalled is for how long nothing has moved, 0 if the caller is not slow.
-func (h *Holder) stalled(now time.Duration) time.Duration {
+func (h *RequestAccount) stalled(now time.Duration) time.Duration {
 	if !h.waits || now-h.waiting < stalledAfter {
 		return 0
 	}
@@ -195,19 +195,19 @@
 }
 
 // Slow is a caller that is to end.
-type Slow struct {
-	Holder *Holder
+type Eviction struct {
+	Request *RequestAccount
 	// For is how long nothing has moved.
-	For time.Duration
+	StalledFor time.Duration
 }
 
 // Slowest returns the holders that are to end so that there is room for one more request and
 // n more bytes of a kind: as many as that takes beside those that were named before and have not left yet.
 // Each is named once; none is while no caller is slow.
-func (a *Account) Slowest(now time.Duration, k Kind, n int64) []Slow {
+func (a *Account) SelectEvictions(now time.Duration, k Kind, n int64) []Eviction {
 	lacking := a.charged + n - a.bound(k)
 	staying := len(a.holders)
-	var slow []*Holder
+	var slow []*RequestAccount
 	for h := range a.holders {
 		switch {
 		case h.ended:
@@ -220,45 +220,45 @@
 	if staying >= a.limit {
 		lacking = max(lacking, 1)
 	}
-	slices.SortFunc(slow, func(x, y *Holder) int {
+	slices.SortFunc(slow, func(x, y *RequestAccount) int {
 		return cmp.Or(cmp.Compare(y.weight(now), x.weight(now)), cmp.Compare(x.order, y.order))
 	})
-	var end []Slow
+	var end []Eviction
 	for _, h := range slow {
 		if lacking <= 0 {
 			break
 		}
 		h.ended = true
 		lacking -= charge(h.bytes)
-		end = append(end, Slow{Holder: h, For: h.stalled(now)})
+		end = append(end, Eviction{Request: h, StalledFor: h.stalled(now)})
 	}
 	return end
 }
 
 // weight orders slow callers: bytes times time.
-func (h *Holder) weight(now time.Duration) float64 {
+func (h *RequestAccount) weight(now time.Duration) float64 {
 	return float64(charge(h.bytes)) * h.stalled(now).Seconds()
 }
 
 // Active is the number of requests held.
-func (a *Account) Active() int { return len(a.holders) }
+func (a *Account) ActiveRequests() int { return len(a.holders) }
 
 // Limit is the most requests held at once.
-func (a *Account) Limit() int { return a.limit }
+func (a *Account) MaxRequests() int { return a.limit }
 
 // Charged is what all requests are charged.
-func (a *Account) Charged() int64 { return a.charged }
+func (a *Account) ChargedBytes() int64 { return a.charged }
 
 // Of is what all requests hold of a kind.
-func (a *Account) Of(k Kind) int64 { return a.by[k] }
+func (a *Account) HeldBytes(k Kind) int64 { return a.by[k] }
 
 // State is a dump of the account for operators.
 type State struct {
 	ChargedBytes int64 `json:"charged_bytes"`
 	// RequestBound and AnswerBound are the lower and the upper bound, 0 if there is none.
-	RequestBound int64            `json:"request_bound_bytes"`
-	AnswerBound  int64            `json:"answer_bound_bytes"`
-	Bytes        map[string]int64 `json:"bytes"`
+	RequestBoundBytes int64            `json:"request_bound_bytes"`
+	AnswerBoundBytes  int64            `json:"answer_bound_bytes"`
+	Bytes             map[string]int64 `json:"bytes"`
 	// SlowCallers is the number of callers for which nothing has moved for a while.
 	SlowCallers int `json:"slow_callers"`
 }
@@ -267,7 +267,7 @@
 func (a *Account) State(now time.Duration) State {
 	s := State{ChargedBytes: a.charged, Bytes: map[string]int64{}}
 	if a.lower < unbounded {
-		s.RequestBound, s.AnswerBound = a.lower, a.upper
+		s.RequestBoundBytes, s.AnswerBoundBytes = a.lower, a.upper
 	}
 	for _, k := range Kinds() {
 		s.Bytes[k.String()] = a.by[k]
--- a/core/ledger/budget.go
+++ b/core/ledger/budget.go
@@ -21,7 +21,7 @@
 }
 
 // Without returns the tokens used and reserved by all turns but one.
-func (u *Usage) Without(turn string) int64 {
+func (u *Usage) TokensExcluding(turn string) int64 {
 	total := int64(0)
 	for id, s := range u.turns {
 		if id != turn {
@@ -32,7 +32,7 @@
 }
 
 // Settled returns the tokens used by all turns but one that are over.
-func (u *Usage) Settled(turn string) int64 {
+func (u *Usage) SettledTokensExcluding(turn string) int64 {
 	total := int64(0)
 	for id, s := range u.turns {
 		if id != turn && s.settled {
@@ -49,5 +49,5 @@
 // complete last sees the other. So the turns allowed never exceed the budget
 // together, wherever they come from.
 func (u *Usage) Allows(turn string, most, budget int64) bool {
-	return u.Without(turn)+most <= budget
+	return u.TokensExcluding(turn)+most <= budget
 }
--- a/core/ledger/digest.go
+++ b/core/ledger/digest.go
@@ -8,7 +8,7 @@
 
 // Digests returns the digests of the slot's programs whose names follow after, in
 // order of name, at most limit of them, and whether there are more.
-func (l *Ledger) Digests(slot uint32, after string, limit int) (page []*historypb.Digest, more bool) {
+func (l *Ledger) DigestPage(slot uint32, after string, limit int) (page []*historypb.Digest, more bool) {
 	names := l.namesAfter(slot, after)
 	for _, name := range names[:min(limit, len(names))] {
 		page = append(page, &historypb.Digest{Program: name, Digest: l.Digest(name)})
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -106,10 +106,10 @@
 }
 
 // Bytes is the size of all turns kept.
-func (l *Ledger) Bytes() int64 { return l.bytes }
+func (l *Ledger) TurnBytes() int64 { return l.bytes }
 
 // Programs is the number of programs known.
-func (l *Ledger) Programs() int { return len(l.programs) }
+func (l *Ledger) ProgramCount() int { return len(l.programs) }
 
 // Spending returns what the program has reserved and used, turn by turn.
 func (l *Ledger) Spending(name string) []*historypb.Spending {
@@ -126,7 +126,7 @@
 
 // Ran returns the targets that have read prompts of the program which ended with one of
 // the parts, each with the longest of these.
-func (l *Ledger) Ran(name string, parts []string) []*historypb.Ran {
+func (l *Ledger) LongestRuns(name string, parts []string) []*historypb.Ran {
 	p := l.programs[name]
 	if p == nil || len(parts) == 0 {
 		return nil
@@ -160,10 +160,10 @@
 
 // Records returns all records of the programs, in their order, up to about limit
 // bytes, and whether programs are left over.
-func (l *Ledger) Records(names []string, limit int) (page []*historypb.Record, more bool) {
+func (l *Ledger) RecordPage(names []string, limit int) (page []*historypb.Record, more bool) {
 	size := 0
 	for i, name := range names {
-		for _, r := range l.Program(name) {
+		for _, r := range l.ProgramRecords(name) {
 			size += proto.Size(r)
 			page = append(page, r)
 		}
@@ -187,7 +187,7 @@
 }
 
 // Program returns all records of a program.
-func (l *Ledger) Program(name string) []*historypb.Record {
+func (l *Ledger) ProgramRecords(name string) []*historypb.Record {
 	p := l.programs[name]
 	if p == nil {
 		return nil
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -51,9 +51,9 @@
 				l.Apply(records[i])
 			}
 		}
-		require.EqualValues(t, 62, usage(l, "p").Without("x"))
+		require.EqualValues(t, 62, usage(l, "p").TokensExcluding("x"))
 		require.Equal(t, []string{"c", "a"}, ids(l.Chain("c")))
-		require.EqualValues(t, 4, l.Bytes())
+		require.EqualValues(t, 4, l.TurnBytes())
 	}
 }
 
@@ -75,7 +75,7 @@
 	require.Equal(t, []string{"a"}, ids(l.Chain("a")))
 	require.Equal(t, 1, l.Expire(100_000))
 	require.Empty(t, l.Chain("a"))
-	require.Zero(t, l.Bytes())
+	require.Zero(t, l.TurnBytes())
 }
 
 func TestPagesHoldEverythingOnce(t *testing.T) {
@@ -90,15 +90,15 @@
 	copyOf := New()
 	for more := true; more; {
 		var page []*historypb.Record
-		page, more = l.Records(names, 200)
+		page, more = l.RecordPage(names, 200)
 		for _, r := range page {
 			copyOf.Apply(r)
 		}
 		last := page[len(page)-1].Program
 		names = names[slices.Index(names, last)+1:]
 	}
-	require.Equal(t, 50, copyOf.Programs())
-	require.Equal(t, l.Bytes(), copyOf.Bytes())
+	require.Equal(t, 50, copyOf.ProgramCount())
+	require.Equal(t, l.TurnBytes(), copyOf.TurnBytes())
 }
 
 // raceTurn is one of several turns that start at once.
@@ -197,7 +197,7 @@
 	seen, after := map[string]bool{}, ""
 	for more := true; more; {
 		var page []*historypb.Digest
-		page, more = l.Digests(0, after, 10)
+		page, more = l.DigestPage(0, after, 10)
 		for _, d := range page {
 			require.False(t, seen[d.Program])
 			seen[d.Program], after = true, d.Program
@@ -221,17 +221,17 @@
 	ran("4", "c", "other", 900)
 	l.Apply(settle("p", "5", 3))
 	copied := New()
-	for _, r := range l.Program("p") {
+	for _, r := range l.ProgramRecords("p") {
 		copied.Apply(r)
 	}
 	for _, x := range []*Ledger{l, copied} {
 		got := map[string]int64{}
-		for _, r := range x.Ran("p", []string{"unknown", "own"}) {
+		for _, r := range x.LongestRuns("p", []string{"unknown", "own"}) {
 			got[r.Target] = r.Prompt
 		}
 		require.Equal(t, map[string]int64{"a": 200, "b": 300}, got)
-		require.Empty(t, x.Ran("p", nil))
-		require.Empty(t, x.Ran("q", []string{"own"}))
+		require.Empty(t, x.LongestRuns("p", nil))
+		require.Empty(t, x.LongestRuns("q", []string{"own"}))
 	}
 }
 
@@ -242,5 +242,5 @@
 	whole.GetSettle().Ran = &historypb.Ran{Target: "t", Part: "x", Prompt: 7}
 	l.Apply(whole)
 	l.Apply(settle("p", "a", 12))
-	require.Len(t, l.Ran("p", []string{"x"}), 1)
+	require.Len(t, l.LongestRuns("p", []string{"x"}), 1)
 }
--- a/core/placement/change.go
+++ b/core/placement/change.go
@@ -23,18 +23,18 @@
 		}
 	}
 	for i := range m.Slots {
-		if m.Assigned() && m.fill(i, nil, true) {
-			m.Slots[i].Changed = m.Epoch
+		if m.IsAssigned() && m.fill(i, nil, true) {
+			m.Slots[i].ChangedEpoch = m.Epoch
 		}
 	}
-	if m.Assigned() {
+	if m.IsAssigned() {
 		m.begin(m.divide())
 	}
 	return true
 }
 
 // HasHost reports whether a host has a member.
-func (m *Map) HasHost(host string) bool {
+func (m *Map) HasMemberOnHost(host string) bool {
 	for _, x := range m.Members {
 		if x.Host == host {
 			return true
@@ -48,13 +48,13 @@
 func (m *Map) substitute(from, to string) {
 	for i := range m.Slots {
 		s := &m.Slots[i]
-		if s.Former == from {
-			s.Former = ""
+		if s.FormerMember == from {
+			s.FormerMember = ""
 		}
 		for j := range s.Replicas {
 			if s.Replicas[j].Member == from {
 				s.Replicas[j] = Replica{Member: to, Joining: true}
-				s.Changed = m.Epoch
+				s.ChangedEpoch = m.Epoch
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 			continue
 		}
 		if !s.Replicas[j].Joining {
-			s.Former = from
+			s.FormerMember = from
 		}
 		s.Replicas[j] = Replica{Member: to, Joining: true}
 	}
 	s.unspan()
-	s.Changed = m.Epoch
+	s.ChangedEpoch = m.Epoch
 }
 
 // Activate marks a replica of the slots that has to copy them as active; it has copied them
@@ -117,19 +117,19 @@
 	changed := false
 	for i, epoch := range copied {
 		s := &m.Slots[i]
-		at := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member && r.Copies() })
-		if at < 0 || s.Changed != epoch {
+		at := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member && r.NeedsCopy() })
+		if at < 0 || s.ChangedEpoch != epoch {
 			continue
 		}
-		if s.Guarded && s.Replicas[at].Joining && !s.Replicas[at].Required {
+		if s.Guarded && s.Replicas[at].Joining && !s.Replicas[at].AckRequired {
 			continue
 		}
 		s.Replicas[at] = Replica{Member: member}
-		s.Former = ""
+		s.FormerMember = ""
 		changed = true
-		if s.Guarded && s.Active() >= m.Quorum() {
+		if s.Guarded && s.ActiveCount() >= m.Quorum() {
 			s.Guarded = false
-			s.Changed = m.Epoch + 1 // writers that still count on the guard are refused
+			s.ChangedEpoch = m.Epoch + 1 // writers that still count on the guard are refused
 		}
 	}
 	if changed {
@@ -140,9 +140,9 @@
 
 // Sources returns the members from which a joining replica of slot i copies, and
 // how many of them it needs: as many as surely hold every acknowledged write.
-func (m *Map) Sources(i int, member string) (from []string, need int) {
+func (m *Map) CopySources(i int, member string) (from []string, need int) {
 	s := &m.Slots[i]
-	if s.Active() == 0 && s.Guarded {
+	if s.ActiveCount() == 0 && s.Guarded {
 		return s.demoted(member)
 	}
 	for _, r := range s.Replicas {
@@ -150,8 +150,8 @@
 			from = append(from, r.Member)
 		}
 	}
-	if _, known := m.Members[s.Former]; known {
-		from = append(from, s.Former)
+	if _, known := m.Members[s.FormerMember]; known {
+		from = append(from, s.FormerMember)
 	}
 	return from, min(m.Quorum(), len(from))
 }
@@ -169,9 +169,9 @@
 
 // Holds reports whether member has a place in any slot, or may still be needed
 // as a source.
-func (m *Map) Holds(member string) bool {
+func (m *Map) IsInUse(member string) bool {
 	for _, s := range m.Slots {
-		if _, in := s.Replica(member); in || s.Former == member {
+		if _, in := s.Replica(member); in || s.FormerMember == member {
 			return true
 		}
 	}
@@ -179,8 +179,8 @@
 }
 
 // Forget removes a member that holds nothing.
-func (m *Map) Forget(member string) bool {
-	if _, ok := m.Members[member]; !ok || m.Holds(member) {
+func (m *Map) RemoveUnused(member string) bool {
+	if _, ok := m.Members[member]; !ok || m.IsInUse(member) {
 		return false
 	}
 	delete(m.Members, member)
--- a/core/placement/check_test.go
+++ b/core/placement/check_test.go
@@ -98,9 +98,9 @@
 // spanned is the state in which the slot spans and the replica outside has copied it.
 func (c *checker) spanned() checkState {
 	s := c.first()
-	s, ok := c.change(s, func(m *Map) bool { return m.Spanning() })
+	s, ok := c.change(s, func(m *Map) bool { return m.SpanCrowdedSlots() })
 	require.True(c.t, ok)
-	s, ok = c.change(s, func(m *Map) bool { return m.Activate("m2", map[int]uint64{0: m.Slots[0].Changed}) })
+	s, ok = c.change(s, func(m *Map) bool { return m.Activate("m2", map[int]uint64{0: m.Slots[0].ChangedEpoch}) })
 	require.True(c.t, ok)
 	s.before = s.latest
 	for i := range 3 {
@@ -191,12 +191,12 @@
 		}
 	}
 	if len(silent) == 0 {
-		add(c.change(s, func(m *Map) bool { return m.Spanning() }))
+		add(c.change(s, func(m *Map) bool { return m.SpanCrowdedSlots() }))
 	}
 	add(c.change(s, func(m *Map) bool {
 		if c.spanless {
 			for k := range m.Slots {
-				m.Slots[k].Span = true
+				m.Slots[k].Spanning = true
 				for j := range m.Slots[k].Replicas {
 					m.Slots[k].Replicas[j].Syncing = false
 				}
@@ -204,8 +204,8 @@
 		}
 		return m.Demote(silent)
 	}))
-	add(c.change(s, func(m *Map) bool { return m.Unspan(silent) }))
-	add(c.change(s, func(m *Map) bool { return m.Require(c.id(i)) }))
+	add(c.change(s, func(m *Map) bool { return m.UnspanSlots(silent) }))
+	add(c.change(s, func(m *Map) bool { return m.RequireAck(c.id(i)) }))
 	list = append(list, c.copies(s, i)...)
 	return list
 }
@@ -230,16 +230,16 @@
 func (c *checker) copies(s checkState, i int) []checkState {
 	m := c.maps[s.latest]
 	r, in := m.Slots[0].Replica(c.id(i))
-	if !in || !r.Copies() {
+	if !in || !r.NeedsCopy() {
 		return nil
 	}
 	var list []checkState
-	from, need := m.Sources(0, c.id(i))
+	from, need := m.CopySources(0, c.id(i))
 	x := s.members[i]
 	if x.under != s.latest {
 		x.under, x.copied = s.latest, 0
 	}
-	if m.Slots[0].Guarded && m.Slots[0].Active() == 0 {
+	if m.Slots[0].Guarded && m.Slots[0].ActiveCount() == 0 {
 		x.records |= s.keptRecords()
 	}
 	for j := range checkMembers {
@@ -257,9 +257,9 @@
 		n, ok := c.change(s, func(m *Map) bool {
 			if c.unrequired {
 				at := slices.IndexFunc(m.Slots[0].Replicas, func(r Replica) bool { return r.Member == c.id(i) })
-				m.Slots[0].Replicas[at].Required = true
+				m.Slots[0].Replicas[at].AckRequired = true
 			}
-			return m.Activate(c.id(i), map[int]uint64{0: m.Slots[0].Changed})
+			return m.Activate(c.id(i), map[int]uint64{0: m.Slots[0].ChangedEpoch})
 		})
 		n.members[i] = x
 		if ok {
@@ -272,7 +272,7 @@
 // accepts reports whether a member serves a request made with a map.
 func (c *checker) accepts(s *checkState, i int, with int16) bool {
 	x := s.members[i]
-	return x.alive && c.maps[with].Epoch >= c.slot(x.adopted).Changed
+	return x.alive && c.maps[with].Epoch >= c.slot(x.adopted).ChangedEpoch
 }
 
 // behind reports whether a member must not serve a write made with a newer map than
@@ -379,14 +379,14 @@
 		s := c.first()
 		slots := c.maps[s.latest].Clone()
 		if spans {
-			require.True(t, slots.Spanning())
-			require.True(t, slots.Activate("m2", map[int]uint64{0: slots.Slots[0].Changed}))
+			require.True(t, slots.SpanCrowdedSlots())
+			require.True(t, slots.Activate("m2", map[int]uint64{0: slots.Slots[0].ChangedEpoch}))
 		}
 		silent := map[string]bool{"m0": true, "m1": true}
 		changed := slots.Demote(silent)
 		require.Equal(t, spans, changed)
 		left := map[string]bool{"m2": true}
-		require.Equal(t, spans, slots.Written(&slots.Slots[0], left), "the rest serves")
-		require.Equal(t, spans, slots.Kept(0), "and keeps a second copy")
+		require.Equal(t, spans, slots.IsWriteDurable(&slots.Slots[0], left), "the rest serves")
+		require.Equal(t, spans, slots.NeedsPlatformCopy(0), "and keeps a second copy")
 	}
 }
--- a/core/placement/check_turns_test.go
+++ b/core/placement/check_turns_test.go
@@ -52,7 +52,7 @@
 	n.turns[t].carried |= 1 << i
 	n.members[i].records |= 1 << t
 	own, holds := c.slot(s.members[i].adopted).Replica(c.id(i))
-	if holds && !own.Joining && !c.keepless && c.maps[s.members[i].adopted].Kept(0) {
+	if holds && !own.Joining && !c.keepless && c.maps[s.members[i].adopted].NeedsPlatformCopy(0) {
 		if !s.platform(c.centre(&s, i)) {
 			return []checkState{n} // on disk, and not acknowledged
 		}
@@ -63,7 +63,7 @@
 	for j := range checkMembers {
 		acks[c.id(j)] = n.turns[t].acks&(1<<j) != 0
 	}
-	if c.maps[x.with].Written(c.slot(x.with), acks) {
+	if c.maps[x.with].IsWriteDurable(c.slot(x.with), acks) {
 		n.turns[t].phase = 2
 	}
 	return []checkState{n}
--- a/core/placement/model_test.go
+++ b/core/placement/model_test.go
@@ -80,7 +80,7 @@
 // accepts reports whether a member serves a request made with the map.
 func (m *model) accepts(id string, with *Map) bool {
 	d := m.disks[id]
-	return d != nil && d.adopted != nil && id != m.silent && with.Epoch >= d.adopted.Slots[modelSlot].Changed
+	return d != nil && d.adopted != nil && id != m.silent && with.Epoch >= d.adopted.Slots[modelSlot].ChangedEpoch
 }
 
 func (m *model) write() {
@@ -93,7 +93,7 @@
 		replicas = m.shuffled(replicas)
 	}
 	for _, r := range replicas {
-		if m.lean && with.Steady(modelSlot) && with.Written(s, acks) {
+		if m.lean && with.AllowsQuorumFirst(modelSlot) && with.IsWriteDurable(s, acks) {
 			break
 		}
 		if m.rng.IntN(4) > 0 && m.accepts(r.Member, with) {
@@ -101,7 +101,7 @@
 			acks[r.Member] = true
 		}
 	}
-	if with.Written(s, acks) {
+	if with.IsWriteDurable(s, acks) {
 		m.acked = append(m.acked, m.writes)
 		m.note("write %d under epoch %d by %v", m.writes, with.Epoch, acks)
 	}
@@ -140,7 +140,7 @@
 	if len(heard) < with.ReadQuorum(s) {
 		return true
 	}
-	if former, needed := with.FormerNeeded(modelSlot); needed && !m.formerless {
+	if former, needed := with.FormerMemberForRead(modelSlot); needed && !m.formerless {
 		if !m.accepts(former, with) {
 			return true
 		}
@@ -189,8 +189,8 @@
 // of a disk that is not lost.
 func (m *model) replacing() bool {
 	s := m.latest().Slots[modelSlot]
-	former := m.disks[s.Former]
-	return m.lean && m.silent == "" && former != nil && len(s.Replicas)-s.Active() == 1
+	former := m.disks[s.FormerMember]
+	return m.lean && m.silent == "" && former != nil && len(s.Replicas)-s.ActiveCount() == 1
 }
 
 func (m *model) anyMember() string {
@@ -267,11 +267,11 @@
 			continue
 		}
 		job := m.copying[r.Member]
-		if job == nil || job.epoch != at.Slots[modelSlot].Changed {
-			job = &copyJob{epoch: at.Slots[modelSlot].Changed, from: map[string]bool{}}
+		if job == nil || job.epoch != at.Slots[modelSlot].ChangedEpoch {
+			job = &copyJob{epoch: at.Slots[modelSlot].ChangedEpoch, from: map[string]bool{}}
 			m.copying[r.Member] = job
 		}
-		from, need := at.Sources(modelSlot, r.Member)
+		from, need := at.CopySources(modelSlot, r.Member)
 		if len(from) > 0 {
 			m.copyFrom(r.Member, from[m.rng.IntN(len(from))], at, job)
 		}
@@ -318,6 +318,6 @@
 	for range 200 {
 		m.copy()
 	}
-	require.Zero(t, len(m.latest().Slots[modelSlot].Replicas)-m.latest().Slots[modelSlot].Active())
+	require.Zero(t, len(m.latest().Slots[modelSlot].Replicas)-m.latest().Slots[modelSlot].ActiveCount())
 	require.NotEmpty(t, m.acked)
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -22,7 +22,7 @@
 
 // Slots is the number of slots of a map that are not bound to a region: enough that 100 history
 // hosts hold even shares, few enough that the map stays below 64 KB.
-const Slots = 64
+const GlobalSlotCount = 64
 
 // Member is one history host with one disk.
 type Member struct {
@@ -41,13 +41,13 @@
 	// Syncing: an active replica copies what it may have missed before its slot spanned.
 	Syncing bool `json:"syncing,omitempty"`
 	// Required: the acknowledgement of a joining replica of a guarded slot is needed.
-	Required bool `json:"required,omitempty"`
+	AckRequired bool `json:"required,omitempty"`
 	// Demoted: the replica was left out by Demote and still has what it had.
 	Demoted bool `json:"demoted,omitempty"`
 }
 
 // Copies reports whether the replica has to copy the slot.
-func (r Replica) Copies() bool { return r.Joining || r.Syncing }
+func (r Replica) NeedsCopy() bool { return r.Joining || r.Syncing }
 
 // Slot is the replica set of one slot.
 type Slot struct {
@@ -55,12 +55,12 @@
 	// Region is where all replicas are, empty if they may be anywhere.
 	Region string `json:"region,omitempty"`
 	// Changed is the epoch of the last change; older writers are refused.
-	Changed uint64 `json:"changed"`
+	ChangedEpoch uint64 `json:"changed"`
 	// Former is the member that a joining replica replaces; it may serve as a
 	// source of the copy.
-	Former string `json:"former,omitempty"`
+	FormerMember string `json:"former,omitempty"`
 	// Span: a write needs all replicas outside of the data centre that crowds the slot.
-	Span bool `json:"span,omitempty"`
+	Spanning bool `json:"span,omitempty"`
 	// Guarded: a write needs all active replicas; see Demote.
 	Guarded bool `json:"guarded,omitempty"`
 }
@@ -75,7 +75,7 @@
 }
 
 // SlotOf returns the slot of a program that may be kept anywhere; see Map.Slot for others.
-func SlotOf(program string) uint32 { return hash(program) % Slots }
+func GlobalSlotOf(program string) uint32 { return hash(program) % GlobalSlotCount }
 
 func hash(program string) uint32 {
 	h := fnv.New32a()
@@ -88,12 +88,12 @@
 func (m *Map) Quorum() int { return m.Faults + 1 }
 
 // SetSize is the number of replicas of a slot where there are members enough.
-func (m *Map) SetSize() int { return 2*m.Faults + 1 }
+func (m *Map) ReplicationFactor() int { return 2*m.Faults + 1 }
 
 // ReadQuorum is the number of active replicas of s that together know every
 // acknowledged write: all but Quorum-1 of the set, but never more than are left.
 func (m *Map) ReadQuorum(s *Slot) int {
-	return max(1, min(len(s.Replicas)-m.Quorum()+1, s.Active()))
+	return max(1, min(len(s.Replicas)-m.Quorum()+1, s.ActiveCount()))
 }
 
 // Written reports whether acknowledgements of these members make a write
@@ -102,7 +102,7 @@
 // still count it and one active replica, so a write then needs a quorum of active
 // ones. So does a write while several replicas join one after the other: a reader with the
 // older map counts only those that were active before.
-func (m *Map) Written(s *Slot, acks map[string]bool) bool {
+func (m *Map) IsWriteDurable(s *Slot, acks map[string]bool) bool {
 	if s.Guarded {
 		return guarded(s, acks)
 	}
@@ -117,15 +117,15 @@
 		}
 	}
 	copies := min(len(s.Replicas), m.Quorum())
-	needed := s.Active() - m.ReadQuorum(s) + 1
-	if s.Former != "" || m.Spares() && s.Active() < len(s.Replicas) {
-		needed = min(m.Quorum(), s.Active())
+	needed := s.ActiveCount() - m.ReadQuorum(s) + 1
+	if s.FormerMember != "" || m.HasSpareReplicas() && s.ActiveCount() < len(s.Replicas) {
+		needed = min(m.Quorum(), s.ActiveCount())
 	}
 	return total >= copies && active >= needed && m.spans(s, acks)
 }
 
 // Active counts the replicas that are not joining.
-func (s *Slot) Active() int {
+func (s *Slot) ActiveCount() int {
 	n := 0
 	for _, r := range s.Replicas {
 		if !r.Joining {
@@ -163,11 +163,11 @@
 // New returns a map without members. Its slots are assigned later, so that the
 // members that start together share them evenly.
 func New(faults int) *Map {
-	return &Map{Epoch: 1, Faults: faults, Members: map[string]Member{}, Slots: make([]Slot, Slots)}
+	return &Map{Epoch: 1, Faults: faults, Members: map[string]Member{}, Slots: make([]Slot, GlobalSlotCount)}
 }
 
 // Assigned reports whether slots have replicas.
-func (m *Map) Assigned() bool { return len(m.Slots[0].Replicas) > 0 }
+func (m *Map) IsAssigned() bool { return len(m.Slots[0].Replicas) > 0 }
 
 // Assign gives all slots their first replicas, all active: there is nothing to
 // copy yet.
@@ -180,7 +180,7 @@
 // begin gives the slots from first on their first replicas.
 func (m *Map) begin(first int) {
 	for i := first; i < len(m.Slots); i++ {
-		m.Slots[i].Changed = m.Epoch
+		m.Slots[i].ChangedEpoch = m.Epoch
 		m.fill(i, nil, false)
 	}
 }
@@ -228,7 +228,7 @@
 // fill adds replicas to slot i until the set has its size.
 func (m *Map) fill(i int, exclude map[string]bool, joining bool) bool {
 	changed := false
-	for len(m.Slots[i].Replicas) < m.SetSize() {
+	for len(m.Slots[i].Replicas) < m.ReplicationFactor() {
 		list := m.candidates(i, exclude)
 		if len(list) == 0 {
 			break
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -31,11 +31,11 @@
 			}
 			require.Len(t, centres, c.spread)
 		}
-		least, most := Slots, 0
+		least, most := GlobalSlotCount, 0
 		for _, n := range held {
 			least, most = min(least, n), max(most, n)
 		}
-		require.LessOrEqual(t, most-least, Slots/4, "%v", held)
+		require.LessOrEqual(t, most-least, GlobalSlotCount/4, "%v", held)
 	}
 }
 
@@ -50,7 +50,7 @@
 		require.False(t, old)
 		if r, in := s.Replica("new"); in {
 			require.True(t, r.Joining)
-			require.Equal(t, m.Epoch, s.Changed)
+			require.Equal(t, m.Epoch, s.ChangedEpoch)
 		}
 	}
 }
@@ -59,13 +59,13 @@
 	m := mapOf(1, 3)
 	s := &m.Slots[0]
 	a, b, c := s.Replicas[0].Member, s.Replicas[1].Member, s.Replicas[2].Member
-	require.False(t, m.Written(s, map[string]bool{a: true}))
-	require.True(t, m.Written(s, map[string]bool{a: true, b: true}))
-	require.False(t, m.Written(s, map[string]bool{a: true, "other": true}))
+	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true}))
+	require.True(t, m.IsWriteDurable(s, map[string]bool{a: true, b: true}))
+	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true, "other": true}))
 	s.Replicas[2].Joining = true
-	require.True(t, m.Written(s, map[string]bool{a: true, c: true}), "a joining replica holds a copy")
-	s.Former = "gone"
-	require.False(t, m.Written(s, map[string]bool{a: true, c: true}), "readers with the older map may count the former member")
+	require.True(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "a joining replica holds a copy")
+	s.FormerMember = "gone"
+	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "readers with the older map may count the former member")
 }
 
 func TestReplaceOneReplicaAtATime(t *testing.T) {
@@ -81,16 +81,16 @@
 func TestRetiredMemberIsForgottenOnceItHoldsNothing(t *testing.T) {
 	m := mapOf(1, 4)
 	require.True(t, m.Replace("m2", map[string]bool{"m2": true}))
-	require.True(t, m.Holds("m2"), "still a source of copies")
+	require.True(t, m.IsInUse("m2"), "still a source of copies")
 	for id := range m.Members {
 		copied := map[int]uint64{}
 		for i, s := range m.Slots {
-			copied[i] = s.Changed
+			copied[i] = s.ChangedEpoch
 		}
 		m.Activate(id, copied)
 	}
-	require.False(t, m.Holds("m2"))
-	require.True(t, m.Forget("m2"))
+	require.False(t, m.IsInUse("m2"))
+	require.True(t, m.RemoveUnused("m2"))
 }
 
 // After a member was replaced, no member holds far more than its share: each of its
@@ -102,11 +102,11 @@
 		m.Admit(Member{ID: "n" + gone, Host: "n" + gone, Address: "n" + gone, DataCentre: m.Members[gone].DataCentre})
 		for range 10 {
 			m.Replace(gone, map[string]bool{gone: true})
-			m.Forget(gone)
+			m.RemoveUnused(gone)
 			activateAll(m)
 		}
 		require.NotContains(t, m.Members, gone)
-		share := float64(Slots*m.SetSize()) / float64(len(m.Members))
+		share := float64(GlobalSlotCount*m.ReplicationFactor()) / float64(len(m.Members))
 		for id, n := range m.held() {
 			require.LessOrEqual(t, float64(n), 1.5*share, "%s after %d rounds: %v", id, round+1, m.held())
 		}
@@ -126,7 +126,7 @@
 	for id := range m.Members {
 		copied := map[int]uint64{}
 		for i, s := range m.Slots {
-			copied[i] = s.Changed
+			copied[i] = s.ChangedEpoch
 		}
 		m.Activate(id, copied)
 	}
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -14,14 +14,14 @@
 
 // RegionSlots is the number of slots of each region: a few times the members that keep them, so
 // that their shares are even.
-const RegionSlots = 16
+const SlotsPerRegion = 16
 
 // regionMark begins the names of programs that are bound to a region, and ends the region in
 // them. Names of callers cannot hold it at their start, as a customer's name comes first.
 const regionMark = "\x00"
 
 // Bound returns the name of a program that is kept in a region only.
-func Bound(region, program string) string {
+func RegionalName(region, program string) string {
 	return regionMark + region + regionMark + program
 }
 
@@ -40,19 +40,19 @@
 func (m *Map) Slot(program string) (slot uint32, ok bool) {
 	region := regionOf(program)
 	if region == "" {
-		return SlotOf(program), true
+		return GlobalSlotOf(program), true
 	}
 	first := slices.IndexFunc(m.Slots, func(s Slot) bool { return s.Region == region })
 	if first >= 0 {
-		return uint32(first) + hash(program)%RegionSlots, true
+		return uint32(first) + hash(program)%SlotsPerRegion, true
 	}
 	regions := m.regions()
-	return SlotOf(program), len(regions) == 1 && regions[0] == region
+	return GlobalSlotOf(program), len(regions) == 1 && regions[0] == region
 }
 
 // RegionFor returns the region in which what may be kept only in allowed ones is kept: the own one
 // if that is allowed, so that all hosts of a region find it there, else the first by name.
-func (m *Map) RegionFor(own string, allowed func(region string) bool) (region string, ok bool) {
+func (m *Map) SelectRegion(own string, allowed func(region string) bool) (region string, ok bool) {
 	regions := m.regions()
 	if allowed(own) && slices.Contains(regions, own) {
 		return own, true
@@ -66,7 +66,7 @@
 }
 
 // Common returns the slots that are not bound to a region.
-func (m *Map) Common() []Slot { return m.Slots[:min(Slots, len(m.Slots))] }
+func (m *Map) GlobalSlots() []Slot { return m.Slots[:min(GlobalSlotCount, len(m.Slots))] }
 
 // regions returns the regions of the members by name.
 func (m *Map) regions() []string {
@@ -92,7 +92,7 @@
 		if slices.ContainsFunc(m.Slots, func(s Slot) bool { return s.Region == region }) {
 			continue
 		}
-		for range RegionSlots {
+		for range SlotsPerRegion {
 			m.Slots = append(m.Slots, Slot{Region: region})
 		}
 	}
--- a/core/placement/regions_test.go
+++ b/core/placement/regions_test.go
@@ -25,30 +25,30 @@
 
 func TestMembersOfOneRegionHaveNoSlotsBeside(t *testing.T) {
 	m := regionalMap(2, 6, "north")
-	require.Len(t, m.Slots, Slots)
-	slot, ok := m.Slot(Bound("north", "p"))
+	require.Len(t, m.Slots, GlobalSlotCount)
+	slot, ok := m.Slot(RegionalName("north", "p"))
 	require.True(t, ok)
-	require.Less(t, slot, uint32(Slots))
-	_, ok = m.Slot(Bound("south", "p"))
+	require.Less(t, slot, uint32(GlobalSlotCount))
+	_, ok = m.Slot(RegionalName("south", "p"))
 	require.False(t, ok)
 }
 
 func TestProgramsOfARegionHaveTheirSlot(t *testing.T) {
 	m := regionalMap(2, 11, "north", "south")
-	require.Len(t, m.Slots, Slots+2*RegionSlots)
-	require.Len(t, m.Common(), Slots)
+	require.Len(t, m.Slots, GlobalSlotCount+2*SlotsPerRegion)
+	require.Len(t, m.GlobalSlots(), GlobalSlotCount)
 	used := map[uint32]bool{}
 	for i := range 500 {
 		program := fmt.Sprintf("p%d", i)
-		slot, ok := m.Slot(Bound("south", program))
+		slot, ok := m.Slot(RegionalName("south", program))
 		require.True(t, ok)
 		require.Equal(t, "south", m.Slots[slot].Region)
 		used[slot] = true
 		slot, ok = m.Slot(program)
 		require.True(t, ok)
-		require.Equal(t, SlotOf(program), slot)
+		require.Equal(t, GlobalSlotOf(program), slot)
 	}
-	require.Len(t, used, RegionSlots)
+	require.Len(t, used, SlotsPerRegion)
 }
 
 func TestRegionForPrefersTheOwn(t *testing.T) {
@@ -75,7 +75,7 @@
 		{"south", []string{"west"}, ""},
 		{"south", nil, ""},
 	} {
-		got, ok := m.RegionFor(c.own, only(c.allowed...))
+		got, ok := m.SelectRegion(c.own, only(c.allowed...))
 		require.Equal(t, c.want, got, "%+v", c)
 		require.Equal(t, c.want != "", ok)
 	}
@@ -94,7 +94,7 @@
 				for _, r := range s.Replicas {
 					require.True(t, s.Region == "" || m.Members[r.Member].Region == s.Region, "seed %d, slot %d of %s at %s", seed, i, s.Region, r.Member)
 				}
-				require.False(t, s.Region != "" && (s.Span || s.Guarded), "seed %d: kept at the platform", seed)
+				require.False(t, s.Region != "" && (s.Spanning || s.Guarded), "seed %d: kept at the platform", seed)
 			}
 		}
 		for i := range m.Slots {
@@ -116,10 +116,10 @@
 		}
 	case 3:
 		if len(ids) > 1 {
-			m.Forget(ids[rng.IntN(len(ids))])
+			m.RemoveUnused(ids[rng.IntN(len(ids))])
 		}
 	case 4:
-		m.Spanning()
+		m.SpanCrowdedSlots()
 	case 5:
 		silent := map[string]bool{}
 		for _, id := range ids {
@@ -134,12 +134,12 @@
 func TestARegionThatComesLaterGetsSlots(t *testing.T) {
 	m := regionalMap(1, 4, "north")
 	m.Admit(regionalMember(20, "south"))
-	require.Len(t, m.Slots, Slots+2*RegionSlots)
-	slot, ok := m.Slot(Bound("south", "p"))
+	require.Len(t, m.Slots, GlobalSlotCount+2*SlotsPerRegion)
+	slot, ok := m.Slot(RegionalName("south", "p"))
 	require.True(t, ok)
 	require.Equal(t, []Replica{{Member: "m20"}}, m.Slots[slot].Replicas)
-	require.Equal(t, m.Epoch, m.Slots[slot].Changed)
-	slot, ok = m.Slot(Bound("north", "p"))
+	require.Equal(t, m.Epoch, m.Slots[slot].ChangedEpoch)
+	slot, ok = m.Slot(RegionalName("north", "p"))
 	require.True(t, ok)
 	require.Len(t, m.Slots[slot].Replicas, 3)
 }
--- a/core/placement/relays.go
+++ b/core/placement/relays.go
@@ -18,8 +18,8 @@
 // RelaysOf returns the members that the hosts of a data centre ask for what the platform
 // says. Of a few members these are the relays of all; of many the first of the data centre
 // that are alive, and the relays of all where none is left there.
-func (m *Map) RelaysOf(dataCentre string, alive func(id string) bool) []string {
-	if m.WatchesAll() {
+func (m *Map) DataCentreRelays(dataCentre string, alive func(id string) bool) []string {
+	if m.ProbesAllMembers() {
 		return m.Relays(alive)
 	}
 	ids := m.sortedOf(dataCentre)
@@ -39,7 +39,7 @@
 // first member that is alive.
 func (m *Map) Upstream(self, dataCentre string, alive func(id string) bool) []string {
 	alive = orSelf(self, alive)
-	if !m.WatchesAll() {
+	if !m.ProbesAllMembers() {
 		ids := m.sortedOf(dataCentre)
 		if near := before(first(ids, len(ids), alive), self); len(near) > 0 {
 			return m.parents(near)
@@ -60,7 +60,7 @@
 // IsRelay reports whether others ask a member for what the platform says.
 func (m *Map) IsRelay(self, dataCentre string, alive func(id string) bool) bool {
 	alive = orSelf(self, alive)
-	return slices.Contains(m.RelaysOf(dataCentre, alive), self) || slices.Contains(m.Relays(alive), self)
+	return slices.Contains(m.DataCentreRelays(dataCentre, alive), self) || slices.Contains(m.Relays(alive), self)
 }
 
 func orSelf(self string, alive func(id string) bool) func(id string) bool {
--- a/core/placement/relays_test.go
+++ b/core/placement/relays_test.go
@@ -70,7 +70,7 @@
 // Of a few members the first over all are relays of all hosts, as many as may be lost and one.
 func TestAFewMembersHaveTheSameRelays(t *testing.T) {
 	m := fleet(24, 6)
-	require.Equal(t, m.Relays(everybody), m.RelaysOf("dc3", everybody))
+	require.Equal(t, m.Relays(everybody), m.DataCentreRelays("dc3", everybody))
 	require.Len(t, m.Relays(everybody), 3)
 }
 
@@ -78,14 +78,14 @@
 // all.
 func TestADataCentreOfManyMembersHasItsOwnRelays(t *testing.T) {
 	m := fleet(120, 6)
-	near := m.RelaysOf("dc3", everybody)
+	near := m.DataCentreRelays("dc3", everybody)
 	require.Len(t, near, 20/relayShare)
 	for _, id := range near {
 		require.Equal(t, "dc3", m.Members[id].DataCentre)
 	}
 	lost := func(id string) bool { return m.Members[id].DataCentre != "dc3" }
-	require.Equal(t, m.Relays(lost), m.RelaysOf("dc3", lost))
-	next := m.RelaysOf("dc3", func(id string) bool { return id != near[0] })
+	require.Equal(t, m.Relays(lost), m.DataCentreRelays("dc3", lost))
+	next := m.DataCentreRelays("dc3", func(id string) bool { return id != near[0] })
 	require.Equal(t, near[1:], next[:4], "the next one takes a lost one's place")
 }
 
@@ -94,7 +94,7 @@
 	for _, members := range []int{120, 240, 480, 960} {
 		m := fleet(members, 6)
 		entryHosts := 144 * members / 120
-		served := entryHosts / len(m.RelaysOf("dc3", everybody))
+		served := entryHosts / len(m.DataCentreRelays("dc3", everybody))
 		require.LessOrEqual(t, served, 30, "%d members", members)
 	}
 }
@@ -120,7 +120,7 @@
 		m := fleet(members, members/20)
 		followers := map[string]int{}
 		for id, x := range m.Members {
-			require.LessOrEqual(t, len(m.Neighbours(id, x.DataCentre, everybody)), WatchAll, "%d members", members)
+			require.LessOrEqual(t, len(m.ProbedByMember(id, x.DataCentre, everybody)), MaxProbeAllMembers, "%d members", members)
 			if up := m.Upstream(id, x.DataCentre, everybody); len(up) > 0 {
 				followers[up[0]]++
 			}
@@ -139,7 +139,7 @@
 	for _, id := range m.Relays(everybody) {
 		silent[id] = true
 	}
-	near := m.Neighbours("m0119", m.Members["m0119"].DataCentre, func(id string) bool { return !silent[id] })
+	near := m.ProbedByMember("m0119", m.Members["m0119"].DataCentre, func(id string) bool { return !silent[id] })
 	alive := 0
 	for id := range near {
 		if id < "m0010" && !silent[id] {
--- a/core/placement/span.go
+++ b/core/placement/span.go
@@ -44,31 +44,31 @@
 // spans reports whether all replicas outside of a crowded data centre acknowledged,
 // where the slot needs them.
 func (m *Map) spans(s *Slot, acks map[string]bool) bool {
-	return !s.Span || !slices.ContainsFunc(m.outside(s), func(r Replica) bool { return !acks[r.Member] })
+	return !s.Spanning || !slices.ContainsFunc(m.outside(s), func(r Replica) bool { return !acks[r.Member] })
 }
 
 // guarded reports whether acknowledgements are enough for a guarded slot: all active
 // replicas and all whose acknowledgement is required.
 func guarded(s *Slot, acks map[string]bool) bool {
 	for _, r := range s.Replicas {
-		if (!r.Joining || r.Required) && !acks[r.Member] {
+		if (!r.Joining || r.AckRequired) && !acks[r.Member] {
 			return false
 		}
 	}
-	return s.Active() > 0
+	return s.ActiveCount() > 0
 }
 
 // settled reports whether no replica of a slot joins or is about to be replaced.
-func (s *Slot) settled() bool { return s.Former == "" && s.Active() == len(s.Replicas) }
+func (s *Slot) settled() bool { return s.FormerMember == "" && s.ActiveCount() == len(s.Replicas) }
 
 // Spanning makes crowded slots span. It reports whether the map changed.
-func (m *Map) Spanning() bool {
+func (m *Map) SpanCrowdedSlots() bool {
 	return m.each(func(s *Slot) bool {
 		out := m.outside(s)
-		if len(out) == 0 || s.Span || s.Region != "" || !s.settled() {
+		if len(out) == 0 || s.Spanning || s.Region != "" || !s.settled() {
 			return false
 		}
-		s.Span = true
+		s.Spanning = true
 		for i := range s.Replicas {
 			if slices.Contains(out, s.Replicas[i]) {
 				s.Replicas[i].Syncing = true
@@ -80,10 +80,10 @@
 
 // Unspan lets a slot go on without the replicas outside of its crowded data centre
 // where one of them is silent. It reports whether the map changed.
-func (m *Map) Unspan(silent map[string]bool) bool {
+func (m *Map) UnspanSlots(silent map[string]bool) bool {
 	return m.each(func(s *Slot) bool {
 		isSilent := func(r Replica) bool { return silent[r.Member] }
-		if !s.Span || s.Guarded || !slices.ContainsFunc(m.outside(s), isSilent) {
+		if !s.Spanning || s.Guarded || !slices.ContainsFunc(m.outside(s), isSilent) {
 			return false
 		}
 		s.unspan()
@@ -93,7 +93,7 @@
 
 // unspan ends the need for replicas outside; those may miss writes from now on.
 func (s *Slot) unspan() {
-	s.Span = false
+	s.Spanning = false
 	for i := range s.Replicas {
 		s.Replicas[i].Syncing = false
 	}
@@ -120,18 +120,18 @@
 
 func (m *Map) demotable(s *Slot, silent map[string]bool) bool {
 	out := m.outside(s)
-	if !s.Span || s.Former != "" || len(out) == 0 {
+	if !s.Spanning || s.FormerMember != "" || len(out) == 0 {
 		return false
 	}
 	lost := false
 	for _, r := range s.Replicas {
 		isOut := slices.Contains(out, r)
 		switch {
-		case isOut && (silent[r.Member] || r.Copies()):
+		case isOut && (silent[r.Member] || r.NeedsCopy()):
 			return false
 		case !isOut && !silent[r.Member]:
 			return false
-		case !isOut && (!r.Joining || r.Required):
+		case !isOut && (!r.Joining || r.AckRequired):
 			lost = true
 		}
 	}
@@ -140,33 +140,33 @@
 
 // TakeoverDue reports whether the other replicas of a slot are about to go on without
 // those that are silent.
-func (m *Map) TakeoverDue(slot int, silent map[string]bool) bool {
+func (m *Map) DemotionDue(slot int, silent map[string]bool) bool {
 	return m.demotable(&m.Slots[slot], silent)
 }
 
 // Require makes the acknowledgement of a joining replica of guarded slots required,
 // so that it misses nothing between its copy and its activation. It reports whether
 // the map changed.
-func (m *Map) Require(member string) bool {
+func (m *Map) RequireAck(member string) bool {
 	return m.each(func(s *Slot) bool {
 		i := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member })
-		if i < 0 || !s.Guarded || !s.Replicas[i].Joining || s.Replicas[i].Required {
+		if i < 0 || !s.Guarded || !s.Replicas[i].Joining || s.Replicas[i].AckRequired {
 			return false
 		}
-		s.Replicas[i].Required = true
+		s.Replicas[i].AckRequired = true
 		return true
 	})
 }
 
 // Kept reports whether writes to a slot must be kept in the platform's store too.
-func (m *Map) Kept(slot int) bool {
+func (m *Map) NeedsPlatformCopy(slot int) bool {
 	s := &m.Slots[slot]
-	return s.Guarded && s.Active() < m.Quorum()
+	return s.Guarded && s.ActiveCount() < m.Quorum()
 }
 
 // MayBeGuarded reports whether a newer map could have the slot guarded: a member that
 // does not know that one must not acknowledge writes made with it.
-func (m *Map) MayBeGuarded(slot int) bool { return m.Slots[slot].Span }
+func (m *Map) MayBeGuarded(slot int) bool { return m.Slots[slot].Spanning }
 
 // AnyGuarded reports whether any slot is guarded, so that what was kept in the
 // platform's store is still needed.
@@ -182,7 +182,7 @@
 			continue
 		}
 		changed = true
-		m.Slots[i].Changed = m.Epoch + 1
+		m.Slots[i].ChangedEpoch = m.Epoch + 1
 	}
 	if changed {
 		m.Epoch++
--- a/core/placement/steady.go
+++ b/core/placement/steady.go
@@ -5,7 +5,7 @@
 const spareFaults = 2
 
 // Spares reports whether slots may be steady at all; which ones are changes with the map.
-func (m *Map) Spares() bool { return m.Faults >= spareFaults }
+func (m *Map) HasSpareReplicas() bool { return m.Faults >= spareFaults }
 
 // Steady reports whether a write or a read of a slot may be sent to a quorum of its replicas
 // first, and to the others only where one of those fails: the set has its size, none joins,
@@ -13,13 +13,13 @@
 //
 // Written and ReadQuorum say what is enough, whoever was asked. So which replicas are asked
 // changes no guarantee; it only changes how many more than needed have a record.
-func (m *Map) Steady(slot int) bool {
+func (m *Map) AllowsQuorumFirst(slot int) bool {
 	s := &m.Slots[slot]
-	if !m.Spares() || len(s.Replicas) < m.SetSize() || s.Span || s.Guarded || !s.settled() {
+	if !m.HasSpareReplicas() || len(s.Replicas) < m.ReplicationFactor() || s.Spanning || s.Guarded || !s.settled() {
 		return false
 	}
 	for _, r := range s.Replicas {
-		if r.Copies() {
+		if r.NeedsCopy() {
 			return false
 		}
 	}
@@ -30,10 +30,10 @@
 // FormerNeeded returns the member that slot's newest replica replaces where a complete read
 // needs its answer too: while fewer active replicas are left than a quorum, it may be the only
 // one to have what lay on it and on disks that were lost since.
-func (m *Map) FormerNeeded(slot int) (member string, needed bool) {
+func (m *Map) FormerMemberForRead(slot int) (member string, needed bool) {
 	s := &m.Slots[slot]
-	if _, known := m.Members[s.Former]; !known || !m.Spares() {
+	if _, known := m.Members[s.FormerMember]; !known || !m.HasSpareReplicas() {
 		return "", false
 	}
-	return s.Former, s.Active() < m.Quorum()
+	return s.FormerMember, s.ActiveCount() < m.Quorum()
 }
--- a/core/placement/steady_test.go
+++ b/core/placement/steady_test.go
@@ -19,21 +19,21 @@
 
 func TestASlotIsSteadyWhileNothingChangesAndNothingCrowdsIt(t *testing.T) {
 	places := []string{"a", "a", "b", "b", "c", "d"}
-	require.True(t, steadyMap(2, places...).Steady(0))
-	require.False(t, steadyMap(1, places...).Steady(0), "three replicas")
-	require.False(t, steadyMap(2, "a", "b", "c").Steady(0), "too few members")
-	require.False(t, steadyMap(2, "a", "a", "a", "b", "c").Steady(0), "crowded")
+	require.True(t, steadyMap(2, places...).AllowsQuorumFirst(0))
+	require.False(t, steadyMap(1, places...).AllowsQuorumFirst(0), "three replicas")
+	require.False(t, steadyMap(2, "a", "b", "c").AllowsQuorumFirst(0), "too few members")
+	require.False(t, steadyMap(2, "a", "a", "a", "b", "c").AllowsQuorumFirst(0), "crowded")
 	for name, change := range map[string]func(*Slot){
 		"joining": func(s *Slot) { s.Replicas[1].Joining = true },
 		"syncing": func(s *Slot) { s.Replicas[1].Syncing = true },
-		"former":  func(s *Slot) { s.Former = "m9" },
-		"spans":   func(s *Slot) { s.Span = true },
+		"former":  func(s *Slot) { s.FormerMember = "m9" },
+		"spans":   func(s *Slot) { s.Spanning = true },
 		"guarded": func(s *Slot) { s.Guarded = true },
 	} {
 		m := steadyMap(2, places...)
 		change(&m.Slots[0])
-		require.False(t, m.Steady(0), name)
-		require.True(t, m.Steady(1), name)
+		require.False(t, m.AllowsQuorumFirst(0), name)
+		require.True(t, m.AllowsQuorumFirst(1), name)
 	}
 }
 
--- a/core/placement/watch.go
+++ b/core/placement/watch.go
@@ -10,26 +10,26 @@
 const (
 	// WatchAll is up to how many members are all watched by everybody. Beyond it the watches
 	// of all hosts together would grow with hosts times members.
-	WatchAll = 32
+	MaxProbeAllMembers = 32
 	// watchNear and watchFar are the members of the own and of each other data centre that a
 	// host watches of more: one that pauses must not look like the loss of a data centre.
 	watchNear, watchFar = 4, 2
 )
 
 // WatchesAll reports whether hosts watch all members.
-func (m *Map) WatchesAll() bool { return len(m.Members) <= WatchAll }
+func (m *Map) ProbesAllMembers() bool { return len(m.Members) <= MaxProbeAllMembers }
 
 // Watched returns the members that a host asks for signs of life, whether or not it has
 // requests for them: all of a few, and of more some of each data centre, chosen by host, so
 // that each member is watched by as many hosts.
-func (m *Map) Watched(host, dataCentre string) map[string]bool {
+func (m *Map) ProbedByHost(host, dataCentre string) map[string]bool {
 	watched := map[string]bool{}
 	for dc, ids := range m.byCentre() {
 		n := watchFar
 		if dc == dataCentre {
 			n = watchNear
 		}
-		if m.WatchesAll() {
+		if m.ProbesAllMembers() {
 			n = len(ids)
 		}
 		for _, id := range subset.Of(host, ids, n) {
@@ -52,9 +52,9 @@
 // all of a few; of many those that share slots with it, those that it follows, and in the order
 // of ids over all and in its data centre the first ones, up to one more than a quorum that are
 // alive, by which it knows whom to ask and whether it is its turn to act.
-func (m *Map) Neighbours(self, dataCentre string, alive func(id string) bool) map[string]bool {
+func (m *Map) ProbedByMember(self, dataCentre string, alive func(id string) bool) map[string]bool {
 	near := map[string]bool{}
-	if m.WatchesAll() {
+	if m.ProbesAllMembers() {
 		for id := range m.Members {
 			near[id] = true
 		}
@@ -94,8 +94,8 @@
 		for _, r := range s.Replicas {
 			near[r.Member] = true
 		}
-		if _, known := m.Members[s.Former]; known {
-			near[s.Former] = true
+		if _, known := m.Members[s.FormerMember]; known {
+			near[s.FormerMember] = true
 		}
 	}
 }
--- a/ctl/capacity/fleet_test.go
+++ b/ctl/capacity/fleet_test.go
@@ -77,17 +77,17 @@
 			}
 		}
 		c.targets = max(c.targets, float64(held))
-		c.watched = max(c.watched, float64(len(m.Watched(name, dc))))
+		c.watched = max(c.watched, float64(len(m.ProbedByHost(name, dc))))
 	}
 	follow := map[string]int{}
 	for id, x := range m.Members {
-		c.probed += float64(len(m.Neighbours(id, x.DataCentre, alive))) / float64(len(m.Members))
+		c.probed += float64(len(m.ProbedByMember(id, x.DataCentre, alive))) / float64(len(m.Members))
 		if up := m.Upstream(id, x.DataCentre, alive); len(up) > 0 {
 			follow[up[0]]++
 		}
 	}
 	for i := range centres {
-		relays := m.RelaysOf(centreOf(i), alive)
+		relays := m.DataCentreRelays(centreOf(i), alive)
 		entryHosts := hosts * (hostsForDisk - 1) / hostsForDisk / centres
 		for _, id := range relays {
 			follow[id] += entryHosts / len(relays)
--- a/ctl/replicas/expiry_test.go
+++ b/ctl/replicas/expiry_test.go
@@ -45,14 +45,14 @@
 		f.warm(d)
 		const longest = 40 * time.Second
 		keep := keepFor + a.Outlast(longest)
-		for i := range placement.Slots {
+		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
 			require.NoError(t, a.Write(t.Context(), p, keep, settlement(p+"1"), kept(p+"1", "")))
 		}
 		time.Sleep(keepFor - time.Second)
 		program, both := "", []*member(nil)
 		for i := 0; program == "" || len(both) > 2; i++ {
-			require.Less(t, i, placement.Slots)
+			require.Less(t, i, placement.GlobalSlotCount)
 			program = fmt.Sprintf("p%d", i)
 			require.NoError(t, d.Write(t.Context(), program, keep, reservation(program+"2")))
 			time.Sleep(10 * time.Millisecond)
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -56,7 +56,7 @@
 
 // warm plays turns of programs of all slots, so that the client knows how long members take.
 func (f *fleet) warm(e *entry) {
-	for i := range 2 * placement.Slots {
+	for i := range 2 * placement.GlobalSlotCount {
 		p := fmt.Sprintf("warm-%d", i)
 		require.NoError(f.t, e.Write(f.t.Context(), p, keepFor, reservation("1")))
 		_, err := e.Read(f.t.Context(), p, "")
@@ -81,14 +81,14 @@
 		defer f.close()
 		e := f.entry("a")
 		f.warm(e)
-		for i := range placement.Slots {
+		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
 			f.forget()
 			_, err := e.Read(t.Context(), p, "")
 			require.NoError(t, err)
 			asked := f.asked(isRead)
 			require.Len(t, asked, 3, p)
-			for _, r := range f.slots.Slots[placement.SlotOf(p)].Replicas {
+			for _, r := range f.slots.Slots[placement.GlobalSlotOf(p)].Replicas {
 				if f.by(r.Member).dataCentre == "a" {
 					require.Contains(t, asked, f.by(r.Member), "the near ones first")
 				}
@@ -110,7 +110,7 @@
 
 		f = newFleet(t, 2, grown...)
 		defer f.close()
-		slot := placement.SlotOf("p")
+		slot := placement.GlobalSlotOf("p")
 		f.slots.Slots[slot].Replicas[0].Joining = true
 		f.slots.Epoch++
 		f.adopt()
@@ -145,7 +145,7 @@
 					past, err := e.Read(t.Context(), program, "1")
 					require.NoError(t, err)
 					require.Len(t, past.Chain, 1)
-					require.EqualValues(t, 40, past.Usage.Without(""))
+					require.EqualValues(t, 40, past.Usage.TokensExcluding(""))
 				})
 				require.LessOrEqual(t, took, hedgeMost+roundTrip)
 				if x.name == "slow" {
@@ -178,13 +178,13 @@
 		f := newFleet(t, 2, grown...)
 		defer f.close()
 		const program = "p"
-		s := &f.slots.Slots[placement.SlotOf(program)]
+		s := &f.slots.Slots[placement.GlobalSlotOf(program)]
 		for i := range 3 {
 			s.Replicas[i].Joining = true
 		}
 		outside := slices.IndexFunc(f.members, func(m *member) bool { _, in := s.Replica(m.id); return !in })
 		former := f.members[outside]
-		s.Former = former.id
+		s.FormerMember = former.id
 		f.slots.Epoch++
 		f.adopt()
 		e := f.entry("a")
@@ -210,7 +210,7 @@
 		a, d := f.entry("a"), f.entry("d")
 		f.warm(a)
 		f.warm(d)
-		for i := range placement.Slots {
+		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
 			require.NoError(t, a.Write(t.Context(), p, keepFor, settlement(p+"1"), kept(p+"1", "")))
 			require.NoError(t, a.Write(t.Context(), p, keepFor, settlement(p+"2"), kept(p+"2", p+"1")))
--- a/ctl/replicas/write_test.go
+++ b/ctl/replicas/write_test.go
@@ -37,7 +37,7 @@
 		defer f.close()
 		e := f.entry("a")
 		f.warm(e)
-		for i := range placement.Slots {
+		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
 			f.forget()
 			require.NoError(t, e.Write(t.Context(), p, keepFor, reservation("1")))
@@ -71,7 +71,7 @@
 		"few":     {1, 3, []string{"a", "b", "c"}, func(*placement.Slot) {}},
 		"joining": {2, 5, grown, func(s *placement.Slot) { s.Replicas[0].Joining = true }},
 		"crowded": {2, 5, []string{"a", "a", "a", "b", "c"}, func(*placement.Slot) {}},
-		"spans":   {2, 5, []string{"a", "a", "a", "b", "c"}, func(s *placement.Slot) { s.Span = true }},
+		"spans":   {2, 5, []string{"a", "a", "a", "b", "c"}, func(s *placement.Slot) { s.Spanning = true }},
 		"guarded": {2, 5, grown, func(s *placement.Slot) { s.Guarded = true }},
 	}
 	for name, x := range cases {
@@ -79,7 +79,7 @@
 			bubble(t, func(t *testing.T) {
 				f := newFleet(t, x.faults, x.places...)
 				defer f.close()
-				x.change(&f.slots.Slots[placement.SlotOf("p")])
+				x.change(&f.slots.Slots[placement.GlobalSlotOf("p")])
 				f.slots.Epoch++
 				f.adopt()
 				e := f.entry("a")
@@ -147,7 +147,7 @@
 				past, err := reader.Read(t.Context(), program, "1", "part")
 				require.NoError(t, err)
 				require.Len(t, past.Chain, 1)
-				require.EqualValues(t, 140, past.Usage.Without(""), "the open reservation too")
+				require.EqualValues(t, 140, past.Usage.TokensExcluding(""), "the open reservation too")
 			}
 		})
 	}
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -113,7 +113,7 @@
 	defer c.close()
 	var idle []string
 	for _, h := range c.history {
-		if !h.server.Map().Holds(h.server.Member()) {
+		if !h.server.Map().IsInUse(h.server.Member()) {
 			idle = append(idle, h.name)
 		}
 	}
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -73,7 +73,7 @@
 	if !ok {
 		return "", failure.Retry(failure.HistoryUnavailable, x.comeBack(), "no history host in the regions that may keep the turn")
 	}
-	return placement.Bound(region, x.program()), nil
+	return placement.RegionalName(region, x.program()), nil
 }
 
 // priority ranks the request: the customer's goes before the route's.
--- a/daemon/entry/held.go
+++ b/daemon/entry/held.go
@@ -28,18 +28,18 @@
 	host  *Host
 	mu    sync.Mutex
 	book  *held.Account
-	by    map[*held.Holder]*holding
+	by    map[*held.RequestAccount]*holding
 	freed broadcast
 }
 
 func newHoldings(h *Host) *holdings {
-	return &holdings{host: h, book: held.New(h.MemoryBytes, h.Descriptors), by: map[*held.Holder]*holding{}}
+	return &holdings{host: h, book: held.New(h.MemoryBytes, h.Descriptors), by: map[*held.RequestAccount]*holding{}}
 }
 
 // holding is what one request holds.
 type holding struct {
 	of     *holdings
-	holder *held.Holder
+	holder *held.RequestAccount
 	// call names the request in logs, once it is decoded.
 	call string
 	// end closes the caller's connection; nil where the host does not know it.
@@ -50,9 +50,9 @@
 func (b *holdings) enter(r *http.Request) (*holding, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	holder, ok := b.book.Enter()
+	holder, ok := b.book.Admit()
 	if !ok {
-		b.endSlowest(held.Body, held.FloorBytes)
+		b.endSlowest(held.Body, held.MinRequestBytes)
 		return nil, false
 	}
 	x := &holding{of: b, holder: holder}
@@ -71,7 +71,7 @@
 	}
 	x.of.mu.Lock()
 	defer x.of.mu.Unlock()
-	x.holder.Leave()
+	x.holder.Close()
 	delete(x.of.by, x.holder)
 	x.of.freed.tell()
 }
@@ -116,7 +116,7 @@
 func (x *holding) full(k held.Kind, n int64) error {
 	b := x.of
 	b.mu.Lock()
-	charged := b.book.Charged()
+	charged := b.book.ChargedBytes()
 	b.mu.Unlock()
 	b.host.Meter.Count("bytes", "refused", k.String())
 	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, k)
@@ -126,7 +126,7 @@
 func (x *holding) try(k held.Kind, n int64) bool {
 	x.of.mu.Lock()
 	defer x.of.mu.Unlock()
-	return x.holder.Grow(k, n)
+	return x.holder.Reserve(k, n)
 }
 
 // makeRoom ends slow callers for n more bytes.
@@ -151,23 +151,23 @@
 func (x *holding) await() {
 	x.of.mu.Lock()
 	defer x.of.mu.Unlock()
-	x.holder.Await(x.of.host.now())
+	x.holder.StartCallerWait(x.of.host.now())
 }
 
 func (x *holding) arrived() {
 	x.of.mu.Lock()
 	defer x.of.mu.Unlock()
-	x.holder.Arrived()
+	x.holder.StopCallerWait()
 }
 
 // endSlowest closes the connections of slow callers, so that there is room for n more bytes;
 // the caller holds mu.
 func (b *holdings) endSlowest(k held.Kind, n int64) {
-	for _, slow := range b.book.Slowest(b.host.now(), k, n) {
-		x := b.by[slow.Holder]
+	for _, slow := range b.book.SelectEvictions(b.host.now(), k, n) {
+		x := b.by[slow.Request]
 		b.host.Meter.Count("callers_ended", "no_room")
-		b.host.Log.Warn("slow caller ended for want of room", "request", x.call, "held_bytes", slow.Holder.Bytes(),
-			"slow_ms", slow.For.Milliseconds(), "charged_bytes", b.book.Charged())
+		b.host.Log.Warn("slow caller ended for want of room", "request", x.call, "held_bytes", slow.Request.HeldBytes(),
+			"slow_ms", slow.StalledFor.Milliseconds(), "charged_bytes", b.book.ChargedBytes())
 		if x.end != nil {
 			x.end()
 		}
@@ -180,18 +180,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.host.Meter.Count("callers_ended", "unread")
-	b.host.Log.Warn("caller ended because it did not read", "request", x.call, "held_bytes", x.holder.Bytes(), "slow_ms", after.Milliseconds())
+	b.host.Log.Warn("caller ended because it did not read", "request", x.call, "held_bytes", x.holder.HeldBytes(), "slow_ms", after.Milliseconds())
 }
 
 // active is the number of requests held.
 func (b *holdings) active() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Active()
+	return b.book.ActiveRequests()
 }
 
 // limit is the most requests held at once.
-func (b *holdings) limit() int { return b.book.Limit() }
+func (b *holdings) limit() int { return b.book.MaxRequests() }
 
 // state is a dump of the account.
 func (b *holdings) state() held.State {
@@ -210,8 +210,8 @@
 		}
 	}
 	m := b.host.Meter
-	m.Gauge("held_charged_bytes", read(b.book.Charged))
+	m.Gauge("held_charged_bytes", read(b.book.ChargedBytes))
 	for _, k := range held.Kinds() {
-		m.Gauge("held_"+k.String()+"_bytes", read(func() int64 { return b.book.Of(k) }))
+		m.Gauge("held_"+k.String()+"_bytes", read(func() int64 { return b.book.HeldBytes(k) }))
 	}
 }
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -147,7 +147,7 @@
 	s.host.work.Wait()
 	past, err := s.past.Read(t.Context(), "p", "")
 	require.NoError(t, err)
-	require.EqualValues(t, 18, past.Usage.Without(""), "the budget stays with all routes of the program")
+	require.EqualValues(t, 18, past.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
 }
 
 func TestTurnsThatNoRegionMayKeepAreRefusedAtOnce(t *testing.T) {
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -186,7 +186,7 @@
 	m := s.members[0].server.Map().Clone()
 	m.Epoch++
 	for i := range m.Slots {
-		if i == int(placement.SlotOf("p")) {
+		if i == int(placement.GlobalSlotOf("p")) {
 			continue
 		}
 		for j := range m.Slots[i].Replicas {
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -79,10 +79,10 @@
 					open = append(open, h.ask("/plain/"))
 				}
 				for range 30 {
-					require.LessOrEqual(t, h.charged(), h.held.state().AnswerBound)
+					require.LessOrEqual(t, h.charged(), h.held.state().AnswerBoundBytes)
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.Greater(t, h.charged(), h.held.state().RequestBound*9/10, "the account is full")
+				require.Greater(t, h.charged(), h.held.state().RequestBoundBytes*9/10, "the account is full")
 				require.Zero(t, h.meter.Value("requests_answered"))
 				require.True(t, h.served("/plain/"))
 				require.Positive(t, h.meter.Value("callers_ended_no_room"))
@@ -239,7 +239,7 @@
 			go func() { _, _ = io.WriteString(c, requestHead("/plain/", size)+"the rest never comes") }()
 		}
 		synctest.Wait()
-		require.LessOrEqual(t, h.charged(), h.held.state().RequestBound)
+		require.LessOrEqual(t, h.charged(), h.held.state().RequestBoundBytes)
 		began := time.Now()
 		c := h.connect()
 		defer c.Close()
@@ -275,7 +275,7 @@
 		require.Equal(t, callers, h.active())
 		bytes := (inUse() - before) / callers
 		t.Logf("%d bytes a request, with those of its caller and target", bytes)
-		require.Less(t, bytes, int64(held.FloorBytes))
+		require.Less(t, bytes, int64(held.MinRequestBytes))
 	})
 }
 
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	x.learn(past.Ran)
-	x.underWay = x.call.Previous != "" || past.Usage.Without(x.call.ID) > 0
+	x.underWay = x.call.Previous != "" || past.Usage.TokensExcluding(x.call.ID) > 0
 	return t.prepend(ctx, past.Chain, past.Elsewhere)
 }
 
@@ -153,10 +153,10 @@
 		if call.Budget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.Budget) {
 			return past, nil
 		}
-		wait := past.Usage.Settled(call.ID)+call.MaxTokens <= call.Budget && time.Now().Before(end)
+		wait := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.Budget && time.Now().Before(end)
 		if !wait || !sleep(ctx, settlementPoll) {
 			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
-				past.Usage.Without(call.ID), call.Budget, call.MaxTokens)
+				past.Usage.TokensExcluding(call.ID), call.Budget, call.MaxTokens)
 		}
 		newer, err := t.x.host.History.Read(ctx, t.x.program(), "")
 		if err != nil {
--- a/daemon/history/admit.go
+++ b/daemon/history/admit.go
@@ -88,7 +88,7 @@
 	k.change(ctx, "members admitted", func(m *placement.Map) bool {
 		changed := false
 		for _, x := range list {
-			changed = !m.HasHost(x.Host) && m.Admit(x) || changed
+			changed = !m.HasMemberOnHost(x.Host) && m.Admit(x) || changed
 		}
 		return changed
 	})
--- a/daemon/history/guard.go
+++ b/daemon/history/guard.go
@@ -18,10 +18,10 @@
 func (k *Keeper) arrange(ctx context.Context, m *placement.Map) {
 	silent := k.peers.silentFor()
 	// A host that was emptied and taken away is silent and of no matter.
-	maps.DeleteFunc(silent, func(id string, _ time.Duration) bool { return !m.Holds(id) })
+	maps.DeleteFunc(silent, func(id string, _ time.Duration) bool { return !m.IsInUse(id) })
 	if len(silent) == 0 {
 		if k.acts(m, k.peers.silentFor()) {
-			k.change(ctx, "crowded slots span", func(m *placement.Map) bool { return m.Spanning() })
+			k.change(ctx, "crowded slots span", func(m *placement.Map) bool { return m.SpanCrowdedSlots() })
 		}
 		return
 	}
@@ -35,14 +35,14 @@
 		return
 	}
 	k.change(ctx, "replicas of a silent data centre left out", func(m *placement.Map) bool { return m.Demote(lost) })
-	k.change(ctx, "slots go on without those outside", func(m *placement.Map) bool { return m.Unspan(lost) })
+	k.change(ctx, "slots go on without those outside", func(m *placement.Map) bool { return m.UnspanSlots(lost) })
 }
 
 // prepare makes a member that joins guarded slots ready for it: its acknowledgement is
 // required from then on, and where no active replica is left, it takes what is kept
 // at the platform. It reports whether the copy may begin.
 func (k *Keeper) prepare(ctx context.Context, m *placement.Map) bool {
-	k.change(ctx, "joining replica required", func(m *placement.Map) bool { return m.Require(k.self.ID) })
+	k.change(ctx, "joining replica required", func(m *placement.Map) bool { return m.RequireAck(k.self.ID) })
 	if !k.orphaned(m) {
 		return true
 	}
@@ -63,7 +63,7 @@
 	for i := range m.Slots {
 		s := &m.Slots[i]
 		r, in := s.Replica(k.self.ID)
-		if in && r.Joining && s.Guarded && s.Active() == 0 {
+		if in && r.Joining && s.Guarded && s.ActiveCount() == 0 {
 			return true
 		}
 	}
--- a/daemon/history/join.go
+++ b/daemon/history/join.go
@@ -34,7 +34,7 @@
 	var all sync.WaitGroup
 	for i := range m.Slots {
 		r, in := m.Slots[i].Replica(k.self.ID)
-		if !in || !r.Copies() {
+		if !in || !r.NeedsCopy() {
 			continue
 		}
 		places <- struct{}{}
@@ -45,7 +45,7 @@
 				k.logger.Warn("slot not copied", "slot", i, "epoch", m.Epoch, "error", err.Error())
 				return
 			}
-			c.add(i, m.Slots[i].Changed, n)
+			c.add(i, m.Slots[i].ChangedEpoch, n)
 		})
 	}
 	all.Wait()
@@ -74,7 +74,7 @@
 // what those before did not have, so that a lost disk is whole again within the few seconds
 // that are allowed for it.
 func (k *Keeper) copySlot(ctx context.Context, m *placement.Map, i int) (records int, err error) {
-	from, need := m.Sources(i, k.self.ID)
+	from, need := m.CopySources(i, k.self.ID)
 	for _, id := range from {
 		if need == 0 {
 			break
--- a/daemon/history/join_test.go
+++ b/daemon/history/join_test.go
@@ -45,7 +45,7 @@
 func programsOf(slot uint32, n int) []string {
 	var names []string
 	for i := 0; len(names) < n; i++ {
-		if name := fmt.Sprintf("p%d", i); placement.SlotOf(name) == slot {
+		if name := fmt.Sprintf("p%d", i); placement.GlobalSlotOf(name) == slot {
 			names = append(names, name)
 		}
 	}
--- a/daemon/history/keeper.go
+++ b/daemon/history/keeper.go
@@ -185,7 +185,7 @@
 		return
 	}
 	k.admit(ctx)
-	if !m.Assigned() {
+	if !m.IsAssigned() {
 		if time.Since(k.started) > k.gathering(m) {
 			k.change(ctx, "slots assigned", assign)
 		}
@@ -209,7 +209,7 @@
 }
 
 func assign(m *placement.Map) bool {
-	if m.Assigned() {
+	if m.IsAssigned() {
 		return false
 	}
 	m.Assign()
--- a/daemon/history/repair.go
+++ b/daemon/history/repair.go
@@ -82,18 +82,18 @@
 // where it is its turn to act, some of all others in turn, so that it finds those to be
 // replaced. One that was silent is asked until it answers, whoever's neighbour it is then.
 func (k *Keeper) toProbe(m *placement.Map) map[string]bool {
-	ask := m.Neighbours(k.self.ID, k.self.DataCentre, k.answers())
+	ask := m.ProbedByMember(k.self.ID, k.self.DataCentre, k.answers())
 	silent := k.peers.silentFor()
 	for id := range silent {
 		if _, in := m.Members[id]; in {
 			ask[id] = true
 		}
 	}
-	if m.WatchesAll() || !k.acts(m, silent) {
+	if m.ProbesAllMembers() || !k.acts(m, silent) {
 		return ask
 	}
 	ids := slices.Sorted(maps.Keys(m.Members))
-	for range placement.WatchAll {
+	for range placement.MaxProbeAllMembers {
 		k.turn = (k.turn + 1) % len(ids)
 		if id := ids[k.turn]; id != k.self.ID {
 			ask[id] = true
@@ -124,7 +124,7 @@
 	for id, since := range silent {
 		if _, in := m.Members[id]; in && since > patience(m, id, exclude) {
 			k.change(ctx, "silent member replaced", func(m *placement.Map) bool {
-				return m.Replace(id, exclude) || m.Forget(id)
+				return m.Replace(id, exclude) || m.RemoveUnused(id)
 			})
 		}
 	}
@@ -145,7 +145,7 @@
 		return replaceLate
 	}
 	for id := range m.Members {
-		if !exclude[id] && !m.Holds(id) {
+		if !exclude[id] && !m.IsInUse(id) {
 			return replaceSoon
 		}
 	}
@@ -183,7 +183,7 @@
 // retire moves the slots of a member away and reports the progress.
 func (k *Keeper) retire(ctx context.Context, m *placement.Map, id string, exclude map[string]bool) {
 	host := m.Members[id].Host
-	if m.Holds(id) {
+	if m.IsInUse(id) {
 		k.report(ctx, host, false)
 		k.change(ctx, "retiring member replaced", func(m *placement.Map) bool { return m.Replace(id, exclude) })
 		return
--- a/daemon/history/server.go
+++ b/daemon/history/server.go
@@ -48,7 +48,7 @@
 	ledger *ledger.Ledger
 	quotas *quota.Buckets
 	// heldSince is since when the member keeps each slot, as elapsed.
-	heldSince [placement.Slots]time.Duration
+	heldSince [placement.GlobalSlotCount]time.Duration
 	slots     *placement.Map
 	mapBytes  []byte
 	// refresh is called when a sender knows a newer map.
@@ -118,7 +118,7 @@
 		s.setMap(slots)
 	}
 	s.gauges()
-	logger.Info("journal replayed", "member", s.member, "records", records, "programs", s.ledger.Programs())
+	logger.Info("journal replayed", "member", s.member, "records", records, "programs", s.ledger.ProgramCount())
 	return s, nil
 }
 
@@ -296,7 +296,7 @@
 	if req.GetRead().GetAnySlot() {
 		return s.slots.Epoch
 	}
-	return s.slots.Slots[req.Slot].Changed
+	return s.slots.Slots[req.Slot].ChangedEpoch
 }
 
 func (s *Server) read(r *historypb.Read) *historypb.Reply {
@@ -307,7 +307,7 @@
 		Status:   historypb.Status_STATUS_OK,
 		Spending: s.ledger.Spending(r.Program),
 		Chain:    s.ledger.Chain(r.Turn),
-		Ran:      s.ledger.Ran(r.Program, r.Parts),
+		Ran:      s.ledger.LongestRuns(r.Program, r.Parts),
 	}
 }
 
@@ -332,9 +332,9 @@
 	defer s.mu.Unlock()
 	reply := &historypb.Reply{Status: historypb.Status_STATUS_OK}
 	if len(c.Programs) > 0 {
-		reply.Records, reply.More = s.ledger.Records(c.Programs, pageBytes)
+		reply.Records, reply.More = s.ledger.RecordPage(c.Programs, pageBytes)
 	} else {
-		reply.Digests, reply.More = s.ledger.Digests(slot, c.After, pageDigests)
+		reply.Digests, reply.More = s.ledger.DigestPage(slot, c.After, pageDigests)
 	}
 	return reply
 }
@@ -388,7 +388,7 @@
 	var records []*historypb.Record
 	s.mu.Lock()
 	for _, name := range programs {
-		records = append(records, s.ledger.Program(name)...)
+		records = append(records, s.ledger.ProgramRecords(name)...)
 	}
 	s.mu.Unlock()
 	done := make(chan error, 1)
--- a/daemon/history/server_test.go
+++ b/daemon/history/server_test.go
@@ -38,7 +38,7 @@
 }
 
 func writeOf(s *Server, epoch uint64, program, turn string, expires int64) *historypb.Request {
-	slot := placement.SlotOf(program)
+	slot := placement.GlobalSlotOf(program)
 	return &historypb.Request{Member: s.Member(), Slot: slot, Epoch: epoch, Call: &historypb.Request_Write{Write: &historypb.Write{
 		Records: []*historypb.Record{{Slot: slot, Program: program, ExpiresMs: expires, Change: &historypb.Record_Turn{
 			Turn: &historypb.Turn{Turn: turn, Content: []byte("content of " + turn)},
@@ -47,7 +47,7 @@
 }
 
 func readOf(s *Server, epoch uint64, program, turn string) *historypb.Request {
-	return &historypb.Request{Member: s.Member(), Slot: placement.SlotOf(program), Epoch: epoch,
+	return &historypb.Request{Member: s.Member(), Slot: placement.GlobalSlotOf(program), Epoch: epoch,
 		Call: &historypb.Request_Read{Read: &historypb.Read{Program: program, Turn: turn}}}
 }
 
@@ -111,10 +111,10 @@
 	s := openServer(t, t.TempDir())
 	defer s.Close()
 	m := alone(t, s)
-	slot, written := placement.SlotOf("p0"), 0
+	slot, written := placement.GlobalSlotOf("p0"), 0
 	for i := 0; written < 30; i++ {
 		p := fmt.Sprintf("p%d", i)
-		if placement.SlotOf(p) != slot {
+		if placement.GlobalSlotOf(p) != slot {
 			continue
 		}
 		req := writeOf(s, m.Epoch, p, "t"+p, 1<<60)
@@ -191,10 +191,10 @@
 		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dc})
 	}
 	m.Assign()
-	require.True(t, m.Spanning())
+	require.True(t, m.SpanCrowdedSlots())
 	copied := map[int]uint64{}
 	for i, slot := range m.Slots {
-		copied[i] = slot.Changed
+		copied[i] = slot.ChangedEpoch
 	}
 	require.True(t, m.Activate(s.Member(), copied))
 	require.NoError(t, s.Adopt(m.Clone()))
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -29,7 +29,7 @@
 func (s *Server) held() holding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := holding{programs: s.ledger.Programs(), bytes: s.ledger.Bytes()}
+	h := holding{programs: s.ledger.ProgramCount(), bytes: s.ledger.TurnBytes()}
 	if s.slots == nil {
 		return h
 	}
--- a/daemon/history/write.go
+++ b/daemon/history/write.go
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, in := s.slots.Slots[slot].Replica(s.member)
-	return s.kept, in && !r.Joining && s.slots.Kept(int(slot))
+	return s.kept, in && !r.Joining && s.slots.NeedsPlatformCopy(int(slot))
 }
 
 // newBoth returns a function that calls done on its second call, with the first
--- a/daemon/quorum/brief.go
+++ b/daemon/quorum/brief.go
@@ -30,7 +30,7 @@
 // its replicas have it until a next turn that lasts up to turn has ended: those beyond the
 // quorum are not told that it begins, and would drop the turns before it meanwhile.
 func (c *Client) Outlast(turn time.Duration) time.Duration {
-	if m := c.current(); m == nil || !m.Spares() {
+	if m := c.current(); m == nil || !m.HasSpareReplicas() {
 		return 0
 	}
 	return turn
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -99,7 +99,7 @@
 
 // servable reports whether enough replicas of the slot are not known to fail.
 func (c *Client) servable(m *placement.Map, slot int, now time.Time) bool {
-	if former, needed := m.FormerNeeded(slot); needed && c.failingFor(former, now) > doubtFor {
+	if former, needed := m.FormerMemberForRead(slot); needed && c.failingFor(former, now) > doubtFor {
 		return false
 	}
 	s := &m.Slots[slot]
@@ -114,7 +114,7 @@
 			active++
 		}
 	}
-	return m.Written(s, alive) && active >= m.ReadQuorum(s)
+	return m.IsWriteDurable(s, alive) && active >= m.ReadQuorum(s)
 }
 
 // Servable reports whether turns of the program could be served now, as far as
@@ -123,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.slots
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return false
 	}
 	slot, ok := m.Slot(program)
@@ -136,7 +136,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.slots
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return 0
 	}
 	now := time.Now()
@@ -145,7 +145,7 @@
 		return forever
 	}
 	s := &m.Slots[slot]
-	if former, needed := m.FormerNeeded(int(slot)); needed && c.failingFor(former, now) > 0 {
+	if former, needed := m.FormerMemberForRead(int(slot)); needed && c.failingFor(former, now) > 0 {
 		return c.failingFor(former, now)
 	}
 	alive := map[string]bool{}
@@ -160,7 +160,7 @@
 			active++
 		}
 	}
-	if m.Written(s, alive) && active >= m.ReadQuorum(s) {
+	if m.IsWriteDurable(s, alive) && active >= m.ReadQuorum(s) {
 		return 0
 	}
 	return max(since, 1)
@@ -216,9 +216,9 @@
 		silent[id] = c.failingFor(id, now) > 0
 	}
 	due := 0
-	common := c.slots.Common()
+	common := c.slots.GlobalSlots()
 	for i := range common {
-		if c.slots.TakeoverDue(i, silent) {
+		if c.slots.DemotionDue(i, silent) {
 			due++
 		}
 	}
@@ -234,19 +234,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.slots
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return
 	}
 	lost := c.unservable(m, now)
 	switch {
-	case lost*2 <= len(m.Common()):
+	case lost*2 <= len(m.GlobalSlots()):
 		if !c.isolated.IsZero() {
 			c.logger.Info("history regained", "after_ms", now.Sub(c.isolated).Milliseconds())
 		}
 		c.isolated = time.Time{}
 	case c.isolated.IsZero():
 		c.isolated = now
-		c.logger.Warn("history lost", "slots", lost, "of", len(m.Common()))
+		c.logger.Warn("history lost", "slots", lost, "of", len(m.GlobalSlots()))
 	}
 }
 
--- a/daemon/quorum/order_test.go
+++ b/daemon/quorum/order_test.go
@@ -58,7 +58,7 @@
 // The first by the slot's own order is in the quorum of every data centre.
 func TestTheHomeReplicaIsInEveryQuorum(t *testing.T) {
 	m := fiveOf()
-	for slot := range uint32(placement.Slots) {
+	for slot := range uint32(placement.GlobalSlotCount) {
 		for _, dc := range []string{"a", "b", "c", "d", "elsewhere"} {
 			c := New(&net.Dialer{}, dc, log.New(io.Discard), nil)
 			require.Contains(t, c.ranked(m, slot)[:m.Quorum()], c.home(m, slot)[0])
@@ -86,13 +86,13 @@
 func TestTheFormerReplicaIsNeededWhereFewAreActive(t *testing.T) {
 	m := fiveOf()
 	m.Admit(placement.Member{ID: "former", Host: "former", Address: "former", DataCentre: "e"})
-	s := &m.Slots[placement.SlotOf("p")]
+	s := &m.Slots[placement.GlobalSlotOf("p")]
 	for i := range 3 {
 		s.Replicas[i].Joining = true
 	}
 	answered := map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true, "m4": true}
 	require.True(t, covers(m, answered))
-	s.Former = "former"
+	s.FormerMember = "former"
 	require.False(t, covers(m, answered))
 	answered["former"] = true
 	require.True(t, covers(m, answered))
--- a/daemon/quorum/quorum.go
+++ b/daemon/quorum/quorum.go
@@ -70,7 +70,7 @@
 // Ready reports whether a slot map with replicas is known.
 func (c *Client) Ready() bool {
 	m := c.current()
-	return m != nil && m.Assigned()
+	return m != nil && m.IsAssigned()
 }
 
 func (c *Client) current() *placement.Map {
@@ -140,7 +140,7 @@
 	if m == nil {
 		return "", false
 	}
-	return m.RegionFor(own, allowed)
+	return m.SelectRegion(own, allowed)
 }
 
 // replyFrom is the answer of one member.
@@ -254,7 +254,7 @@
 
 func (c *Client) writeOnce(ctx context.Context, records []*historypb.Record) error {
 	m := c.current()
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return failure.New(failure.HistoryUnavailable, "no slot map")
 	}
 	slot, ok := m.Slot(records[0].Program)
@@ -275,7 +275,7 @@
 		build: func(string, bool) *historypb.Request { return writeOf(records) },
 		take: func(member string, _ *historypb.Reply) bool {
 			acks[member] = true
-			return m.Written(s, acks)
+			return m.IsWriteDurable(s, acks)
 		},
 	}
 	if r.run(ctx, first) {
@@ -287,7 +287,7 @@
 // writeTo returns the replicas that a write goes to, and how many of them it goes to at
 // first: a quorum of a steady slot, the nearest, and all of any other.
 func (c *Client) writeTo(m *placement.Map, slot uint32) (members []string, first int) {
-	if m.Steady(int(slot)) {
+	if m.AllowsQuorumFirst(int(slot)) {
 		return c.ranked(m, slot), m.Quorum()
 	}
 	for _, r := range m.Slots[slot].Replicas {
--- a/daemon/quorum/read.go
+++ b/daemon/quorum/read.go
@@ -41,7 +41,7 @@
 
 func (c *Client) readOnce(ctx context.Context, program, turn string, parts []string) (*Past, error) {
 	m := c.current()
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return nil, failure.New(failure.HistoryUnavailable, "no slot map")
 	}
 	slot, ok := m.Slot(program)
@@ -61,7 +61,7 @@
 		if member == first || more && !heard {
 			return &historypb.Read{Program: program, Turn: turn, Parts: parts}
 		}
-		if m.Steady(int(slot)) {
+		if m.AllowsQuorumFirst(int(slot)) {
 			return &historypb.Read{Program: program}
 		}
 		return &historypb.Read{Program: program, Parts: parts}
@@ -116,7 +116,7 @@
 	s := &m.Slots[slot]
 	need := m.ReadQuorum(s)
 	members := c.ranked(m, slot)
-	if former, needed := m.FormerNeeded(int(slot)); needed {
+	if former, needed := m.FormerMemberForRead(int(slot)); needed {
 		members = append(members, former)
 		need = len(members)
 	}
@@ -132,7 +132,7 @@
 		},
 	}
 	first := len(r.members)
-	if m.Steady(int(slot)) {
+	if m.AllowsQuorumFirst(int(slot)) {
 		first = need
 	}
 	if r.run(ctx, first) {
@@ -144,7 +144,7 @@
 // find asks the replicas of a slot for a turn and those before it.
 func (c *Client) find(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) error {
 	c.meter.Count("history_chains", "incomplete")
-	if m.Steady(int(slot)) && c.findHome(ctx, m, slot, turn, turns) {
+	if m.AllowsQuorumFirst(int(slot)) && c.findHome(ctx, m, slot, turn, turns) {
 		return nil
 	}
 	return c.gather(ctx, m, slot,
@@ -207,7 +207,7 @@
 				n++
 			}
 		}
-		if former, needed := m.FormerNeeded(i); n < m.ReadQuorum(s) || needed && !answered[former] {
+		if former, needed := m.FormerMemberForRead(i); n < m.ReadQuorum(s) || needed && !answered[former] {
 			return false
 		}
 	}
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -23,7 +23,7 @@
 		return c.seeds
 	}
 	now := time.Now()
-	return c.slots.RelaysOf(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
+	return c.slots.DataCentreRelays(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
 }
 
 // Members is the client as relay.Peers that names nobody before the slot map has slots. A seed,
@@ -36,7 +36,7 @@
 
 // Relays implements relay.Peers.
 func (m membersOnly) Relays() []string {
-	if slots := m.current(); slots == nil || !slots.Assigned() {
+	if slots := m.current(); slots == nil || !slots.IsAssigned() {
 		return nil
 	}
 	return m.Client.Relays()
@@ -45,7 +45,7 @@
 // Gathering implements relay.Peers.
 func (m membersOnly) Gathering() bool {
 	slots := m.current()
-	return slots != nil && !slots.Assigned()
+	return slots != nil && !slots.IsAssigned()
 }
 
 // Gathering implements relay.Peers: the members of a map without slots are asked as well.
--- a/daemon/quorum/state.go
+++ b/daemon/quorum/state.go
@@ -62,11 +62,11 @@
 // unservable counts the common slots that cannot be served; the caller holds mu. Those of other
 // regions say nothing of whether this host is cut off.
 func (c *Client) unservable(m *placement.Map, now time.Time) int {
-	if !m.Assigned() {
-		return len(m.Common())
+	if !m.IsAssigned() {
+		return len(m.GlobalSlots())
 	}
 	n := 0
-	for i := range m.Common() {
+	for i := range m.GlobalSlots() {
 		if !c.servable(m, i, now) {
 			n++
 		}
--- a/daemon/quorum/take.go
+++ b/daemon/quorum/take.go
@@ -35,10 +35,10 @@
 
 func (c *Client) takeOnce(ctx context.Context, a quota.Ask) (quota.Grant, error) {
 	m := c.current()
-	if m == nil || !m.Assigned() {
+	if m == nil || !m.IsAssigned() {
 		return quota.Grant{}, failure.New(failure.HistoryUnavailable, "no slot map")
 	}
-	slot := placement.SlotOf(a.Customer)
+	slot := placement.GlobalSlotOf(a.Customer)
 	members, in := c.takeFrom(m, &m.Slots[slot], a)
 	t := take{client: c, slots: m, slot: slot, ask: a, members: members, soonest: in, answers: make(chan replyFrom, len(members))}
 	return t.run(ctx)
--- a/daemon/quorum/watch.go
+++ b/daemon/quorum/watch.go
@@ -22,7 +22,7 @@
 
 // over chooses the members to watch of a slot map.
 func (w *watch) over(m *placement.Map, dataCentre string) {
-	w.members = m.Watched(w.name, dataCentre)
+	w.members = m.ProbedByHost(w.name, dataCentre)
 	w.centres = map[string][]string{}
 	for id := range w.members {
 		dc := m.Members[id].DataCentre
--- a/daemon/quorum/watch_test.go
+++ b/daemon/quorum/watch_test.go
@@ -69,7 +69,7 @@
 func TestAHostAtRestAsksAFewOfManyMembers(t *testing.T) {
 	for _, members := range []int{4, 12, 24, 60, 120, 240, 480} {
 		c, m := clientOf(t, members, 6)
-		require.LessOrEqual(t, dueAtRest(c, m), placement.WatchAll, "%d members", members)
+		require.LessOrEqual(t, dueAtRest(c, m), placement.MaxProbeAllMembers, "%d members", members)
 	}
 }
 
