--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -57,8 +57,8 @@
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
 	r := registryOf(3)
-	target(t, r, "t0").Heard(request.Load{Running: 6, Places: 10}, 0)
-	target(t, r, "t1").Heard(request.Load{Running: 3, Waiting: 1, Places: 10}, 0)
+	target(t, r, "t0").Heard(request.Load{Running: 6, Capacity: 10}, 0)
+	target(t, r, "t1").Heard(request.Load{Running: 3, Waiting: 1, Capacity: 10}, 0)
 	require.Equal(t, "t2", pick(t, r, Query{}))
 	for range 8 {
 		target(t, r, "t2").Sent(nil, 0)
@@ -75,9 +75,9 @@
 	target(t, r, "t1").Sent(q.Parts, 0)
 	target(t, r, "t1").Done(Served, 0)
 	require.Equal(t, "t1", pick(t, r, q))
-	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 4, Places: 10}, 0)
+	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 4, Capacity: 10}, 0)
 	require.Equal(t, "t1", pick(t, r, q))
-	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 16, Places: 10}, 0)
+	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 16, Capacity: 10}, 0)
 	require.NotEqual(t, "t1", pick(t, r, q))
 }
 
@@ -99,7 +99,7 @@
 		stream(r, 40*time.Millisecond, full)
 		target(t, r, "t1").Sent(q.Parts, 0)
 		target(t, r, "t1").Done(Served, 0)
-		target(t, r, "t1").Heard(request.Load{Running: 10, Places: 10}, 0)
+		target(t, r, "t1").Heard(request.Load{Running: 10, Capacity: 10}, 0)
 		require.Equal(t, stays, pick(t, r, q) == "t1", "full %v", full)
 	}
 }
@@ -154,7 +154,7 @@
 func hear(r *Registry, n int, now time.Duration) {
 	for _, x := range r.targets {
 		for range n {
-			x.Heard(request.Load{Places: x.Places}, now)
+			x.Heard(request.Load{Capacity: x.Places}, now)
 		}
 	}
 }
@@ -165,14 +165,14 @@
 	for heard, stays := range map[int]bool{3: true, 40: false} {
 		r := registryOf(12)
 		for range heard {
-			target(t, r, "t5").Heard(request.Load{Places: 10}, time.Second)
+			target(t, r, "t5").Heard(request.Load{Capacity: 10}, time.Second)
 		}
 		for range 9 {
 			target(t, r, "t0").Sent(nil, time.Second)
 		}
 		near := pick(t, r, Query{PromptTokens: 1000}) == "t0"
 		require.Equal(t, stays, near, "%d words", heard)
-		target(t, r, "t0").Heard(request.Load{Running: 10, Waiting: 20, Places: 10}, time.Second)
+		target(t, r, "t0").Heard(request.Load{Running: 10, Waiting: 20, Capacity: 10}, time.Second)
 		require.NotEqual(t, "t0", pick(t, r, Query{PromptTokens: 1000}))
 	}
 }
@@ -181,9 +181,9 @@
 func TestAnOldWordFadesToTheMeanOfTheService(t *testing.T) {
 	r := registryOf(3)
 	old, now := target(t, r, "t0"), 10*time.Second
-	old.Heard(request.Load{Running: 1, Places: 10}, 0)
+	old.Heard(request.Load{Running: 1, Capacity: 10}, 0)
 	for range 20 {
-		target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 10, Places: 10}, now)
+		target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 10, Capacity: 10}, now)
 	}
 	require.InDelta(t, 20, old.Load(now), 2)
 	require.Zero(t, target(t, r, "t2").Load(now), "one that was never heard is new")
@@ -298,7 +298,7 @@
 	c, ok := r.Pick(Query{Service: "s", Parts: parts, PromptTokens: 500}, 0)
 	require.True(t, ok)
 	c.Sent(parts, 0)
-	c.Heard(request.Load{Running: 4, Waiting: 9, Places: 4}, 0)
+	c.Heard(request.Load{Running: 4, Waiting: 9, Capacity: 4}, 0)
 	c.Done(Failed, 0)
 	c.Done(Failed, 0)
 
--- a/core/balance/finish_test.go
+++ b/core/balance/finish_test.go
@@ -34,7 +34,7 @@
 // says makes a target tell its load and slowdown now.
 func says(t *testing.T, r *Registry, id string, load int, slowdown float64) {
 	t.Helper()
-	l := request.Load{Running: min(load, 10), Waiting: max(0, load-10), Places: 10, Slowdown: slowdown}
+	l := request.Load{Running: min(load, 10), Waiting: max(0, load-10), Capacity: 10, Slowdown: slowdown}
 	target(t, r, id).Heard(l, time.Second)
 }
 
--- a/core/balance/load.go
+++ b/core/balance/load.go
@@ -21,8 +21,8 @@
 func (t *Target) Heard(load request.Load, now time.Duration) {
 	t.reported, t.reportedAt, t.hasReport = load, now, true
 	t.told.word, t.told.hasWord = loads.Word{Load: load, At: now}, true
-	if load.Places > 0 {
-		t.Places = load.Places
+	if load.Capacity > 0 {
+		t.Places = load.Capacity
 	}
 	t.service.words.add(t.perPlace(float64(load.Running+load.Waiting)), now, wordHalfLife)
 }
--- a/core/balance/pace_test.go
+++ b/core/balance/pace_test.go
@@ -28,12 +28,12 @@
 	fast, slow := 30*time.Millisecond, 210*time.Millisecond
 	observe(r, 20, now, map[string]time.Duration{"t0": fast, "t1": fast, "t2": fast, "t3": fast})
 	observe(r, 20, now, map[string]time.Duration{"t0": slow, "t1": slow, "t2": fast, "t3": fast})
-	target(t, r, "t2").Heard(request.Load{Running: 8, Places: 10}, now)
-	target(t, r, "t3").Heard(request.Load{Running: 9, Places: 10}, now)
+	target(t, r, "t2").Heard(request.Load{Running: 8, Capacity: 10}, now)
+	target(t, r, "t3").Heard(request.Load{Running: 9, Capacity: 10}, now)
 	require.Equal(t, "t2", pick(t, r, Query{}))
 	// They are used again once the fast ones have a queue.
-	target(t, r, "t2").Heard(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
-	target(t, r, "t3").Heard(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
+	target(t, r, "t2").Heard(request.Load{Running: 10, Waiting: 30, Capacity: 10}, now)
+	target(t, r, "t3").Heard(request.Load{Running: 10, Waiting: 30, Capacity: 10}, now)
 	require.Contains(t, []string{"t0", "t1"}, pick(t, r, Query{}))
 }
 
--- a/core/balance/slowdown_test.go
+++ b/core/balance/slowdown_test.go
@@ -83,7 +83,7 @@
 	require.False(t, r.TellsSlowdown("s", now))
 	now += slowdownsEvery
 	for i, x := range []float64{4, 1, 1} {
-		target(t, r, []string{"t0", "t1", "t2"}[i]).Heard(request.Load{Places: 10, Slowdown: x}, now)
+		target(t, r, []string{"t0", "t1", "t2"}[i]).Heard(request.Load{Capacity: 10, Slowdown: x}, now)
 	}
 	require.True(t, r.TellsSlowdown("s", now))
 	mean := (4 + 1 + 1 + meanPrior) / (3 + meanPrior)
@@ -99,9 +99,9 @@
 func TestOddWordsOfSlowdown(t *testing.T) {
 	r := registryOf(1)
 	x := target(t, r, "t0")
-	x.Heard(request.Load{Places: 10, Slowdown: 1e9}, time.Second)
+	x.Heard(request.Load{Capacity: 10, Slowdown: 1e9}, time.Second)
 	require.InDelta(t, slowdownMost, x.slowdown(time.Second), 0)
-	x.Heard(request.Load{Places: 10}, 2*time.Second)
+	x.Heard(request.Load{Capacity: 10}, 2*time.Second)
 	require.InDelta(t, 1, x.slowdown(2*time.Second), 0)
 	require.False(t, r.TellsSlowdown("s", 2*time.Second))
 	require.False(t, r.TellsSlowdown("none", 0))
@@ -109,6 +109,6 @@
 	w.Finish = false
 	off := NewRegistry("dc0", w)
 	off.Set(Listed{ID: "t", Service: "s", Places: 1})
-	target(t, off, "t").Heard(request.Load{Places: 1, Slowdown: 2}, 0)
+	target(t, off, "t").Heard(request.Load{Capacity: 1, Slowdown: 2}, 0)
 	require.False(t, off.TellsSlowdown("s", 0))
 }
--- a/core/balance/told_test.go
+++ b/core/balance/told_test.go
@@ -35,7 +35,7 @@
 func TestANewerWordOfOthersReplacesTheOwn(t *testing.T) {
 	r := registryOf(1)
 	x := target(t, r, "t0")
-	x.Heard(request.Load{Running: 9, Places: 10}, time.Second)
+	x.Heard(request.Load{Running: 9, Capacity: 10}, time.Second)
 	word := loads.Word{Load: request.Load{Running: 2, Slowdown: 3}, At: 900 * time.Millisecond}
 	r.Told(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
 	require.Equal(t, 9, x.reported.Running, "an older one")
@@ -221,7 +221,7 @@
 		if e.outcome == Failed {
 			continue
 		}
-		t.Heard(request.Load{Running: d.running[e.id], Places: simPlaces}, d.now)
+		t.Heard(request.Load{Running: d.running[e.id], Capacity: simPlaces}, d.now)
 	}
 	d.ends = left
 }
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -149,8 +149,8 @@
 	return n, true
 }
 
-// Final reports whether s is a final state.
-func (c *Chart) Final(s State) bool { return c.final[s] }
+// IsFinal reports whether s is a final state.
+func (c *Chart) IsFinal(s State) bool { return c.final[s] }
 
-// Name returns the name of s.
-func (c *Chart) Name(s State) string { return c.states[s] }
+// StateName returns the name of s.
+func (c *Chart) StateName(s State) string { return c.states[s] }
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -22,13 +22,13 @@
 	c, err := Parse("door", door)
 	require.NoError(t, err)
 	s := c.Initial()
-	assert.Equal(t, "closed", c.Name(s))
+	assert.Equal(t, "closed", c.StateName(s))
 	s, ok := c.Next(s, c.Event("open"))
 	assert.True(t, ok)
 	same, ok := c.Next(s, c.Event("lock"))
 	assert.False(t, ok, "an open door cannot be locked")
 	assert.Equal(t, s, same)
-	assert.True(t, c.Final(c.State("locked")))
+	assert.True(t, c.IsFinal(c.State("locked")))
 	assert.Panics(t, func() { c.Event("kick") })
 }
 
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -20,7 +20,7 @@
 		id := fmt.Sprintf("t%d", i)
 		r.Set(balance.Listed{ID: id, Service: "s", DataCentre: "dc", Places: 10})
 		t, _ := r.Target(id)
-		t.Heard(request.Load{Running: min(n, 10), Waiting: max(0, n-10), Places: 10}, now)
+		t.Heard(request.Load{Running: min(n, 10), Waiting: max(0, n-10), Capacity: 10}, now)
 	}
 	return New(r, DefaultLimits()), r
 }
--- a/core/host/admission.go
+++ b/core/host/admission.go
@@ -100,7 +100,7 @@
 	if !h.sched.Usable(h.now, svc.Name) {
 		return failure.Retry(failure.NoTarget, noTargetRetry, "no target of %s takes work", svc.Name)
 	}
-	expected := h.sched.Expect(svc.Name)
+	expected := h.sched.ExpectedWait(svc.Name)
 	if h.sched.Waiting(svc.Name) >= svc.QueueLimit {
 		return failure.Retry(failure.Overloaded, max(overloadedRetry, expected), "the queue of %s is full", svc.Name)
 	}
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -80,7 +80,7 @@
 func (f *flight) fire(ev chart.Event) {
 	next, ok := callChart.Next(f.state, ev)
 	if !ok {
-		panic(failure.New(failure.Internal, "call in state %s cannot take event %d", callChart.Name(f.state), ev))
+		panic(failure.New(failure.Internal, "call in state %s cannot take event %d", callChart.StateName(f.state), ev))
 	}
 	f.state = next
 }
@@ -247,7 +247,7 @@
 		Program: p.id, Sequence: f.accepted.Sequence, Service: f.accepted.Service,
 		Priority: f.then.Priority, Objective: objective,
 		Attained: p.spent, Prompt: f.accepted.PromptTokens, History: p.history, Output: f.accepted.MaxTokens,
-		Arrived: f.arrived, Begun: p.begun, NotBefore: f.item.NotBefore, Holder: holder, HolderTokens: held, Last: p.lastTarget(), Avoid: f.item.Avoid,
+		Arrived: f.arrived, Begun: p.begun, NotBefore: f.item.NotBefore, Holder: holder, HolderTokens: held, LastTarget: p.lastTarget(), AvoidTarget: f.item.AvoidTarget,
 	}
 	if !h.sched.Enqueue(&f.item, retry) {
 		h.fail(f, failure.Retry(failure.Overloaded, overloadedRetry, "no room in the queue of %s", f.accepted.Service))
@@ -334,7 +334,7 @@
 
 func (h *Host) transmit(f *flight, t *sched.Target) {
 	svc := h.set().Services[f.accepted.Service]
-	if svc.Kind == decl.Engine && h.sched.MakesRoom() {
+	if svc.Kind == decl.Engine && h.sched.EvictsCache() {
 		h.makeRoom(t, f.p.history+f.accepted.PromptTokens-f.p.heldAt(f.target))
 	}
 	f.sentAt = h.now
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -146,7 +146,7 @@
 		Budget: p.budget, Spent: p.spent, Reserved: p.reserved, Corrupt: p.corrupt,
 	}
 	if p.active != nil {
-		d.State = callChart.Name(p.active.state)
+		d.State = callChart.StateName(p.active.state)
 	}
 	if p.ended {
 		d.Ended = p.reason
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -97,7 +97,7 @@
 	h.stats.Retries++
 	f.fire(eventRetry)
 	f.item.NotBefore = h.now + sched.Backoff(h.rng, int(f.attempt))
-	f.item.Avoid = f.target
+	f.item.AvoidTarget = f.target
 	h.enqueue(f, true)
 }
 
@@ -130,7 +130,7 @@
 		g.Ran = failure.RanUnknown
 		why = &g
 	}
-	if f.finished == nil && callChart.Name(f.state) == "waiting" {
+	if f.finished == nil && callChart.StateName(f.state) == "waiting" {
 		f.fire(eventAdmit) // recovered, and given up before it was queued
 	}
 	f.fire(eventFail)
@@ -225,7 +225,7 @@
 			h.attemptTimedOut(f)
 		case (f.state == stateQueued || f.state == stateIntending) && f.deadline > 0 && h.now >= f.deadline:
 			h.sched.Remove(&f.item)
-			h.fail(f, failure.Retry(failure.DeadlineExceeded, max(overloadedRetry, h.sched.Expect(f.accepted.Service)), "the deadline passed in the queue"))
+			h.fail(f, failure.Retry(failure.DeadlineExceeded, max(overloadedRetry, h.sched.ExpectedWait(f.accepted.Service)), "the deadline passed in the queue"))
 		}
 	}
 	h.expirePrograms()
--- a/core/routing/customer.go
+++ b/core/routing/customer.go
@@ -67,8 +67,8 @@
 	return c, nil
 }
 
-// Holder returns the customer that holds a key.
-func (c *Customers) Holder(key KeyDigest) (*Customer, bool) {
+// ByKey returns the customer that holds a key.
+func (c *Customers) ByKey(key KeyDigest) (*Customer, bool) {
 	x, ok := c.byKey[key]
 	return x, ok
 }
--- a/core/routing/customer_test.go
+++ b/core/routing/customer_test.go
@@ -29,10 +29,10 @@
 	c, err := NewCustomers([]*Customer{a, {Name: "b"}})
 	require.NoError(t, err)
 	for _, key := range []string{"1", "2"} {
-		got, known := c.Holder(DigestKey(key))
+		got, known := c.ByKey(DigestKey(key))
 		require.True(t, known)
 		require.Same(t, a, got)
 	}
-	_, known := c.Holder(DigestKey(""))
+	_, known := c.ByKey(DigestKey(""))
 	require.False(t, known)
 }
--- a/core/routing/regions.go
+++ b/core/routing/regions.go
@@ -9,16 +9,16 @@
 	names []string
 }
 
-// In returns the regions of these names; everywhere where none is named.
-func In(names ...string) Regions {
+// NewRegions returns the regions of these names; everywhere where none is named.
+func NewRegions(names ...string) Regions {
 	return Regions{bound: len(names) > 0, names: names}
 }
 
-// Everywhere reports whether nothing bounds the regions.
-func (r Regions) Everywhere() bool { return !r.bound }
+// Unrestricted reports whether nothing bounds the regions.
+func (r Regions) Unrestricted() bool { return !r.bound }
 
-// And returns the regions that both allow, which may be none.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that both allow, which may be none.
+func (r Regions) Intersect(other Regions) Regions {
 	if !r.bound {
 		return other
 	}
--- a/core/routing/regions_test.go
+++ b/core/routing/regions_test.go
@@ -11,13 +11,13 @@
 		r       Regions
 		allowed []string
 	}{
-		"everywhere":   {In(), []string{"", "a", "b", "c"}},
-		"one":          {In("a"), []string{"a"}},
-		"of the route": {In("a", "b").And(In()), []string{"a", "b"}},
-		"of the other": {In().And(In("b")), []string{"b"}},
-		"of both":      {In("a", "b").And(In("c", "b")), []string{"b"}},
-		"nowhere":      {In("a").And(In("b")), nil},
-		"no name":      {In(""), nil},
+		"everywhere":   {NewRegions(), []string{"", "a", "b", "c"}},
+		"one":          {NewRegions("a"), []string{"a"}},
+		"of the route": {NewRegions("a", "b").Intersect(NewRegions()), []string{"a", "b"}},
+		"of the other": {NewRegions().Intersect(NewRegions("b")), []string{"b"}},
+		"of both":      {NewRegions("a", "b").Intersect(NewRegions("c", "b")), []string{"b"}},
+		"nowhere":      {NewRegions("a").Intersect(NewRegions("b")), nil},
+		"no name":      {NewRegions(""), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []string
@@ -29,6 +29,6 @@
 			require.Equal(t, c.allowed, got)
 		})
 	}
-	require.True(t, In().And(In()).Everywhere())
-	require.False(t, In("a").And(In("b")).Everywhere(), "nowhere is not everywhere")
+	require.True(t, NewRegions().Intersect(NewRegions()).Unrestricted())
+	require.False(t, NewRegions("a").Intersect(NewRegions("b")).Unrestricted(), "nowhere is not everywhere")
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -30,8 +30,8 @@
 // String implements fmt.Stringer.
 func (k Kind) String() string { return kindNames[k] }
 
-// Share is one service of a split route.
-type Share struct {
+// WeightedService is one service of a split route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -43,15 +43,15 @@
 	Prefix string
 	Kind   Kind
 	// Services is where requests go, chosen by weight.
-	Services []Share
+	Services []WeightedService
 	// Timeout bounds the time to the final answer; 0 means none.
 	Timeout time.Duration
-	// Objective is the time within which an answer earns its full value.
-	Objective time.Duration
+	// LatencyObjective is the time within which an answer earns its full value.
+	LatencyObjective time.Duration
 	// MaxGap is the longest pause between events that is still on time.
 	MaxGap time.Duration
-	// Attempts is the most targets that one request may be sent to.
-	Attempts int
+	// MaxAttempts is the most targets that one request may be sent to.
+	MaxAttempts int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// Sticky routes gain from reaching the target that served the object before.
@@ -69,7 +69,7 @@
 
 // Engine is what a service of model engines says of its engines.
 type Engine struct {
-	Places int
+	Capacity int
 	// CacheTokens is the memory of one engine, shared by running requests and cache.
 	CacheTokens int
 	// TokensPerEvent is the number of tokens in one event of a stream.
@@ -83,10 +83,10 @@
 	Name       string
 	HealthPath string
 	MaxConns   int
-	// ColdFor is how long a target is cold after its start, and ColdPerSecond the requests a
+	// ColdStartWindow is how long a target is cold after its start, and ColdPerSecond the requests a
 	// second that it bears then from all hosts together; 0 if there is no bound.
-	ColdFor       time.Duration
-	ColdPerSecond float64
+	ColdStartWindow time.Duration
+	ColdStartRate   float64
 	// Engine is nil for plain services.
 	Engine *Engine
 }
@@ -125,15 +125,15 @@
 	return t
 }
 
-// Require makes callers show a key of one of the customers. It is called before the table
+// RequireKeys makes callers show a key of one of the customers. It is called before the table
 // is in use.
-func (t *Table) Require(c *Customers) *Table {
+func (t *Table) RequireKeys(c *Customers) *Table {
 	t.customers = c
 	return t
 }
 
-// Keyed reports whether callers must show a key.
-func (t *Table) Keyed() bool { return t.customers != nil }
+// RequiresKey reports whether callers must show a key.
+func (t *Table) RequiresKey() bool { return t.customers != nil }
 
 // Customers returns the customers, nil where callers need no keys.
 func (t *Table) Customers() *Customers { return t.customers }
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -31,11 +31,11 @@
 }
 
 func TestChooseFollowsTheWeights(t *testing.T) {
-	r := &Route{Services: []Share{{"a", 90}, {"b", 0}, {"c", 10}}}
+	r := &Route{Services: []WeightedService{{"a", 90}, {"b", 0}, {"c", 10}}}
 	count := map[string]int{}
 	for i := range 1000 {
 		count[r.Choose(float64(i)/1000)]++
 	}
 	require.Equal(t, map[string]int{"a": 900, "c": 100}, count)
-	require.Equal(t, "z", (&Route{Services: []Share{{"z", 0}}}).Choose(0.5), "weights that are all zero")
+	require.Equal(t, "z", (&Route{Services: []WeightedService{{"z", 0}}}).Choose(0.5), "weights that are all zero")
 }
--- a/core/sched/policy.go
+++ b/core/sched/policy.go
@@ -15,9 +15,9 @@
 	// Choose picks a target from candidates, which is not empty. It returns
 	// nil when the item should rather wait in the queue.
 	Choose(it *Item, candidates []*Target) *Target
-	// MakesRoom says whether the cache of paused programs is dropped on
+	// EvictsCache says whether the cache of paused programs is dropped on
 	// purpose when a target's memory is full, or left to the target's LRU.
-	MakesRoom() bool
+	EvictsCache() bool
 }
 
 // The names of the policies.
@@ -64,7 +64,7 @@
 // leavesMemory is the part of the baselines that leaves memory to the targets.
 type leavesMemory struct{}
 
-func (leavesMemory) MakesRoom() bool { return false }
+func (leavesMemory) EvictsCache() bool { return false }
 
 type roundRobin struct {
 	leavesMemory
@@ -87,7 +87,7 @@
 func (stickyFCFS) Key(it *Item) float64 { return fcfs(it) }
 func (stickyFCFS) Choose(it *Item, candidates []*Target) *Target {
 	for _, t := range candidates {
-		if t.Decl.Name == it.Last {
+		if t.Decl.Name == it.LastTarget {
 			return t
 		}
 	}
@@ -100,27 +100,27 @@
 	// AttainedWeight is how long a program is put back in the queue per token
 	// of service it has had.
 	AttainedWeight time.Duration
-	// AttainedCap bounds the tokens counted, and with it the put-back.
-	AttainedCap int64
+	// MaxAttained bounds the tokens counted, and with it the put-back.
+	MaxAttained int64
 	// PriorityStep is the head start of one step of priority.
 	PriorityStep time.Duration
 	// RecomputeWeight multiplies the time to recompute a prefix, by objective.
 	LatencyRecompute, CacheRecompute float64
-	// Ahead is how many batches of calls may wait inside a target. They keep its
+	// MaxQueuedBatches is how many batches of calls may wait inside a target. They keep its
 	// places filled although word of a free place comes late; the target takes
 	// them by the same order as the queue here does.
-	Ahead int
+	MaxQueuedBatches int
 }
 
 // DefaultParameters returns the measured defaults.
 func DefaultParameters() Parameters {
 	return Parameters{
 		AttainedWeight:   300 * time.Microsecond,
-		AttainedCap:      100_000,
+		MaxAttained:      100_000,
 		PriorityStep:     2 * time.Second,
 		LatencyRecompute: 16,
 		CacheRecompute:   64,
-		Ahead:            4,
+		MaxQueuedBatches: 4,
 	}
 }
 
@@ -138,7 +138,7 @@
 // all that came since. A call is passed only by programs that began within the
 // put-back after its own, so none starves.
 func (d *Default) Key(it *Item) float64 {
-	putBack := time.Duration(min(it.Attained, d.p.AttainedCap)) * d.p.AttainedWeight
+	putBack := time.Duration(min(it.Attained, d.p.MaxAttained)) * d.p.AttainedWeight
 	headStart := time.Duration(it.Priority-decl.DefaultPriority) * d.p.PriorityStep
 	return float64(it.Begun + putBack - headStart)
 }
@@ -148,7 +148,7 @@
 	var best *Target
 	var bestCost float64
 	for _, t := range candidates {
-		if t.Load() >= t.Decl.Batch*(1+d.p.Ahead) {
+		if t.Load() >= t.Decl.Batch*(1+d.p.MaxQueuedBatches) {
 			continue
 		}
 		cost := d.cost(it, t)
@@ -159,8 +159,8 @@
 	return best
 }
 
-// MakesRoom implements Policy.
-func (d *Default) MakesRoom() bool { return true }
+// EvictsCache implements Policy.
+func (d *Default) EvictsCache() bool { return true }
 
 func (d *Default) cost(it *Item, t *Target) float64 {
 	recompute := d.p.LatencyRecompute
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -28,10 +28,10 @@
 	// Holder is the target that has the program's cache, of HolderTokens.
 	Holder       string
 	HolderTokens int64
-	// Last is the target that ran the program's last call.
-	Last string
-	// Avoid is the target at which the last attempt failed.
-	Avoid string
+	// LastTarget is the target that ran the program's last call.
+	LastTarget string
+	// AvoidTarget is the target at which the last attempt failed.
+	AvoidTarget string
 
 	key   float64
 	order uint64
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -49,7 +49,7 @@
 
 func TestDefaultWaitsInTheQueueWhenAllAreFull(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(2))
-	room := 2 * 2 * (1 + DefaultParameters().Ahead)
+	room := 2 * 2 * (1 + DefaultParameters().MaxQueuedBatches)
 	for i := range room + 1 {
 		require.True(t, s.Enqueue(item(i), false))
 	}
@@ -81,7 +81,7 @@
 	s.Enqueue(old, false)
 	p := DefaultParameters()
 	late := item(0)
-	late.Begun = time.Duration(p.AttainedCap)*p.AttainedWeight + time.Millisecond
+	late.Begun = time.Duration(p.MaxAttained)*p.AttainedWeight + time.Millisecond
 	s.Enqueue(late, false)
 	it, _ := s.Next(0)
 	assert.Equal(t, old, it, "a program that began after the greatest put-back does not pass")
@@ -107,7 +107,7 @@
 func TestRetryAvoidsTheTargetThatFailed(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(2))
 	it := item(0)
-	it.Avoid, it.Holder, it.HolderTokens, it.History = "t0", "t0", 5000, 5000
+	it.AvoidTarget, it.Holder, it.HolderTokens, it.History = "t0", "t0", 5000, 5000
 	s.Enqueue(it, true)
 	_, target := s.Next(0)
 	assert.Equal(t, "t1", target.Decl.Name)
@@ -171,7 +171,7 @@
 
 func TestPeersCountAsLoad(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(1))
-	s.SetPeer("h2", map[string]PeerLoad{"t0": {InFlight: 2 * (1 + DefaultParameters().Ahead)}})
+	s.SetPeer("h2", map[string]PeerLoad{"t0": {InFlight: 2 * (1 + DefaultParameters().MaxQueuedBatches)}})
 	s.Enqueue(item(0), false)
 	it, _ := s.Next(0)
 	assert.Nil(t, it)
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -37,8 +37,8 @@
 	return &Scheduler{policy: p, services: map[string]*service{}, targets: map[string]*Target{}, peers: map[string]map[string]PeerLoad{}}
 }
 
-// MakesRoom is the policy's answer of that name.
-func (s *Scheduler) MakesRoom() bool { return s.policy.MakesRoom() }
+// EvictsCache is the policy's answer of that name.
+func (s *Scheduler) EvictsCache() bool { return s.policy.EvictsCache() }
 
 // Apply replaces the declaration. Targets that stay keep their state; items of
 // services that are gone are returned.
@@ -107,9 +107,9 @@
 	return 0
 }
 
-// Expect estimates how long a new call of the service waits in the queue:
+// ExpectedWait estimates how long a new call of the service waits in the queue:
 // the waiting calls times the mean call time over all places.
-func (s *Scheduler) Expect(name string) time.Duration {
+func (s *Scheduler) ExpectedWait(name string) time.Duration {
 	svc, ok := s.services[name]
 	if !ok {
 		return 0
@@ -201,7 +201,7 @@
 	for _, t := range svc.targets {
 		switch {
 		case t.Decl.Leaving || t.Breaker.Open(now):
-		case t.Decl.Name == it.Avoid:
+		case t.Decl.Name == it.AvoidTarget:
 			avoided = t
 		default:
 			s.scratch = append(s.scratch, t)
--- a/ctl/player/engine.go
+++ b/ctl/player/engine.go
@@ -122,7 +122,7 @@
 }
 
 func (e *engine) load() request.Load {
-	return e.noise.say(request.Load{Running: len(e.running), Waiting: len(e.waiting), Places: e.s.Places})
+	return e.noise.say(request.Load{Running: len(e.running), Waiting: len(e.waiting), Capacity: e.s.Places})
 }
 
 // cancel drops a run whose sender has left.
@@ -201,7 +201,7 @@
 }
 
 func (p *plain) load() request.Load {
-	return p.noise.say(request.Load{Running: p.running, Waiting: len(p.waiting), Places: p.s.Places})
+	return p.noise.say(request.Load{Running: p.running, Waiting: len(p.waiting), Capacity: p.s.Places})
 }
 
 func (p *plain) submit(j *job) bool {
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -285,14 +285,16 @@
 	if err := json.Unmarshal(spec, &s); err != nil {
 		return nil, err
 	}
-	to := func(service string) []routing.Share { return []routing.Share{{Service: service, Weight: 1}} }
+	to := func(service string) []routing.WeightedService {
+		return []routing.WeightedService{{Service: service, Weight: 1}}
+	}
 	table := routing.NewTable(s.Version, routing.Limits{BodyBytes: 1 << 20},
-		[]*routing.Service{{Name: engineService, Engine: &routing.Engine{Places: 8, TokensPerEvent: eventTokens}}, {Name: plainService}},
+		[]*routing.Service{{Name: engineService, Engine: &routing.Engine{Capacity: 8, TokensPerEvent: eventTokens}}, {Name: plainService}},
 		[]*routing.Route{
-			{Name: "turn", Host: "x", Prefix: "/turn/", Kind: routing.Streaming, Services: to(engineService), Attempts: 2, Retained: true, Retention: retention, Timeout: s.Timeout},
-			{Name: "order", Host: "x", Prefix: "/order/", Kind: routing.AtMostOnce, Services: to(plainService), Attempts: 2, Timeout: s.Timeout},
-			{Name: "look", Host: "x", Prefix: "/look/", Services: to(plainService), Attempts: 2, Timeout: s.Timeout},
-			{Name: fmt.Sprintf("v%d", s.Version), Host: "x", Prefix: fmt.Sprintf("/v%d/", s.Version), Services: to(plainService), Attempts: 2},
+			{Name: "turn", Host: "x", Prefix: "/turn/", Kind: routing.Streaming, Services: to(engineService), MaxAttempts: 2, Retained: true, Retention: retention, Timeout: s.Timeout},
+			{Name: "order", Host: "x", Prefix: "/order/", Kind: routing.AtMostOnce, Services: to(plainService), MaxAttempts: 2, Timeout: s.Timeout},
+			{Name: "look", Host: "x", Prefix: "/look/", Services: to(plainService), MaxAttempts: 2, Timeout: s.Timeout},
+			{Name: fmt.Sprintf("v%d", s.Version), Host: "x", Prefix: fmt.Sprintf("/v%d/", s.Version), Services: to(plainService), MaxAttempts: 2},
 		})
 	if len(s.Customers) == 0 {
 		return table, nil
@@ -302,7 +304,7 @@
 		list = append(list, &s.Customers[i])
 	}
 	customers, err := routing.NewCustomers(list)
-	return table.Require(customers), err
+	return table.RequireKeys(customers), err
 }
 
 func (c *cluster) startEntry(e *entryHost) {
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -72,7 +72,7 @@
 // is not.
 func (h *Host) staleFor() time.Duration {
 	t := h.table.Load()
-	if h.Keys.MaxAge == 0 || t == nil || !t.Keyed() {
+	if h.Keys.MaxAge == 0 || t == nil || !t.RequiresKey() {
 		return 0
 	}
 	return max(0, h.configurationAge()-h.Keys.MaxAge)
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -12,13 +12,13 @@
 // by no repeat either.
 func (x *exchange) authorise() error {
 	t := x.host.table.Load()
-	if !t.Keyed() || x.route.Public {
+	if !t.RequiresKey() || x.route.Public {
 		return nil
 	}
 	if stale := x.host.staleFor(); stale > 0 {
 		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(stale), "the configuration was confirmed %d ms ago", x.host.configurationAge().Milliseconds())
 	}
-	customer, known := t.Customers().Holder(routing.DigestKey(x.call.Key))
+	customer, known := t.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
 	if known && (x.customer == nil || x.customer.Name == customer.Name) {
 		x.customer, x.customerVersion = customer, t.Version
 		return nil
@@ -42,13 +42,13 @@
 	if x.customer == nil {
 		return x.route.Regions
 	}
-	return x.route.Regions.And(x.customer.Regions)
+	return x.route.Regions.Intersect(x.customer.Regions)
 }
 
 // dataCentres is those of the regions. One whose region the settings do not name is in none.
 func (x *exchange) dataCentres() balance.Centres {
 	regions := x.regions()
-	if regions.Everywhere() {
+	if regions.Unrestricted() {
 		return nil
 	}
 	in := balance.Centres{}
@@ -66,7 +66,7 @@
 // tells nothing of what was said, stays with the common ones, so that it holds over all routes.
 func (x *exchange) keptAs() (program string, err error) {
 	regions := x.regions()
-	if !x.route.Retained || regions.Everywhere() {
+	if !x.route.Retained || regions.Unrestricted() {
 		return x.program(), nil
 	}
 	region, ok := x.host.History.RegionFor(x.host.Regions[x.host.DataCentre], regions.Allows)
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -18,10 +18,10 @@
 	c, err := routing.NewCustomers(customers)
 	require.NoError(s.t, err)
 	old := s.host.table.Load()
-	open := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.Share{{Service: "s", Weight: 1}}, Attempts: 2, Public: true}
+	open := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Public: true}
 	service, _ := old.Service("s")
 	routes := append(old.Routes(), open)
-	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, []*routing.Service{service}, routes).Require(c))
+	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, []*routing.Service{service}, routes).RequireKeys(c))
 	s.host.confirm(time.Now())
 }
 
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -71,7 +71,7 @@
 		}
 		x.host.Meter.Count("sends", "repeated", string(failure.From(err).Kind))
 		x.host.Log.Info("request sent again", "request", x.call.ID, "target", t.ID, "sends", x.sends, "error", err.Error())
-		if x.sends >= x.route.Attempts && !x.awaitRoom(ctx, worst) {
+		if x.sends >= x.route.MaxAttempts && !x.awaitRoom(ctx, worst) {
 			return worst
 		}
 	}
@@ -146,10 +146,10 @@
 // programLeft is the time that the program has left by now, below zero if it is late; zero
 // if its caller does not say.
 func (x *exchange) programLeft() time.Duration {
-	if x.call.ProgramLeft == 0 {
+	if x.call.ProgramTimeout == 0 {
 		return 0
 	}
-	return x.call.ProgramLeft - time.Since(x.began)
+	return x.call.ProgramTimeout - time.Since(x.began)
 }
 
 // unsent is the failure of a request that goes to no target.
@@ -159,7 +159,7 @@
 	}
 	x.host.Meter.Count("turned_away", "full")
 	x.host.Log.Info("program turned away", "request", x.call.ID, "program", x.call.Program, "service", x.service,
-		"load_percent", int(100*v.Load), "come_back_ms", v.ComeBack.Milliseconds(), "program_left_ms", x.call.ProgramLeft.Milliseconds())
+		"load_percent", int(100*v.Load), "come_back_ms", v.ComeBack.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
 	return failure.Retry(failure.Overloaded, v.ComeBack, "the engines of %s have a queue, load %.2f", x.service, v.Load)
 }
 
@@ -242,7 +242,7 @@
 	}
 	guarded, release := x.host.reach.guard(ctx, t)
 	defer release()
-	resp, err := x.send(guarded, t, x.call.LastEvent)
+	resp, err := x.send(guarded, t, x.call.LastEventID)
 	if err != nil {
 		return x.unanswered(ctx, t, err)
 	}
@@ -271,7 +271,7 @@
 // putBack ends a send that its target did not run.
 func (x *exchange) putBack(t balance.Listed, resp *targetpool.Response) (again bool, _ error) {
 	x.done(t.ID, refusal(resp.Answer))
-	if !resp.Answer.Moved {
+	if !resp.Answer.Misdirected {
 		x.room.refused(t.ID)
 	}
 	return true, failure.Retry(failure.TargetFull, retryLater, "target %s refused with %d", t.ID, resp.Status)
@@ -300,7 +300,7 @@
 }
 
 func refusal(a request.Answer) balance.Outcome {
-	if a.Moved {
+	if a.Misdirected {
 		return balance.Failed
 	}
 	return balance.Refused
@@ -332,10 +332,10 @@
 
 // outgoing builds the request to a target.
 func (x *exchange) outgoing(t balance.Listed, lastEvent string) *targetpool.Request {
-	header := x.host.Headers.Outgoing(x.r.Header, request.Send{
-		Target: t.ID, Left: max(leastLeft, time.Until(x.deadline)), LastEvent: lastEvent,
-		Urgency: min(leastUrgent, x.priority()), HasUrgency: x.engine != nil,
-		HideKey: x.host.table.Load().Keyed(), Customer: x.customerName(),
+	header := x.host.Headers.Outgoing(x.r.Header, request.SendOptions{
+		Instance: t.ID, Timeout: max(leastLeft, time.Until(x.deadline)), LastEventID: lastEvent,
+		Priority: min(leastUrgent, x.priority()), HasPriority: x.engine != nil,
+		HideKey: x.host.table.Load().RequiresKey(), Customer: x.customerName(),
 	})
 	stripHop(header)
 	idle := maxIdle
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -140,7 +140,7 @@
 	if s, ok := x.table.Service(x.service); ok {
 		x.engine = s.Engine
 	}
-	x.deadline = x.began.Add(patience(x.call.Left, route.Timeout))
+	x.deadline = x.began.Add(patience(x.call.Timeout, route.Timeout))
 	return x.readBody()
 }
 
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -188,10 +188,10 @@
 	s.startHistory(3)
 	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.past, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: quietLog(),
 		HistoryPatience: harnessPatience})
-	engine := &routing.Engine{Places: 4, TokensPerEvent: 3}
+	engine := &routing.Engine{Capacity: 4, TokensPerEvent: 3}
 	route := func(prefix string, r routing.Route) *routing.Route {
-		r.Host, r.Prefix, r.Services = "example", prefix, []routing.Share{{Service: "s", Weight: 1}}
-		r.Attempts = max(2, r.Attempts)
+		r.Host, r.Prefix, r.Services = "example", prefix, []routing.WeightedService{{Service: "s", Weight: 1}}
+		r.MaxAttempts = max(2, r.MaxAttempts)
 		return &r
 	}
 	s.host.SetTable(routing.NewTable(1, routing.Limits{BodyBytes: 1000}, []*routing.Service{{Name: "s", Engine: engine}}, []*routing.Route{
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -34,7 +34,7 @@
 // attempts of their route.
 func (x *exchange) hedgeDelay() (time.Duration, bool) {
 	twice := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
-	if !twice || x.room.waited > 0 || x.sends+2 > x.route.Attempts {
+	if !twice || x.room.waited > 0 || x.sends+2 > x.route.MaxAttempts {
 		return 0, false
 	}
 	h := x.host
@@ -99,7 +99,7 @@
 // it off.
 func (x *exchange) launch(ctx context.Context, t balance.Listed, replies chan<- *reply) context.CancelFunc {
 	guarded, release := x.host.reach.guard(ctx, t)
-	out := x.outgoing(t, x.call.LastEvent)
+	out := x.outgoing(t, x.call.LastEventID)
 	go func() {
 		r := &reply{target: t, sent: time.Now()}
 		r.resp, r.err = x.host.ask(guarded, t, out)
@@ -147,7 +147,7 @@
 		return r.err
 	case r.err == nil && r.resp.Answer.NotRun:
 		h.ended(r.target, refusal(r.resp.Answer))
-		if !r.resp.Answer.Moved {
+		if !r.resp.Answer.Misdirected {
 			x.room.refused(r.target.ID)
 		}
 		return failure.Retry(failure.TargetFull, retryLater, "target %s refused with %d", r.target.ID, r.resp.Status)
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -35,7 +35,7 @@
 	defer h.mu.Unlock()
 	for _, id := range []string{"t1", "t2", "t3"} {
 		if t, ok := h.registry.Target(id); ok {
-			t.Heard(request.Load{Places: 4, Slowdown: 1}, h.now())
+			t.Heard(request.Load{Capacity: 4, Slowdown: 1}, h.now())
 		}
 	}
 	h.hedger = hedge.New()
@@ -124,7 +124,7 @@
 	s := newSystem(t, newTarget(t, "t1", nil), newTarget(t, "t2", nil))
 	s.uneven(5)
 	call := func(change func(*exchange)) bool {
-		x := &exchange{host: s.host, service: "s", deadline: time.Now().Add(time.Hour), route: &routing.Route{Attempts: 2}}
+		x := &exchange{host: s.host, service: "s", deadline: time.Now().Add(time.Hour), route: &routing.Route{MaxAttempts: 2}}
 		change(x)
 		_, ok := x.hedgeDelay()
 		return ok
@@ -137,7 +137,7 @@
 		"at most once":             func(x *exchange) { x.route.Kind = routing.AtMostOnce },
 		"a stream":                 func(x *exchange) { x.route.Kind = routing.Streaming },
 		"a prompt":                 func(x *exchange) { x.call.PromptTokens = 1 },
-		"one attempt":              func(x *exchange) { x.route.Attempts = 1 },
+		"one attempt":              func(x *exchange) { x.route.MaxAttempts = 1 },
 		"the last attempt":         func(x *exchange) { x.sends = 1 },
 		"after a wait for room":    func(x *exchange) { x.room.waited = time.Millisecond },
 		"less time than the delay": func(x *exchange) { x.deadline = time.Now() },
@@ -346,7 +346,7 @@
 	moved := away.Listed
 	moved.DataCentre = "dc2"
 	h.registry.Set(moved)
-	home.Heard(request.Load{Running: 4, Waiting: 40, Places: 4, Slowdown: 1.5}, h.now())
+	home.Heard(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
 	line := out.first()
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -28,7 +28,7 @@
 	// Call decodes a caller's request; the failure is of kind BadRequest.
 	Call(http.Header) (request.Call, error)
 	// Outgoing returns the headers of a request to a target.
-	Outgoing(in http.Header, s request.Send) http.Header
+	Outgoing(in http.Header, s request.SendOptions) http.Header
 	// Answer decodes the head of a target's answer.
 	Answer(status int, h http.Header) request.Answer
 	// RetryAfter tells a caller when to come back.
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -189,7 +189,7 @@
 	h.mu.Lock()
 	x, _ := h.registry.Target("x")
 	for range 10 {
-		x.Heard(request.Load{Running: 1, Places: 4, Slowdown: 1.5}, h.now())
+		x.Heard(request.Load{Running: 1, Capacity: 4, Slowdown: 1.5}, h.now())
 	}
 	h.mu.Unlock()
 	h.teller.step(t.Context())
--- a/daemon/entry/plain.go
+++ b/daemon/entry/plain.go
@@ -33,7 +33,7 @@
 		x.took(time.Since(x.sent))
 	} else {
 		x.done(t.ID, balance.Failed)
-		if x.repeatable() && x.sends < x.route.Attempts && x.hasOther() {
+		if x.repeatable() && x.sends < x.route.MaxAttempts && x.hasOther() {
 			return true, failure.Unknown(failure.TargetFailed, "target %s answered %d", t.ID, resp.Status)
 		}
 	}
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -39,26 +39,26 @@
 		}
 		routes = append(routes, &bound)
 	}
-	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, old.Services(), routes).Require(old.Customers()))
+	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, old.Services(), routes).RequireKeys(old.Customers()))
 	s.host.confirm(time.Now())
 }
 
 func TestBoundRequestsAreServedInTheirRegionsOnly(t *testing.T) {
 	s, north, south := regional(t, answering)
 	a := customer("a")
-	a.Regions = routing.In("north")
+	a.Regions = routing.NewRegions("north")
 	s.keyed(a, customer("b"))
 	for name, c := range map[string]struct {
 		regions routing.Regions
 		key     string
 		by      *target
 	}{
-		"route":              {routing.In("south"), "b-key", south},
-		"route, near":        {routing.In("north"), "b-key", north},
-		"customer":           {routing.In(), "a-key", north},
-		"both":               {routing.In("south", "north"), "a-key", north},
-		"both, nowhere":      {routing.In("south"), "a-key", nil},
-		"a region not known": {routing.In("west"), "b-key", nil},
+		"route":              {routing.NewRegions("south"), "b-key", south},
+		"route, near":        {routing.NewRegions("north"), "b-key", north},
+		"customer":           {routing.NewRegions(), "a-key", north},
+		"both":               {routing.NewRegions("south", "north"), "a-key", north},
+		"both, nowhere":      {routing.NewRegions("south"), "a-key", nil},
+		"a region not known": {routing.NewRegions("west"), "b-key", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s.bind("/once/", c.regions)
@@ -82,7 +82,7 @@
 // in others.
 func TestLoadCountsInTheRegionsOfTheRequest(t *testing.T) {
 	s, north, south := regional(t, answering)
-	s.bind("/quick/", routing.In("north"))
+	s.bind("/quick/", routing.NewRegions("north"))
 	x, _ := s.host.registry.Target("north")
 	for range 6 {
 		x.Sent(nil, s.host.now())
@@ -120,7 +120,7 @@
 		return streamed(id, 0, "answer"+strconv.Itoa(n)), false
 	})
 	north, south := s.newRegions()
-	s.bind("/turn/", routing.In("south"))
+	s.bind("/turn/", routing.NewRegions("south"))
 	var outside, inside []*atomic.Int64
 	for _, m := range north {
 		outside = append(outside, m.told("secret"))
@@ -153,7 +153,7 @@
 func TestTurnsThatNoRegionMayKeepAreRefusedAtOnce(t *testing.T) {
 	s, north, south := regional(t, answering)
 	s.newRegions()
-	s.bind("/turn/", routing.In("west"))
+	s.bind("/turn/", routing.NewRegions("west"))
 	require.Equal(t, http.StatusServiceUnavailable, s.turn("/turn/", "t", "", "secret").status)
 	require.Empty(t, north.requests())
 	require.Empty(t, south.requests())
@@ -164,7 +164,7 @@
 	s, north, _ := regional(t, func(_ int, _ received, id string) (string, bool) { return streamed(id, 0, "a"), false })
 	s.newRegions()
 	require.Equal(t, http.StatusOK, s.turn("/turn/", "t0", "", "first").status)
-	s.bind("/turn/", routing.In("north"))
+	s.bind("/turn/", routing.NewRegions("north"))
 	require.Equal(t, http.StatusOK, s.turn("/turn/", "t1", "t0", "second").status)
 	requests := north.requests()
 	require.Equal(t, "firsta\nsecond", requests[len(requests)-1].Body)
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -74,11 +74,11 @@
 	h := New(Options{Headers: ownheaders.Headers{}, History: quorum.New(p, "dc1", quietLog(), nil), Dialer: p, DataCentre: "dc1",
 		Log: quietLog(), MemoryBytes: smallMemory, Meter: m})
 	route := func(prefix string, r routing.Route) *routing.Route {
-		r.Host, r.Prefix, r.Services = "example", prefix, []routing.Share{{Service: "s", Weight: 1}}
-		r.Attempts, r.Timeout = 2, slowTimeout
+		r.Host, r.Prefix, r.Services = "example", prefix, []routing.WeightedService{{Service: "s", Weight: 1}}
+		r.MaxAttempts, r.Timeout = 2, slowTimeout
 		return &r
 	}
-	h.SetTable(routing.NewTable(1, routing.Limits{}, []*routing.Service{{Name: "s", Engine: &routing.Engine{Places: 4}}}, []*routing.Route{
+	h.SetTable(routing.NewTable(1, routing.Limits{}, []*routing.Service{{Name: "s", Engine: &routing.Engine{Capacity: 4}}}, []*routing.Route{
 		route("/plain/", routing.Route{}),
 		route("/once/", routing.Route{Kind: routing.AtMostOnce}),
 		route("/quick/", routing.Route{Kind: routing.Streaming, Resumable: true}),
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -94,7 +94,7 @@
 		Ready: h.Ready(), Draining: h.draining.Load(), ConfigVersion: h.configVersion(), ConfigAgeMs: h.configAge().Milliseconds(),
 		Routes: routesOf(h.table.Load()), History: h.History.State(), ConfirmedMs: h.confirmedMs(),
 	}
-	if t := h.table.Load(); t != nil && t.Keyed() {
+	if t := h.table.Load(); t != nil && t.RequiresKey() {
 		s.Customers = len(t.Customers().Names())
 	}
 	s.Active, s.ActiveLimit, s.Held = h.held.active(), h.held.limit(), h.held.state()
@@ -113,7 +113,7 @@
 	list := make([]RouteState, 0, len(t.Routes()))
 	for _, r := range t.Routes() {
 		s := RouteState{
-			Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind.String(), Attempts: r.Attempts,
+			Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind.String(), Attempts: r.MaxAttempts,
 			TimeoutMs: r.Timeout.Milliseconds(), Priority: r.Priority,
 		}
 		for _, share := range r.Services {
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -16,7 +16,7 @@
 // stream passes events on as they come. A stream that breaks is resumed at other
 // targets where the route allows it.
 func (x *exchange) stream(ctx context.Context, t balance.Listed, resp *targetpool.Response) (again bool, err error) {
-	last := x.call.LastEvent
+	last := x.call.LastEventID
 	for {
 		err = x.pump(ctx, resp, &last)
 		if err == nil {
@@ -116,7 +116,7 @@
 // resume sends the request to another target, after the last event passed on. The
 // caller releases the guard of the new target.
 func (x *exchange) resume(ctx context.Context, last string) (balance.Listed, *targetpool.Response, context.CancelFunc, error) {
-	for x.sends < x.route.Attempts {
+	for x.sends < x.route.MaxAttempts {
 		t, err := x.pick()
 		if err != nil {
 			return balance.Listed{}, nil, nil, err
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -44,7 +44,7 @@
 // retention is how long the program is kept after this turn: also while a next turn runs that
 // begins at its end.
 func (x *exchange) retention() time.Duration {
-	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramLeft)
+	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
 	return keep + x.host.History.Outlast(patience(0, x.route.Timeout))
 }
 
@@ -118,7 +118,7 @@
 		return err
 	}
 	x.learn(past.Ran)
-	x.underWay = x.call.Previous != "" || past.Usage.Without(x.call.ID) > 0
+	x.underWay = x.call.PreviousTurn != "" || past.Usage.Without(x.call.ID) > 0
 	return t.prepend(ctx, past.Chain, past.Elsewhere)
 }
 
@@ -128,7 +128,7 @@
 	x := t.x
 	previous := ""
 	if x.route.Retained {
-		previous = x.owned(x.call.Previous)
+		previous = x.owned(x.call.PreviousTurn)
 	}
 	if t.kept == x.program() || previous == "" {
 		return x.host.History.Read(ctx, x.program(), previous, x.ownParts()...)
@@ -150,13 +150,13 @@
 func (t *turn) afford(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
 	call := &t.x.call
 	for end := time.Now().Add(settlementWait); ; {
-		if call.Budget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.Budget) {
+		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
 			return past, nil
 		}
-		wait := past.Usage.Settled(call.ID)+call.MaxTokens <= call.Budget && time.Now().Before(end)
+		wait := past.Usage.Settled(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(end)
 		if !wait || !sleep(ctx, settlementPoll) {
 			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
-				past.Usage.Without(call.ID), call.Budget, call.MaxTokens)
+				past.Usage.Without(call.ID), call.TokenBudget, call.MaxTokens)
 		}
 		newer, err := t.x.host.History.Read(ctx, t.x.program(), "")
 		if err != nil {
@@ -252,7 +252,7 @@
 	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(began)) }()
 	content := append(append([]byte(nil), t.input...), t.output...)
 	records := []*historypb.Record{t.settlement(), {Change: &historypb.Record_Turn{
-		Turn: &historypb.Turn{Turn: t.x.owned(t.x.call.ID), Previous: t.x.owned(t.x.call.Previous), Content: content},
+		Turn: &historypb.Turn{Turn: t.x.owned(t.x.call.ID), Previous: t.x.owned(t.x.call.PreviousTurn), Content: content},
 	}}}
 	if t.kept != t.x.program() {
 		// The settlement beside the turn only makes all replicas there keep the turns before it.
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -95,7 +95,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range t.Services() {
-		h.registry.Declare(s.Name, balance.ColdStart{Lasts: s.ColdFor, PerSecond: s.ColdPerSecond})
+		h.registry.Declare(s.Name, balance.ColdStart{Lasts: s.ColdStartWindow, PerSecond: s.ColdStartRate})
 	}
 }
 
--- a/wire/ownheaders/ownheaders.go
+++ b/wire/ownheaders/ownheaders.go
@@ -35,12 +35,12 @@
 
 // Call decodes a caller's request. The failure is of kind BadRequest.
 func (Headers) Call(h http.Header) (request.Call, error) {
-	c := request.Call{ID: h.Get(ID), Program: h.Get(Program), Previous: h.Get(Previous), LastEvent: h.Get(LastEvent), Key: h.Get(Key)}
+	c := request.Call{ID: h.Get(ID), Program: h.Get(Program), PreviousTurn: h.Get(Previous), LastEventID: h.Get(LastEvent), CustomerKey: h.Get(Key)}
 	if c.ID == "" {
 		return c, failure.New(failure.BadRequest, "no %s", ID)
 	}
 	left := int64(0)
-	for name, to := range map[string]*int64{Left: &left, Budget: &c.Budget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
+	for name, to := range map[string]*int64{Left: &left, Budget: &c.TokenBudget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
 		v := h.Get(name)
 		if v == "" {
 			continue
@@ -51,17 +51,17 @@
 		}
 		*to = n
 	}
-	c.Left = time.Duration(left) * time.Millisecond
+	c.Timeout = time.Duration(left) * time.Millisecond
 	return c, nil
 }
 
 // Outgoing returns the headers of a request to a target.
-func (Headers) Outgoing(in http.Header, s request.Send) http.Header {
+func (Headers) Outgoing(in http.Header, s request.SendOptions) http.Header {
 	out := in.Clone()
-	out.Set(Target, s.Target)
-	out.Set(Left, strconv.FormatInt(s.Left.Milliseconds(), 10))
-	if s.LastEvent != "" {
-		out.Set(LastEvent, s.LastEvent)
+	out.Set(Target, s.Instance)
+	out.Set(Left, strconv.FormatInt(s.Timeout.Milliseconds(), 10))
+	if s.LastEventID != "" {
+		out.Set(LastEvent, s.LastEventID)
 	}
 	if s.HideKey {
 		out.Del(Key)
@@ -77,7 +77,7 @@
 func (Headers) Answer(status int, h http.Header) request.Answer {
 	return request.Answer{
 		ID: h.Get(ID), Signed: h.Get(Signature) != "", NotRun: h.Get(NotRun) != "",
-		Moved: status == http.StatusMisdirectedRequest,
+		Misdirected: status == http.StatusMisdirectedRequest,
 	}
 }
 
--- a/wire/targetpool/exchange.go
+++ b/wire/targetpool/exchange.go
@@ -174,8 +174,8 @@
 			}
 			continue
 		}
-		if answer.IdleFor > 0 {
-			x.conn.keep = max(0, answer.IdleFor-idleMargin)
+		if answer.IdleTimeout > 0 {
+			x.conn.keep = max(0, answer.IdleTimeout-idleMargin)
 		}
 		return &Response{
 			Status: resp.StatusCode, Header: resp.Header, Answer: answer,
