--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -93,7 +93,7 @@
 	out, err := io.ReadAll(resp.Body)
 	require.NoError(b, err)
 	_ = resp.Body.Close()
-	require.True(b, strings.Contains(string(out), target.Done))
+	require.True(b, strings.Contains(string(out), target.DoneMarker))
 }
 
 // call makes the first call of a program, so that no history grows.
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -322,7 +322,7 @@
 	slots := relay.NewSource(e.name, store, e.past, logger()).Patient(relay.StartPatience)
 	followConfig := objects.Follow
 	if c.keyed {
-		followConfig = objects.FollowClosely
+		followConfig = objects.FollowFastRetry
 	}
 	go followConfig(ctx, source(), configKind, c.configWatch(600*time.Millisecond), entry.NewConfigView(e.host, configName, decodeTable))
 	go objects.Follow(ctx, source(), targetKind, watchFor, entry.NewTargetView(e.host, decodeTarget))
--- a/ctl/standin/engine.go
+++ b/ctl/standin/engine.go
@@ -218,7 +218,7 @@
 	}
 	e.mu.Lock()
 	refuse, f := e.faults.Refuse, e.faults
-	slot, epoch := splitFence(r.Header.Get(target.FenceHeader))
+	slot, epoch := splitFence(r.Header.Get(target.FencingTokenHeader))
 	stale := epoch < e.fences[slot]
 	e.fences[slot] = max(e.fences[slot], epoch)
 	e.mu.Unlock()
@@ -314,7 +314,7 @@
 	}
 	e.end(number, c.Program, prompt, output)
 	_ = out.Encode(target.CompletionChunk{ID: id, Usage: &target.CompletionUsage{PromptTokens: prompt, CompletionTokens: output, CachedTokens: cached}})
-	_, _ = w.Write([]byte("data: " + target.Done + "\n\n"))
+	_, _ = w.Write([]byte("data: " + target.DoneMarker + "\n\n"))
 }
 
 // sse frames each JSON value as an event.
--- a/ctl/standin/engine_cache.go
+++ b/ctl/standin/engine_cache.go
@@ -40,7 +40,7 @@
 		http.Error(w, "lost", http.StatusInternalServerError)
 		return
 	}
-	slot, epoch := splitFence(r.Header.Get(target.FenceHeader))
+	slot, epoch := splitFence(r.Header.Get(target.FencingTokenHeader))
 	if epoch < e.fences[slot] && e.cfg.ChecksFencing && !e.faults.IgnoreFencing {
 		http.Error(w, "old fencing token", http.StatusPreconditionFailed)
 		return
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -63,13 +63,13 @@
 // start follows all that the host needs until the context ends; it returns the sources by kind.
 func (f follower) start(ctx context.Context, host *entry.Host) map[string]*relay.Source {
 	config, targets, slots := f.source(), f.source(), f.slots()
-	targets.Holding(f.set.Host, f.set.DataCentre, platform.TargetGroup)
+	targets.Holding(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
 	followConfig := objects.Follow
 	if f.set.KeyRemoval > 0 {
-		followConfig = objects.FollowClosely
+		followConfig = objects.FollowFastRetry
 	}
-	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.Table))
-	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.Target).Holding(targets.Steps))
+	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
+	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).Holding(targets.Steps))
 	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, f.past)
 	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.Kind: slots}
 	if f.set.Evacuation > 0 {
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -58,7 +58,7 @@
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
 		{Name: platform.ConfigKind, Wait: set.RelayedConfigWatch(), Renew: set.KeyRemoval > 0},
-		{Name: platform.TargetKind, Wait: set.WatchFor(), Pace: targetPace, GroupOf: platform.TargetGroup},
+		{Name: platform.TargetKind, Wait: set.WatchFor(), Pace: targetPace, GroupOf: platform.DecodeTargetGroup},
 		{Name: platform.EvacuationKind, Wait: set.WatchFor()},
 		{Name: platform.RetirementKind, Wait: set.WatchFor()},
 		{Name: history.Kind, Wait: set.WatchFor()},
--- a/daemon/cmd/pistachiod/role.go
+++ b/daemon/cmd/pistachiod/role.go
@@ -109,7 +109,7 @@
 func peerDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         connectTimeout,
-		Control:         tcpopt.UnackedLimit(unackedLimit),
+		Control:         tcpopt.UserTimeout(unackedLimit),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2},
 	}
 }
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -176,7 +176,7 @@
 		v.host.Log.Info("target listed", "target", l.ID, "service", l.Service, "draining", l.Draining, "born", l.Born, "cold_ms", l.Cold.Milliseconds(), "renewed", renewed)
 	}
 	if renewed {
-		v.host.pool.Forget(old.Address)
+		v.host.pool.CloseIdle(old.Address)
 		v.host.reach.renewed(l.ID)
 	}
 }
--- a/daemon/history/keeper.go
+++ b/daemon/history/keeper.go
@@ -85,8 +85,8 @@
 		peers: newPeers(dialer), logger: logger, started: time.Now(), pause: pauseOf(self.ID), reported: map[string]bool{},
 	}
 	k.peers.pool.TrafficOf = k.trafficOf
-	k.peers.near.Serve(server.meter, "peers_near")
-	k.peers.far.Serve(server.meter, "peers_far")
+	k.peers.near.Register(server.meter, "peers_near")
+	k.peers.far.Register(server.meter, "peers_far")
 	server.refresh = k.refresh
 	if store != nil {
 		k.kept = newKept(store, self.ID, k.started, server.epoch, logger)
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -10,7 +10,7 @@
 
 // gauges serves what the member holds.
 func (s *Server) gauges() {
-	s.traffic.Serve(s.meter, "served")
+	s.traffic.Register(s.meter, "served")
 	s.meter.Gauge("programs", func() int64 { return int64(s.held().programs) })
 	s.meter.Gauge("turns_bytes", func() int64 { return s.held().bytes })
 	s.meter.Gauge("slot_map_epoch", func() int64 { return int64(s.held().epoch) })
--- a/daemon/quorum/quorum.go
+++ b/daemon/quorum/quorum.go
@@ -108,7 +108,7 @@
 			delete(c.health, id)
 		}
 	}
-	c.pool.Keep(wanted)
+	c.pool.CloseExcept(wanted)
 }
 
 // Replaced implements objects.Listener.
@@ -157,7 +157,7 @@
 // Patient lets members be silent for longer than a deployment's may, and calls take as long,
 // before the client is used: for tests, on machines that are busy with other work.
 func (c *Client) Patient(d time.Duration) {
-	c.pool.Silence, c.callTimeout = d, d
+	c.pool.SilenceTimeout, c.callTimeout = d, d
 }
 
 // scatter sends a request to each of the members and returns their answers as
--- a/daemon/quorum/traffic.go
+++ b/daemon/quorum/traffic.go
@@ -11,8 +11,8 @@
 }
 
 func (t *traffic) serve(m *meter.Meter) {
-	t.near.Serve(m, "history_near")
-	t.far.Serve(m, "history_far")
+	t.near.Register(m, "history_near")
+	t.far.Register(m, "history_far")
 }
 
 // trafficOf returns what counts the bytes of calls to an address. One that no member has
--- a/daemon/relay/view.go
+++ b/daemon/relay/view.go
@@ -86,10 +86,10 @@
 	v.stop, v.opening = stop, true
 	v.logger.Info("relay follows the platform", "kind", v.kind.Name)
 	if v.kind.Renew {
-		go objects.FollowClosely(ctx, v.source, v.kind.Name, v.kind.Wait, v)
+		go objects.FollowFastRetry(ctx, v.source, v.kind.Name, v.kind.Wait, v)
 		return
 	}
-	go objects.FollowPaced(ctx, v.source, v.kind.Name, v.kind.Wait, v.kind.Pace, v)
+	go objects.FollowThrottled(ctx, v.source, v.kind.Name, v.kind.Wait, v.kind.Pace, v)
 }
 
 // sound reports whether the view may be told; the caller holds mu.
--- a/wire/objects/follow.go
+++ b/wire/objects/follow.go
@@ -40,15 +40,15 @@
 	follow(ctx, store, kind, timing{wait: wait, retry: retryMost}, to)
 }
 
-// FollowPaced is Follow for kinds that change all the time: watches that tell changes end no
+// FollowThrottled is Follow for kinds that change all the time: watches that tell changes end no
 // faster than one in each pace, so that the calls do not grow with the number of changes.
-func FollowPaced(ctx context.Context, store Reader, kind string, wait, pace time.Duration, to Listener) {
+func FollowThrottled(ctx context.Context, store Reader, kind string, wait, pace time.Duration, to Listener) {
 	follow(ctx, store, kind, timing{wait: wait, retry: retryMost, pace: pace}, to)
 }
 
-// FollowClosely is Follow for what must be known to be new: a store that fails is asked again
+// FollowFastRetry is Follow for what must be known to be new: a store that fails is asked again
 // every 0.1 s.
-func FollowClosely(ctx context.Context, store Reader, kind string, wait time.Duration, to Listener) {
+func FollowFastRetry(ctx context.Context, store Reader, kind string, wait time.Duration, to Listener) {
 	follow(ctx, store, kind, timing{wait: wait, retry: retryClosely}, to)
 }
 
--- a/wire/rpc/pool.go
+++ b/wire/rpc/pool.go
@@ -8,9 +8,9 @@
 // Pool keeps one Client for each address. Safe for concurrent use.
 type Pool struct {
 	dialer Dialer
-	// Silence is how long a member may be silent while calls wait for it; it is set before the
+	// SilenceTimeout is how long a member may be silent while calls wait for it; it is set before the
 	// first use.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// TrafficOf returns what counts the bytes of the calls to an address; it may be nil, and
 	// is set before the first use.
 	TrafficOf func(address string) *Traffic
@@ -21,7 +21,7 @@
 
 // NewPool returns an empty pool.
 func NewPool(dialer Dialer) *Pool {
-	return &Pool{dialer: dialer, Silence: silenceLimit, clients: map[string]*Client{}}
+	return &Pool{dialer: dialer, SilenceTimeout: silenceLimit, clients: map[string]*Client{}}
 }
 
 // Client returns the client of the member at address.
@@ -37,7 +37,7 @@
 
 func (p *Pool) add(address string) *Client {
 	c := NewClient(address, p.dialer)
-	c.silence = p.Silence
+	c.silence = p.SilenceTimeout
 	if p.TrafficOf != nil {
 		c.traffic = p.TrafficOf(address) // without mu: it may wait for who calls Keep
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Keep closes the clients of all other addresses.
-func (p *Pool) Keep(addresses map[string]bool) {
+// CloseExcept closes the clients of all other addresses.
+func (p *Pool) CloseExcept(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, c := range p.clients {
@@ -72,4 +72,4 @@
 }
 
 // Close closes all clients.
-func (p *Pool) Close() { p.Keep(nil) }
+func (p *Pool) Close() { p.CloseExcept(nil) }
--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -123,7 +123,7 @@
 	p := NewPool(&net.Dialer{})
 	a, b := p.Client("a"), p.Client("b")
 	require.Same(t, a, p.Client("a"))
-	p.Keep(map[string]bool{"b": true})
+	p.CloseExcept(map[string]bool{"b": true})
 	require.NotSame(t, a, p.Client("a"))
 	require.Same(t, b, p.Client("b"))
 	p.Close()
--- a/wire/rpc/traffic.go
+++ b/wire/rpc/traffic.go
@@ -114,14 +114,14 @@
 // Received is the bytes of a kind that came in.
 func (t *Traffic) Received(k Kind) int64 { return t.received[k].Load() }
 
-// Gauges is what serves numbers; *meter.Meter is one.
-type Gauges interface {
+// GaugeRegistry is what serves numbers; *meter.Meter is one.
+type GaugeRegistry interface {
 	Gauge(name string, read func() int64)
 }
 
-// Serve shows the counters as prefix_kind_calls, prefix_kind_sent_bytes and
+// Register shows the counters as prefix_kind_calls, prefix_kind_sent_bytes and
 // prefix_kind_received_bytes.
-func (t *Traffic) Serve(g Gauges, prefix string) {
+func (t *Traffic) Register(g GaugeRegistry, prefix string) {
 	for _, k := range Kinds() {
 		name := prefix + "_" + k.String()
 		g.Gauge(name+"_calls", func() int64 { return t.Calls(k) })
--- a/wire/target/target.go
+++ b/wire/target/target.go
@@ -35,9 +35,9 @@
 
 // Headers of a request to a target.
 const (
-	CallHeader       = "X-Call-Id"
-	FenceHeader      = "X-Fencing-Token" // "<slot>:<epoch>"
-	NotStartedHeader = "X-Not-Started"
+	CallHeader         = "X-Call-Id"
+	FencingTokenHeader = "X-Fencing-Token" // "<slot>:<epoch>"
+	NotStartedHeader   = "X-Not-Started"
 )
 
 // maxAnswerBytes bounds an answer, maxLineBytes a line of its stream.
@@ -90,8 +90,8 @@
 	Programs []string `json:"programs"`
 }
 
-// Done is the last data line of a stream.
-const Done = "[DONE]"
+// DoneMarker is the last data line of a stream.
+const DoneMarker = "[DONE]"
 
 // Client talks to targets.
 type Client struct{ http *http.Client }
@@ -109,7 +109,7 @@
 		return done
 	}
 	req.Header.Set(CallHeader, s.Call.ID())
-	req.Header.Set(FenceHeader, Fence(s.Slot, s.Epoch))
+	req.Header.Set(FencingTokenHeader, FencingToken(s.Slot, s.Epoch))
 	resp, err := c.http.Do(req.WithContext(ctx))
 	if err != nil {
 		done.Outcome, done.Detail = outcomeOf(err), err.Error()
@@ -136,8 +136,8 @@
 	return done
 }
 
-// Fence is the fencing token of a slot's epoch.
-func Fence(slot ident.Slot, epoch uint64) string { return slot.String() + ":" + api.Itoa(epoch) }
+// FencingToken is the fencing token of a slot's epoch.
+func FencingToken(slot ident.Slot, epoch uint64) string { return slot.String() + ":" + api.Itoa(epoch) }
 
 func request(s *host.Send) (*http.Request, error) {
 	base := sling.New().Base(strings.TrimSuffix(s.Target.URL, "/") + "/")
@@ -216,7 +216,7 @@
 		if !ok {
 			continue
 		}
-		if data == Done {
+		if data == DoneMarker {
 			if whole {
 				done.Answer = []byte(text.String())
 				return
@@ -250,7 +250,7 @@
 func (c *Client) Release(ctx context.Context, r *host.Release) *host.ReleaseDone {
 	done := &host.ReleaseDone{Target: r.Target.Name, Program: r.Program}
 	s := sling.New().Base(strings.TrimSuffix(r.Target.URL, "/")+"/").Delete("v1/cache/"+url.PathEscape(string(r.Program))).
-		Set(FenceHeader, Fence(r.Slot, r.Epoch))
+		Set(FencingTokenHeader, FencingToken(r.Slot, r.Epoch))
 	req, err := s.Request()
 	if err != nil {
 		return done
--- a/wire/targetpool/bytes.go
+++ b/wire/targetpool/bytes.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Bytes counts what goes to targets and comes from them. Safe for concurrent use; a nil
-// *Bytes counts nothing.
-type Bytes struct {
+// ByteCounter counts what goes to targets and comes from them. Safe for concurrent use; a nil
+// *ByteCounter counts nothing.
+type ByteCounter struct {
 	sent, received atomic.Int64
 }
 
 // Sent is the bytes that went out.
-func (b *Bytes) Sent() int64 { return b.sent.Load() }
+func (b *ByteCounter) Sent() int64 { return b.sent.Load() }
 
 // Received is the bytes that came in.
-func (b *Bytes) Received() int64 { return b.received.Load() }
+func (b *ByteCounter) Received() int64 { return b.received.Load() }
 
 // Read implements net.Conn; it counts for the exchange under way.
 func (c *conn) Read(p []byte) (int, error) {
--- a/wire/targetpool/bytes_test.go
+++ b/wire/targetpool/bytes_test.go
@@ -12,10 +12,10 @@
 	s := serve(t, answer("1", "one"), answer("2", "three"))
 	p := New(&net.Dialer{})
 	defer p.Close()
-	var first, second Bytes
+	var first, second ByteCounter
 	for _, x := range []struct {
 		id    string
-		bytes *Bytes
+		bytes *ByteCounter
 	}{{"1", &first}, {"2", &second}} {
 		r := s.request(x.id)
 		r.Bytes = x.bytes
--- a/wire/targetpool/exchange.go
+++ b/wire/targetpool/exchange.go
@@ -28,7 +28,7 @@
 	// that must not be repeated takes a fresher one.
 	MaxIdle time.Duration
 	// Bytes counts what the request and its answer take; it may be nil.
-	Bytes *Bytes
+	Bytes *ByteCounter
 }
 
 // Response is the answer of a target. Body must be read to its end or closed.
@@ -78,7 +78,7 @@
 		if kept && ctx.Err() == nil {
 			// The target's process may have ended without a word on its idle connections: a
 			// request on the next of them may have run, one whose dial is refused has not.
-			p.Forget(r.Address)
+			p.CloseIdle(r.Address)
 		}
 		return nil, contextError(ctx, err)
 	}
--- a/wire/targetpool/pool.go
+++ b/wire/targetpool/pool.go
@@ -62,7 +62,7 @@
 	net.Conn
 	address string
 	in      *bufio.Reader
-	bytes   *Bytes        // counts for the exchange under way
+	bytes   *ByteCounter  // counts for the exchange under way
 	used    time.Time     // when the last answer was complete
 	keep    time.Duration // how long it may be idle
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-// Forget closes the idle connections to an address at which another target listens now.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address at which another target listens now.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
--- a/wire/tcpopt/tcpopt.go
+++ b/wire/tcpopt/tcpopt.go
@@ -10,10 +10,10 @@
 // userTimeout is TCP_USER_TIMEOUT of Linux.
 const userTimeout = 18
 
-// UnackedLimit returns a net.Dialer's Control that makes the kernel close a connection on
+// UserTimeout returns a net.Dialer's Control that makes the kernel close a connection on
 // which something sent has not been acknowledged for d: keep-alive probes find a peer that
 // fell silent only while nothing is on its way to it.
-func UnackedLimit(d time.Duration) func(network, address string, c syscall.RawConn) error {
+func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var optErr error
 		err := c.Control(func(fd uintptr) {
--- a/wire/tcpopt/tcpopt_test.go
+++ b/wire/tcpopt/tcpopt_test.go
@@ -13,7 +13,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	d := net.Dialer{Control: UnackedLimit(900 * time.Millisecond)}
+	d := net.Dialer{Control: UserTimeout(900 * time.Millisecond)}
 	conn, err := d.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
