--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -17,26 +17,26 @@
 	"github.com/pistachioarch/pistachioarch/core/subset"
 )
 
-// Listed is what the platform lists of a target.
-type Listed struct {
+// TargetInfo is what the platform lists of a target.
+type TargetInfo struct {
 	// ID names the target. One that starts again under its id has a later Born.
 	ID string
-	// Born is when the target started, in milliseconds since the Unix epoch by its own
+	// StartedAtMs is when the target started, in milliseconds since the Unix epoch by its own
 	// clock; 0 where targets do not say so.
-	Born       int64
-	Service    string
-	Address    string
-	DataCentre string
-	Places     int
+	StartedAtMs int64
+	Service     string
+	Address     string
+	DataCentre  string
+	Capacity    int
 	// Draining targets get no new requests.
 	Draining bool
-	// Cold is how much longer the target bears few requests after its start; 0 if it is warm.
-	Cold time.Duration
+	// ColdFor is how much longer the target bears few requests after its start; 0 if it is warm.
+	ColdFor time.Duration
 }
 
 // Target is a target as this host knows it.
 type Target struct {
-	Listed
+	TargetInfo
 	service  *service
 	inFlight int
 	// reported is the target's own last word of its load, changed since by this
@@ -80,7 +80,7 @@
 	sharing    sharing
 	evacuated  map[string]bool // data centres
 	// steps are of the parts that the host holds; see Hold.
-	steps []subset.Step
+	steps []subset.Halvings
 }
 
 // service is the targets of one service.
@@ -137,15 +137,15 @@
 	return s
 }
 
-// Set adds or changes a target. renewed reports that the target has started again under
+// SetTarget adds or changes a target. renewed reports that the target has started again under
 // its id: it is a new one, of which nothing is known. What an earlier start said, and comes
 // late, is left out.
-func (r *Registry) Set(l Listed) (renewed bool) {
+func (r *Registry) SetTarget(l TargetInfo) (renewed bool) {
 	t := r.targets[l.ID]
 	switch {
-	case t != nil && l.Born < t.Born:
+	case t != nil && l.StartedAtMs < t.StartedAtMs:
 		return false
-	case t != nil && l.Born > t.Born, t != nil && l.Service != t.Service:
+	case t != nil && l.StartedAtMs > t.StartedAtMs, t != nil && l.Service != t.Service:
 		r.Remove(l.ID)
 		t, renewed = nil, true
 	}
@@ -160,7 +160,7 @@
 	if t.Draining != l.Draining {
 		clear(r.homeOf)
 	}
-	t.Listed = l
+	t.TargetInfo = l
 	t.evacuated = r.evacuated[l.DataCentre]
 	return renewed
 }
@@ -178,8 +178,8 @@
 	s.targets = slices.DeleteFunc(s.targets, func(x *Target) bool { return x == t })
 }
 
-// Keep removes all targets that are not in ids.
-func (r *Registry) Keep(ids map[string]bool) {
+// RetainOnly removes all targets that are not in ids.
+func (r *Registry) RetainOnly(ids map[string]bool) {
 	for id := range r.targets {
 		if !ids[id] {
 			r.Remove(id)
@@ -193,25 +193,25 @@
 	return t, ok
 }
 
-// Started returns a target if it has not started again since it was listed as born.
-func (r *Registry) Started(id string, born int64) (*Target, bool) {
+// TargetIncarnation returns a target if it has not started again since it was listed as born.
+func (r *Registry) TargetIncarnation(id string, born int64) (*Target, bool) {
 	t, ok := r.targets[id]
-	if !ok || t.Born != born {
+	if !ok || t.StartedAtMs != born {
 		return nil, false
 	}
 	return t, true
 }
 
-// Near returns the targets in the data centre of a target, without itself.
-func (r *Registry) Near(id string) []Listed {
+// OthersInDataCentre returns the targets in the data centre of a target, without itself.
+func (r *Registry) OthersInDataCentre(id string) []TargetInfo {
 	t := r.targets[id]
 	if t == nil {
 		return nil
 	}
-	var list []Listed
+	var list []TargetInfo
 	for _, x := range r.targets {
 		if x != t && x.DataCentre == t.DataCentre {
-			list = append(list, x.Listed)
+			list = append(list, x.TargetInfo)
 		}
 	}
 	return list
@@ -220,8 +220,8 @@
 // Size is the number of targets.
 func (r *Registry) Size() int { return len(r.targets) }
 
-// Sent notes that a request goes to the target.
-func (t *Target) Sent(parts []request.Part, now time.Duration) {
+// RecordSend notes that a request goes to the target.
+func (t *Target) RecordSend(parts []request.Part, now time.Duration) {
 	t.inFlight++
 	t.noteSend(now)
 	t.idle.take(now)
@@ -231,11 +231,11 @@
 	t.cache.add(parts, now)
 }
 
-// HasRead notes that the target has read these parts for another host.
-func (t *Target) HasRead(parts []request.Part, now time.Duration) { t.cache.add(parts, now) }
+// MarkCached notes that the target has read these parts for another host.
+func (t *Target) MarkCached(parts []request.Part, now time.Duration) { t.cache.add(parts, now) }
 
-// Reads is how many tokens of the beginning of a prompt the target is believed to have read.
-func (t *Target) Reads(parts []request.Part) int64 { return t.cache.covered(parts) }
+// CachedTokens is how many tokens of the beginning of a prompt the target is believed to have read.
+func (t *Target) CachedTokens(parts []request.Part) int64 { return t.cache.covered(parts) }
 
 // Outcome is how a request at a target ended.
 type Outcome uint8
@@ -257,8 +257,8 @@
 // String implements fmt.Stringer.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Done notes the end of a request.
-func (t *Target) Done(o Outcome, now time.Duration) {
+// RecordOutcome notes the end of a request.
+func (t *Target) RecordOutcome(o Outcome, now time.Duration) {
 	t.inFlight = max(0, t.inFlight-1)
 	t.reported.Running = max(0, t.reported.Running-1)
 	t.told.count(o)
@@ -304,30 +304,30 @@
 	Parts   []request.Part
 	// PromptTokens is the length of the prompt; 0 for plain services.
 	PromptTokens int64
-	// Work is the kind of work of a plain request, as for Took.
-	Work string
+	// WorkKind is the kind of work of a plain request, as for Took.
+	WorkKind string
 	// Draw is uniform in [0, 1), the same for the same request: it tells equal targets apart.
 	Draw float64
 	// Exclude lists targets that the request was at already.
 	Exclude map[string]bool
-	// Only lists the targets that may be chosen; empty: all.
-	Only map[string]bool
-	// In is the data centres whose targets may be chosen.
-	In Centres
+	// Allowed lists the targets that may be chosen; empty: all.
+	Allowed map[string]bool
+	// DataCentres is the data centres whose targets may be chosen.
+	DataCentres DataCentreSet
 }
 
-// Centres is a set of data centres; nil is all of them.
-type Centres map[string]bool
+// DataCentreSet is a set of data centres; nil is all of them.
+type DataCentreSet map[string]bool
 
-func (c Centres) has(dataCentre string) bool { return c == nil || c[dataCentre] }
+func (c DataCentreSet) has(dataCentre string) bool { return c == nil || c[dataCentre] }
 
 // Choice is the target picked, and what decided.
 type Choice struct {
 	*Target
-	// Load and Places are the target's estimated requests and its places.
-	Load, Places int
-	// Missing is the part of the prompt, in tokens, that the target must read.
-	Missing int64
+	// Load and Capacity are the target's estimated requests and its places.
+	Load, Capacity int
+	// UncachedTokens is the part of the prompt, in tokens, that the target must read.
+	UncachedTokens int64
 	// ReportAge is the age of the target's last word of its load; negative if none.
 	ReportAge time.Duration
 	// Candidates is how many targets could have been picked.
@@ -336,9 +336,9 @@
 	// the time of the request there; 0 where targets do not tell.
 	Slowdown  float64
 	Predicted time.Duration
-	// Near is the best target of the own data centre, and NearPredicted the time there,
+	// NearTarget is the best target of the own data centre, and NearPredicted the time there,
 	// where a target of another one was picked by predicted finish.
-	Near          string
+	NearTarget    string
 	NearPredicted time.Duration
 }
 
@@ -350,7 +350,7 @@
 	s := r.of(q.Service)
 	v := r.view(s, q, now)
 	for _, t := range s.targets {
-		if q.Exclude[t.ID] || len(q.Only) > 0 && !q.Only[t.ID] || !q.In.has(t.DataCentre) || t.obstacle(now) != "" {
+		if q.Exclude[t.ID] || len(q.Allowed) > 0 && !q.Allowed[t.ID] || !q.DataCentres.has(t.DataCentre) || t.obstacle(now) != "" {
 			continue
 		}
 		candidates++
@@ -370,13 +370,13 @@
 		c.Slowdown, c.Predicted = best.slowdown(now), r.predict(best, &v)
 	}
 	if near != nil && near != best && best.DataCentre != r.dataCentre {
-		c.Near, c.NearPredicted = near.ID, r.predict(near, &v)
+		c.NearTarget, c.NearPredicted = near.ID, r.predict(near, &v)
 	}
 	return c, true
 }
 
 func (t *Target) choice(missing int64, now time.Duration, candidates int) Choice {
-	c := Choice{Target: t, Load: t.estimate(now), Places: t.Places, Missing: missing, ReportAge: -1, Candidates: candidates}
+	c := Choice{Target: t, Load: t.estimate(now), Capacity: t.Capacity, UncachedTokens: missing, ReportAge: -1, Candidates: candidates}
 	if t.hasReport {
 		c.ReportAge = now - t.reportedAt
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -13,7 +13,7 @@
 func registryOf(n int) *Registry {
 	r := NewRegistry("dc0", DefaultWeights())
 	for i := range n {
-		r.Set(Listed{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i), Places: 10})
+		r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 10})
 	}
 	return r
 }
@@ -45,11 +45,11 @@
 func TestPickAvoidsWhatCannotServe(t *testing.T) {
 	r := registryOf(4)
 	require.Equal(t, "t0", pick(t, r, Query{}), "the own data centre where all are idle")
-	r.Set(Listed{ID: "t0", Service: "s", DataCentre: "dc0", Places: 10, Draining: true})
+	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, Draining: true})
 	target(t, r, "t1").Unreachable = true
 	require.Contains(t, []string{"t2", "t3"}, pick(t, r, Query{}))
 	require.Equal(t, "t3", pick(t, r, Query{Exclude: map[string]bool{"t2": true}}))
-	r.Keep(map[string]bool{"t0": true})
+	r.RetainOnly(map[string]bool{"t0": true})
 	_, ok := r.Pick(Query{Service: "s"}, 0)
 	require.False(t, ok)
 	require.Equal(t, 1, r.Size())
@@ -57,11 +57,11 @@
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
 	r := registryOf(3)
-	target(t, r, "t0").Heard(request.Load{Running: 6, Places: 10}, 0)
-	target(t, r, "t1").Heard(request.Load{Running: 3, Waiting: 1, Places: 10}, 0)
+	target(t, r, "t0").RecordLoadReport(request.Load{Running: 6, Places: 10}, 0)
+	target(t, r, "t1").RecordLoadReport(request.Load{Running: 3, Waiting: 1, Places: 10}, 0)
 	require.Equal(t, "t2", pick(t, r, Query{}))
 	for range 8 {
-		target(t, r, "t2").Sent(nil, 0)
+		target(t, r, "t2").RecordSend(nil, 0)
 	}
 	require.Equal(t, "t1", pick(t, r, Query{}))
 }
@@ -72,12 +72,12 @@
 	r := registryOf(3)
 	q := prompt("shared", "session")
 	stream(r, 40*time.Millisecond, 44*time.Millisecond)
-	target(t, r, "t1").Sent(q.Parts, 0)
-	target(t, r, "t1").Done(Served, 0)
+	target(t, r, "t1").RecordSend(q.Parts, 0)
+	target(t, r, "t1").RecordOutcome(Served, 0)
 	require.Equal(t, "t1", pick(t, r, q))
-	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 4, Places: 10}, 0)
+	target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 4, Places: 10}, 0)
 	require.Equal(t, "t1", pick(t, r, q))
-	target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 16, Places: 10}, 0)
+	target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 16, Places: 10}, 0)
 	require.NotEqual(t, "t1", pick(t, r, q))
 }
 
@@ -86,7 +86,7 @@
 func stream(r *Registry, idle, full time.Duration) {
 	for i := range 40 {
 		load := float64(i%5) / 4
-		r.Streamed("t0", load, idle+time.Duration(load*float64(full-idle)), 0)
+		r.RecordEvent("t0", load, idle+time.Duration(load*float64(full-idle)), 0)
 	}
 }
 
@@ -97,9 +97,9 @@
 		r := registryOf(3)
 		q := prompt("shared", "session")
 		stream(r, 40*time.Millisecond, full)
-		target(t, r, "t1").Sent(q.Parts, 0)
-		target(t, r, "t1").Done(Served, 0)
-		target(t, r, "t1").Heard(request.Load{Running: 10, Places: 10}, 0)
+		target(t, r, "t1").RecordSend(q.Parts, 0)
+		target(t, r, "t1").RecordOutcome(Served, 0)
+		target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Places: 10}, 0)
 		require.Equal(t, stays, pick(t, r, q) == "t1", "full %v", full)
 	}
 }
@@ -124,7 +124,7 @@
 func streams(r *Registry, events int, now time.Duration, took map[string]time.Duration) {
 	for range events {
 		for id, d := range took {
-			r.Streamed(id, 0.5, d, now)
+			r.RecordEvent(id, 0.5, d, now)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 func hear(r *Registry, n int, now time.Duration) {
 	for _, x := range r.targets {
 		for range n {
-			x.Heard(request.Load{Places: x.Places}, now)
+			x.RecordLoadReport(request.Load{Places: x.Capacity}, now)
 		}
 	}
 }
@@ -165,14 +165,14 @@
 	for heard, stays := range map[int]bool{3: true, 40: false} {
 		r := registryOf(12)
 		for range heard {
-			target(t, r, "t5").Heard(request.Load{Places: 10}, time.Second)
+			target(t, r, "t5").RecordLoadReport(request.Load{Places: 10}, time.Second)
 		}
 		for range 9 {
-			target(t, r, "t0").Sent(nil, time.Second)
+			target(t, r, "t0").RecordSend(nil, time.Second)
 		}
 		near := pick(t, r, Query{PromptTokens: 1000}) == "t0"
 		require.Equal(t, stays, near, "%d words", heard)
-		target(t, r, "t0").Heard(request.Load{Running: 10, Waiting: 20, Places: 10}, time.Second)
+		target(t, r, "t0").RecordLoadReport(request.Load{Running: 10, Waiting: 20, Places: 10}, time.Second)
 		require.NotEqual(t, "t0", pick(t, r, Query{PromptTokens: 1000}))
 	}
 }
@@ -181,9 +181,9 @@
 func TestAnOldWordFadesToTheMeanOfTheService(t *testing.T) {
 	r := registryOf(3)
 	old, now := target(t, r, "t0"), 10*time.Second
-	old.Heard(request.Load{Running: 1, Places: 10}, 0)
+	old.RecordLoadReport(request.Load{Running: 1, Places: 10}, 0)
 	for range 20 {
-		target(t, r, "t1").Heard(request.Load{Running: 10, Waiting: 10, Places: 10}, now)
+		target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 10, Places: 10}, now)
 	}
 	require.InDelta(t, 20, old.Load(now), 2)
 	require.Zero(t, target(t, r, "t2").Load(now), "one that was never heard is new")
@@ -198,8 +198,8 @@
 	q := prompt("shared", "session")
 	usual := 20 * time.Millisecond
 	streams(r, 100, 0, map[string]time.Duration{"t0": usual, "t1": usual, "t2": usual})
-	target(t, r, "t1").Sent(q.Parts, time.Second)
-	target(t, r, "t1").Done(Served, time.Second)
+	target(t, r, "t1").RecordSend(q.Parts, time.Second)
+	target(t, r, "t1").RecordOutcome(Served, time.Second)
 	streams(r, 10, time.Second, map[string]time.Duration{"t0": usual, "t1": 5 * usual / 2, "t2": usual})
 	hear(r, 10, time.Second)
 	require.Equal(t, "t1", pick(t, r, q))
@@ -209,7 +209,7 @@
 	a, b := registryOf(12), registryOf(12)
 	for _, r := range []*Registry{a, b} {
 		for i := range 12 {
-			r.Set(Listed{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%3), Places: 10})
+			r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%3), Capacity: 10})
 		}
 	}
 	for i := range 20 {
@@ -235,8 +235,8 @@
 func TestFailingTargetIsLeftAloneForAWhile(t *testing.T) {
 	r := registryOf(2)
 	for range 3 {
-		target(t, r, "t0").Sent(nil, 0)
-		target(t, r, "t0").Done(Failed, time.Second)
+		target(t, r, "t0").RecordSend(nil, 0)
+		target(t, r, "t0").RecordOutcome(Failed, time.Second)
 	}
 	only := Query{Service: "s", Exclude: map[string]bool{"t1": true}}
 	_, ok := r.Pick(only, time.Second)
@@ -253,8 +253,8 @@
 		if i%5 < 2 {
 			outcome = Failed
 		}
-		target(t, r, "t0").Sent(nil, time.Second)
-		target(t, r, "t0").Done(outcome, time.Second)
+		target(t, r, "t0").RecordSend(nil, time.Second)
+		target(t, r, "t0").RecordOutcome(outcome, time.Second)
 	}
 	require.Equal(t, "t1", pick(t, r, Query{}))
 	c, ok := r.Pick(Query{Service: "s"}, time.Second+10*faultHalfLife)
@@ -276,14 +276,14 @@
 // are still at it; their ends must not make it look emptier than empty.
 func TestEndsOfRequestsFromBeforeAReturnToTheListDoNotCount(t *testing.T) {
 	r := NewRegistry("dc", DefaultWeights())
-	listed := Listed{ID: "a", Service: "s", Places: 4, DataCentre: "dc"}
-	r.Set(listed)
+	listed := TargetInfo{ID: "a", Service: "s", Capacity: 4, DataCentre: "dc"}
+	r.SetTarget(listed)
 	c, ok := r.Pick(Query{Service: "s"}, 0)
 	require.True(t, ok)
-	c.Sent(nil, 0)
+	c.RecordSend(nil, 0)
 	r.Remove("a")
-	r.Set(listed)
-	r.targets["a"].Done(Served, 0)
+	r.SetTarget(listed)
+	r.targets["a"].RecordOutcome(Served, 0)
 	require.Zero(t, r.targets["a"].Load(0))
 	require.Zero(t, r.targets["a"].inFlight)
 }
@@ -292,29 +292,29 @@
 // an earlier start said is left out.
 func TestTargetThatStartsAgainIsNew(t *testing.T) {
 	r := NewRegistry("dc1", DefaultWeights())
-	first := Listed{ID: "t1", Born: 100, Service: "s", Address: "a:1", Places: 4}
-	require.False(t, r.Set(first))
+	first := TargetInfo{ID: "t1", StartedAtMs: 100, Service: "s", Address: "a:1", Capacity: 4}
+	require.False(t, r.SetTarget(first))
 	parts := []request.Part{{ID: "p", Tokens: 500}}
 	c, ok := r.Pick(Query{Service: "s", Parts: parts, PromptTokens: 500}, 0)
 	require.True(t, ok)
-	c.Sent(parts, 0)
-	c.Heard(request.Load{Running: 4, Waiting: 9, Places: 4}, 0)
-	c.Done(Failed, 0)
-	c.Done(Failed, 0)
+	c.RecordSend(parts, 0)
+	c.RecordLoadReport(request.Load{Running: 4, Waiting: 9, Places: 4}, 0)
+	c.RecordOutcome(Failed, 0)
+	c.RecordOutcome(Failed, 0)
 
 	second := first
-	second.Born, second.Address = 200, "a:2"
-	require.True(t, r.Set(second))
-	fresh, ok := r.Started("t1", 200)
+	second.StartedAtMs, second.Address = 200, "a:2"
+	require.True(t, r.SetTarget(second))
+	fresh, ok := r.TargetIncarnation("t1", 200)
 	require.True(t, ok)
 	require.Zero(t, fresh.Load(0))
 	c, ok = r.Pick(Query{Service: "s", Parts: parts, PromptTokens: 500}, 0)
 	require.True(t, ok, "the failures of before do not count")
-	require.EqualValues(t, 500, c.Missing, "nor do the prompts that it had read")
-	_, ok = r.Started("t1", 100)
+	require.EqualValues(t, 500, c.UncachedTokens, "nor do the prompts that it had read")
+	_, ok = r.TargetIncarnation("t1", 100)
 	require.False(t, ok)
 
-	require.False(t, r.Set(first), "a late word of the earlier start")
+	require.False(t, r.SetTarget(first), "a late word of the earlier start")
 	got, _ := r.Target("t1")
 	require.Equal(t, "a:2", got.Address)
 }
@@ -327,14 +327,14 @@
 	q.Service = "s"
 	first, ok := r.Pick(q, 0)
 	require.True(t, ok)
-	first.Sent(q.Parts, 0)
-	first.Done(Failed, 0)
+	first.RecordSend(q.Parts, 0)
+	first.RecordOutcome(Failed, 0)
 
 	next, ok := r.Pick(q, 200*time.Millisecond)
 	require.True(t, ok)
 	require.NotEqual(t, first.ID, next.ID)
 
-	first.HasRead(q.Parts, 300*time.Millisecond)
+	first.MarkCached(q.Parts, 300*time.Millisecond)
 	next, ok = r.Pick(q, 300*time.Millisecond)
 	require.True(t, ok)
 	require.NotEqual(t, first.ID, next.ID)
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -14,14 +14,14 @@
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r := NewRegistry("dc0", DefaultWeights())
 			for i := range targets {
-				r.Set(Listed{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%15), Places: 12})
+				r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%15), Capacity: 12})
 			}
 			q := Query{Service: "s", PromptTokens: 4000, Parts: []request.Part{{ID: "shared", Tokens: 2500}, {ID: "session", Tokens: 1500}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				c, _ := r.Pick(q, 0)
-				c.Sent(q.Parts, 0)
-				c.Done(Served, 0)
+				c.RecordSend(q.Parts, 0)
+				c.RecordOutcome(Served, 0)
 			}
 		})
 	}
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r := NewRegistry("dc0", DefaultWeights())
 			for i := range targets {
-				r.Set(Listed{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%15), Places: 12})
+				r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%15), Capacity: 12})
 			}
 			board, teller := loads.NewBoard(1), loads.NewReporter(1)
 			now := time.Duration(0)
@@ -41,10 +41,10 @@
 			for b.Loop() {
 				now += loads.Every
 				c, _ := r.Pick(Query{Service: "s"}, now)
-				c.Sent(nil, now)
-				c.Done(Served, now)
-				teller.Note(r.Own())
-				r.Told(teller.Take(board.Exchange(teller.Report(now), now), now), now)
+				c.RecordSend(nil, now)
+				c.RecordOutcome(Served, now)
+				teller.Note(r.Observations())
+				r.ApplyUpdate(teller.Take(board.Exchange(teller.Report(now), now), now), now)
 			}
 		})
 	}
--- a/core/balance/breaker_test.go
+++ b/core/balance/breaker_test.go
@@ -13,24 +13,24 @@
 	for _, outcome := range []Outcome{Abandoned, Refused} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			r := NewRegistry("dc", DefaultWeights())
-			r.Set(Listed{ID: "a", Service: "s", Places: 4, DataCentre: "dc"})
+			r.SetTarget(TargetInfo{ID: "a", Service: "s", Capacity: 4, DataCentre: "dc"})
 			now := time.Second
 			pick := func() bool {
 				c, ok := r.Pick(Query{Service: "s"}, now)
 				if ok {
-					c.Sent(nil, now)
+					c.RecordSend(nil, now)
 				}
 				return ok
 			}
 			for range 3 {
 				require.True(t, pick())
-				r.targets["a"].Done(Failed, now)
+				r.targets["a"].RecordOutcome(Failed, now)
 			}
 			require.False(t, pick(), "the breaker is open")
 			now += breakerMax
 			require.True(t, pick(), "one trial")
 			require.False(t, pick(), "one at a time")
-			r.targets["a"].Done(outcome, now)
+			r.targets["a"].RecordOutcome(outcome, now)
 			require.True(t, pick())
 		})
 	}
--- a/core/balance/cold.go
+++ b/core/balance/cold.go
@@ -18,11 +18,11 @@
 
 // ColdStart is what the configuration declares of targets that have just started.
 type ColdStart struct {
-	// Lasts is how long a target is cold after its start.
-	Lasts time.Duration
-	// PerSecond is the requests a second that a cold target bears from all hosts together;
+	// Window is how long a target is cold after its start.
+	Window time.Duration
+	// Rate is the requests a second that a cold target bears from all hosts together;
 	// 0 if there is no bound.
-	PerSecond float64
+	Rate float64
 }
 
 const (
@@ -46,11 +46,11 @@
 	spent int64
 }
 
-// Declare notes what the configuration says of a service's targets that have just started.
-func (r *Registry) Declare(service string, c ColdStart) { r.of(service).coldStart = c }
+// SetColdStart notes what the configuration says of a service's targets that have just started.
+func (r *Registry) SetColdStart(service string, c ColdStart) { r.of(service).coldStart = c }
 
-// Cool notes how much longer a target is cold by its own word; 0 if it is warm.
-func (r *Registry) Cool(id string, left, now time.Duration) {
+// SetColdFor notes how much longer a target is cold by its own word; 0 if it is warm.
+func (r *Registry) SetColdFor(id string, left, now time.Duration) {
 	if t := r.targets[id]; t != nil {
 		t.cold.until = now + left
 	}
@@ -58,7 +58,7 @@
 
 // isCold reports whether the target is cold and its service declares what it bears then.
 func (t *Target) isCold(now time.Duration) bool {
-	return now < t.cold.until && t.service.coldStart.PerSecond > 0
+	return now < t.cold.until && t.service.coldStart.Rate > 0
 }
 
 // bears reports whether this host may send a request to the target now, as far as the
@@ -86,9 +86,9 @@
 // it began.
 func (t *Target) coldWindow(now time.Duration) (window int64, at time.Duration) {
 	s := &t.service.in.sharing
-	period := time.Duration(float64(s.hostsBy(now)) / t.service.coldStart.PerSecond * float64(time.Second))
+	period := time.Duration(float64(s.hostsBy(now)) / t.service.coldStart.Rate * float64(time.Second))
 	period = max(period, time.Millisecond)
-	phase := time.Duration(uniform(s.salt, uint64(loads.KeyOf(t.ID, t.Born))) * float64(period))
+	phase := time.Duration(uniform(s.salt, uint64(loads.KeyOf(t.ID, t.StartedAtMs))) * float64(period))
 	since := now + phase
 	return int64(since/period) + 1, since % period
 }
@@ -103,7 +103,7 @@
 
 // anyCold reports whether some target of the service is cold.
 func (s *service) anyCold(now time.Duration) bool {
-	if s.coldStart.PerSecond == 0 {
+	if s.coldStart.Rate == 0 {
 		return false
 	}
 	for _, t := range s.targets {
--- a/core/balance/cold_test.go
+++ b/core/balance/cold_test.go
@@ -17,11 +17,11 @@
 // coldRegistry is of a host in dc0 before one cold and one warm target of its own data centre.
 func coldRegistry(salt uint64) *Registry {
 	r := NewRegistry("dc0", DefaultWeights())
-	r.Salt(salt)
-	r.Declare("s", ColdStart{Lasts: 3 * time.Second, PerSecond: bornePerSecond})
-	r.Set(Listed{ID: "cold", Service: "s", DataCentre: "dc0", Places: 10})
-	r.Set(Listed{ID: "warm", Service: "s", DataCentre: "dc0", Places: 10})
-	r.Cool("cold", time.Hour, 0)
+	r.SetSalt(salt)
+	r.SetColdStart("s", ColdStart{Window: 3 * time.Second, Rate: bornePerSecond})
+	r.SetTarget(TargetInfo{ID: "cold", Service: "s", DataCentre: "dc0", Capacity: 10})
+	r.SetTarget(TargetInfo{ID: "warm", Service: "s", DataCentre: "dc0", Capacity: 10})
+	r.SetColdFor("cold", time.Hour, 0)
 	return r
 }
 
@@ -37,12 +37,12 @@
 	for now := time.Duration(0); now < until; now += step {
 		for _, r := range registries {
 			if told && now%(10*step) == 0 {
-				r.Told(loads.Learned{Fresh: true, Hosts: hosts - 1}, now)
+				r.ApplyUpdate(loads.Learned{Fresh: true, Hosts: hosts - 1}, now)
 			}
 			x := r.targets["cold"]
 			if x.obstacle(now) == "" {
-				x.Sent(nil, now)
-				x.Done(Served, now)
+				x.RecordSend(nil, now)
+				x.RecordOutcome(Served, now)
 				sent = append(sent, now)
 			}
 		}
@@ -80,8 +80,8 @@
 
 func TestOnlyHostsOfTheOwnDataCentreSendToAColdTarget(t *testing.T) {
 	r := coldRegistry(1)
-	r.Set(Listed{ID: "far", Service: "s", DataCentre: "dc1", Places: 10})
-	r.Cool("far", time.Second, 0)
+	r.SetTarget(TargetInfo{ID: "far", Service: "s", DataCentre: "dc1", Capacity: 10})
+	r.SetColdFor("far", time.Second, 0)
 	far := target(t, r, "far")
 	for now := time.Duration(0); now < time.Second; now += 10 * time.Millisecond {
 		require.Equal(t, "cold", far.obstacle(now))
@@ -91,22 +91,22 @@
 
 func TestATargetThatSaysItIsWarmIsWarm(t *testing.T) {
 	r := coldRegistry(1)
-	r.Cool("cold", 0, time.Second)
+	r.SetColdFor("cold", 0, time.Second)
 	require.Empty(t, target(t, r, "cold").obstacle(time.Second))
 }
 
 func TestColdTargetsOfServicesWithoutABoundAreAsOthers(t *testing.T) {
 	r := coldRegistry(1)
-	r.Declare("s", ColdStart{Lasts: 3 * time.Second})
+	r.SetColdStart("s", ColdStart{Window: 3 * time.Second})
 	require.Empty(t, target(t, r, "cold").obstacle(0))
-	require.False(t, r.Hushed(0))
+	require.False(t, r.NeedsLoadExchange(0))
 }
 
 // The number of hosts is known from the exchange of loads, which is off where it tells nothing
 // that hosts do not hear.
 func TestHostsExchangeLoadsWhileATargetIsCold(t *testing.T) {
 	r := coldRegistry(1)
-	require.True(t, r.Hushed(0))
-	r.Cool("cold", 0, time.Second)
-	require.False(t, r.Hushed(time.Second))
+	require.True(t, r.NeedsLoadExchange(0))
+	r.SetColdFor("cold", 0, time.Second)
+	require.False(t, r.NeedsLoadExchange(time.Second))
 }
--- a/core/balance/cost.go
+++ b/core/balance/cost.go
@@ -19,18 +19,18 @@
 
 // view looks at a service once for all of its targets.
 func (r *Registry) view(s *service, q Query, now time.Duration) view {
-	v := view{q: q, now: now, service: s, far: r.weights.Far}
+	v := view{q: q, now: now, service: s, far: r.weights.CrossDataCentre}
 	v.told = r.told(s, now)
 	if q.PromptTokens == 0 {
-		v.work = r.workOf(q.Work)
+		v.work = r.workOf(q.WorkKind)
 		v.fastest = s.fastest(now)
 		return v
 	}
 	s.asked(q.PromptTokens)
 	v.far *= s.farFactor(now)
 	v.work = s.eventsTime(0)
-	v.busy = r.weights.Busy * s.speed.busy()
-	if r.weights.Homes && len(q.Parts) > 1 {
+	v.busy = r.weights.Occupancy * s.speed.busy()
+	if r.weights.PrefixAffinity && len(q.Parts) > 1 {
 		v.homes = r.homes(q.Service, q.Parts[0].ID)
 	}
 	return v
@@ -64,12 +64,12 @@
 		return r.finishCost(t, v)
 	}
 	w := &r.weights
-	cost := w.Fault * min(faultMost, t.fade(v.now))
+	cost := w.Failure * min(faultMost, t.fade(v.now))
 	if t.DataCentre != r.dataCentre {
 		cost += v.far
 	}
 	if !t.idle.any(v.now) {
-		cost += w.Connect
+		cost += w.NewConnection
 	}
 	load := t.perPlace(float64(t.Load(v.now)))
 	if v.q.PromptTokens == 0 {
@@ -88,9 +88,9 @@
 // reading of the prompt make up. Its batch hardly slows down until it is full.
 func (r *Registry) engineCost(t *Target, v *view, load float64) float64 {
 	w := &r.weights
-	cost := v.busy*min(load, 1) + w.Wait*max(0, load-1+t.perPlace(1))
+	cost := v.busy*min(load, 1) + w.Queue*max(0, load-1+t.perPlace(1))
 	cost += w.Prefill * float64(t.missing(v)) / v.service.prompt
-	return cost + w.Slow*t.excess(load, v.now)
+	return cost + w.SlowEvents*t.excess(load, v.now)
 }
 
 // distrust is the recent failures from which on a target is taken to have lost what it has
--- a/core/balance/finish.go
+++ b/core/balance/finish.go
@@ -49,7 +49,7 @@
 // the choice, in nanoseconds.
 func (r *Registry) finishCost(t *Target, v *view) float64 {
 	load := t.perPlace(float64(t.Load(v.now)))
-	cost := v.work * (r.weights.Fault*min(faultMost, t.fade(v.now)) + scatter*t.lot(v))
+	cost := v.work * (r.weights.Failure*min(faultMost, t.fade(v.now)) + scatter*t.lot(v))
 	if v.q.PromptTokens == 0 {
 		cost += t.plainTime(v, load) + v.work*busyHint*min(1, load)
 	} else {
--- a/core/balance/finish_test.go
+++ b/core/balance/finish_test.go
@@ -16,10 +16,10 @@
 	t.Helper()
 	r := NewRegistry("here", DefaultWeights())
 	add := func(id, centre string) {
-		r.Set(Listed{ID: id, Service: "s", DataCentre: centre, Places: 10})
+		r.SetTarget(TargetInfo{ID: id, Service: "s", DataCentre: centre, Capacity: 10})
 		x := target(t, r, id)
-		x.Sent(nil, time.Second)
-		x.Done(Served, time.Second)
+		x.RecordSend(nil, time.Second)
+		x.RecordOutcome(Served, time.Second)
 		says(t, r, id, 0, 1)
 	}
 	for i := range near {
@@ -35,7 +35,7 @@
 func says(t *testing.T, r *Registry, id string, load int, slowdown float64) {
 	t.Helper()
 	l := request.Load{Running: min(load, 10), Waiting: max(0, load-10), Places: 10, Slowdown: slowdown}
-	target(t, r, id).Heard(l, time.Second)
+	target(t, r, id).RecordLoadReport(l, time.Second)
 }
 
 // picks counts the targets of many requests.
@@ -63,7 +63,7 @@
 	require.Equal(t, 200, got["far0"]+got["far1"], "five times their places wait here")
 	c, ok := r.Pick(Query{Service: "s"}, time.Second)
 	require.True(t, ok)
-	require.Contains(t, c.Near, "near", "the choice says what was left")
+	require.Contains(t, c.NearTarget, "near", "the choice says what was left")
 	require.Greater(t, c.NearPredicted, c.Predicted+crossTime)
 }
 
@@ -95,7 +95,7 @@
 
 func TestIdleConnectionsAreUsedWhereTargetsAreEqual(t *testing.T) {
 	r := telling(t, 2, 0)
-	r.Set(Listed{ID: "new", Service: "s", DataCentre: "here", Places: 10})
+	r.SetTarget(TargetInfo{ID: "new", Service: "s", DataCentre: "here", Capacity: 10})
 	says(t, r, "new", 0, 1)
 	require.Zero(t, picks(t, r, Query{})["new"])
 	says(t, r, "near0", 16, 1)
@@ -109,24 +109,24 @@
 	r := telling(t, 3, 0)
 	says(t, r, "near1", 0, 2)
 	for range 40 {
-		r.Took("near0", "work", 200*time.Millisecond, time.Second)
-		r.Took("near1", "work", 200*time.Millisecond, time.Second)
-		r.Took("near2", "work", 100*time.Millisecond, time.Second)
+		r.RecordDuration("near0", "work", 200*time.Millisecond, time.Second)
+		r.RecordDuration("near1", "work", 200*time.Millisecond, time.Second)
+		r.RecordDuration("near2", "work", 100*time.Millisecond, time.Second)
 	}
 	says(t, r, "near1", 0, 1)
 	own := func(id string) float64 { return target(t, r, id).own.factor(time.Second) }
 	require.Greater(t, own("near0"), 1.5*own("near2"))
 	require.InDelta(t, own("near2"), own("near1"), 0.05)
-	require.Zero(t, picks(t, r, Query{Work: "work"})["near0"])
+	require.Zero(t, picks(t, r, Query{WorkKind: "work"})["near0"])
 	require.InDelta(t, 110, r.workOf("work")/1e6, 40)
 }
 
 // A time that was spent in a queue says nothing of a target's pace.
 func TestQueuesAreNotHeldAgainstATarget(t *testing.T) {
 	r := telling(t, 1, 0)
-	r.Took("near0", "work", 100*time.Millisecond, time.Second)
+	r.RecordDuration("near0", "work", 100*time.Millisecond, time.Second)
 	says(t, r, "near0", 30, 1)
-	r.Took("near0", "work", 400*time.Millisecond, time.Second)
+	r.RecordDuration("near0", "work", 400*time.Millisecond, time.Second)
 	require.InDelta(t, 1, target(t, r, "near0").own.factor(time.Second), 0.01)
 }
 
@@ -135,9 +135,9 @@
 func turnsOf(r *Registry, id string, event, read time.Duration) {
 	for i := range 60 {
 		missing := int64(i%4) * 1000
-		r.First(id, 0.1, missing, event+time.Duration(missing)*read/1000, time.Second)
+		r.RecordFirstEvent(id, 0.1, missing, event+time.Duration(missing)*read/1000, time.Second)
 		for range 2 {
-			r.Streamed(id, 0.1, event, time.Second)
+			r.RecordEvent(id, 0.1, event, time.Second)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		turnsOf(r, id, 35*time.Millisecond, 8*time.Millisecond)
 	}
 	q := prompt("a", "b", "c", "d")
-	target(t, r, "near1").HasRead(q.Parts, time.Second)
+	target(t, r, "near1").MarkCached(q.Parts, time.Second)
 	says(t, r, "near1", 2, 2.5)
 	require.Equal(t, map[string]int{"near1": 200}, picks(t, r, q))
 	says(t, r, "near1", 40, 2.5)
@@ -180,7 +180,7 @@
 		turnsOf(r, id, 35*time.Millisecond, 8*time.Millisecond)
 	}
 	small, chain := prompt("a"), prompt("b", "c", "d", "e", "f", "g", "h", "i")
-	target(t, r, "near0").HasRead(chain.Parts, time.Second)
+	target(t, r, "near0").MarkCached(chain.Parts, time.Second)
 	crossesAt := func(q Query) int {
 		for load := range 200 {
 			says(t, r, "near0", load, 1)
@@ -194,7 +194,7 @@
 	require.Greater(t, first, 10, "not while there is room")
 	require.Less(t, first, crossesAt(chain))
 	// One that has gone stays while home has a queue, and goes home before it is idle.
-	target(t, r, "far0").HasRead(small.Parts, time.Second)
+	target(t, r, "far0").MarkCached(small.Parts, time.Second)
 	says(t, r, "near0", first-1, 1)
 	require.Equal(t, 200, picks(t, r, small)["far0"], "no swinging at the same load")
 	says(t, r, "near0", 4, 1)
@@ -204,15 +204,15 @@
 // Services that do not tell are chosen for as before; what only told ones learn is not kept.
 func TestServicesThatDoNotTellGoTheFormerWay(t *testing.T) {
 	r := registryOf(2)
-	r.First("t0", 0.1, 1000, time.Second, time.Second)
+	r.RecordFirstEvent("t0", 0.1, 1000, time.Second, time.Second)
 	require.Zero(t, target(t, r, "t0").service.turns.begun)
-	r.Took("t0", "work", time.Second, time.Second)
+	r.RecordDuration("t0", "work", time.Second, time.Second)
 	require.InDelta(t, 1, target(t, r, "t0").own.factor(time.Second), 0)
-	c, ok := r.Pick(Query{Service: "s", Work: "work", Draw: 0.7}, time.Second)
+	c, ok := r.Pick(Query{Service: "s", WorkKind: "work", Draw: 0.7}, time.Second)
 	require.True(t, ok)
 	require.Zero(t, c.Slowdown)
 	require.Zero(t, c.Predicted)
-	r.First("gone", 0, 0, time.Second, 0)
+	r.RecordFirstEvent("gone", 0, 0, time.Second, 0)
 }
 
 // First events that say the opposite of sense do not make prompts worthless or priceless.
@@ -222,14 +222,14 @@
 	require.InDelta(t, 2*float64(assumedRead), turns.read(2000), 1, "nothing is known")
 	for i := range 100 {
 		missing := int64(i%5) * 1000
-		r.First("near0", 0.1, missing, time.Second-time.Duration(missing)*100*time.Microsecond, time.Second)
+		r.RecordFirstEvent("near0", 0.1, missing, time.Second-time.Duration(missing)*100*time.Microsecond, time.Second)
 	}
 	require.InDelta(t, float64(readLeast), turns.read(1000), 1)
 	r = telling(t, 1, 0)
 	turns = &target(t, r, "near0").service.turns
 	for i := range 100 {
 		missing := int64(i%5) * 1000
-		r.First("near0", 0.1, missing, time.Duration(1+missing)*time.Millisecond, time.Second)
+		r.RecordFirstEvent("near0", 0.1, missing, time.Duration(1+missing)*time.Millisecond, time.Second)
 	}
 	require.InDelta(t, float64(readMost), turns.read(1000), 1)
 }
--- a/core/balance/home.go
+++ b/core/balance/home.go
@@ -56,8 +56,8 @@
 	return h
 }
 
-// Hold notes by which steps the host holds parts of the targets; none where it holds all.
-func (r *Registry) Hold(steps []subset.Step) {
+// SetHalvings notes by which steps the host holds parts of the targets; none where it holds all.
+func (r *Registry) SetHalvings(steps []subset.Halvings) {
 	if slices.Equal(r.steps, steps) {
 		return
 	}
@@ -76,7 +76,7 @@
 	places := map[string]int{}
 	return slices.DeleteFunc(list, func(t *Target) bool {
 		places[t.DataCentre]++
-		whole := subset.Whole(r.steps, r.dataCentre, subset.Group{Service: service, DataCentre: t.DataCentre})
+		whole := subset.HoldsAll(r.steps, r.dataCentre, subset.Group{Service: service, DataCentre: t.DataCentre})
 		return !whole && places[t.DataCentre] > homePool
 	})
 }
--- a/core/balance/home_test.go
+++ b/core/balance/home_test.go
@@ -23,11 +23,11 @@
 		for i := range engines {
 			id := fmt.Sprintf("e-%d-%d", c, i)
 			if x.Holds(host, "dc0", g, id) {
-				r.Set(Listed{ID: id, Service: "llm", DataCentre: g.DataCentre, Places: 6})
+				r.SetTarget(TargetInfo{ID: id, Service: "llm", DataCentre: g.DataCentre, Capacity: 6})
 			}
 		}
 	}
-	r.Hold(x.Steps("dc0"))
+	r.SetHalvings(x.Halvings("dc0"))
 	return r
 }
 
@@ -72,6 +72,6 @@
 func TestHomesFollowTheParts(t *testing.T) {
 	r := partOfFleet("h", 2, 100)
 	require.Len(t, homesAt(r, "part", "dc0"), 25)
-	r.Hold([]subset.Step{{Service: "llm", Near: 1, Far: 1}})
+	r.SetHalvings([]subset.Halvings{{Service: "llm", Near: 1, Far: 1}})
 	require.Len(t, homesAt(r, "part", "dc0"), homePool/4)
 }
--- a/core/balance/load.go
+++ b/core/balance/load.go
@@ -17,19 +17,19 @@
 	emptyWords = 0.75
 )
 
-// Heard takes the load that an answer reports.
-func (t *Target) Heard(load request.Load, now time.Duration) {
+// RecordLoadReport takes the load that an answer reports.
+func (t *Target) RecordLoadReport(load request.Load, now time.Duration) {
 	t.reported, t.reportedAt, t.hasReport = load, now, true
 	t.told.word, t.told.hasWord = loads.Word{Load: load, At: now}, true
 	if load.Places > 0 {
-		t.Places = load.Places
+		t.Capacity = load.Places
 	}
 	t.service.words.add(t.perPlace(float64(load.Running+load.Waiting)), now, wordHalfLife)
 }
 
 // perPlace is a number of requests over the target's places.
 func (t *Target) perPlace(requests float64) float64 {
-	return requests / float64(max(1, t.Places))
+	return requests / float64(max(1, t.Capacity))
 }
 
 // Load is the estimate of the requests at the target by which targets are compared: hosts that
@@ -53,21 +53,21 @@
 	told := float64(t.reported.Running + t.reported.Waiting)
 	if age := now - t.reportedAt; age > wordTrust {
 		kept := fading(age-wordTrust, wordHalfLife)
-		mean := t.service.words.by(now, wordHalfLife, 0, emptyWords) * float64(t.Places)
+		mean := t.service.words.by(now, wordHalfLife, 0, emptyWords) * float64(t.Capacity)
 		told = kept*told + (1-kept)*mean
 	}
 	return max(t.inFlight, int(told))
 }
 
 // MeanLoad is the load of a service in some data centres over its places.
-func (r *Registry) MeanLoad(name string, in Centres, now time.Duration) float64 {
+func (r *Registry) MeanLoad(name string, in DataCentreSet, now time.Duration) float64 {
 	load, places := 0, 0
 	for _, t := range r.of(name).targets {
 		if t.Draining || t.Unreachable || t.evacuated || !in.has(t.DataCentre) {
 			continue
 		}
 		load += t.estimate(now)
-		places += t.Places
+		places += t.Capacity
 	}
 	return float64(load) / float64(max(1, places))
 }
--- a/core/balance/pace.go
+++ b/core/balance/pace.go
@@ -50,9 +50,9 @@
 	p.at, p.known = now, true
 }
 
-// Took notes how long the target took for a piece of work; only times of the same
+// RecordDuration notes how long the target took for a piece of work; only times of the same
 // kind of work are compared.
-func (r *Registry) Took(target, work string, d time.Duration, now time.Duration) {
+func (r *Registry) RecordDuration(target, work string, d time.Duration, now time.Duration) {
 	t := r.targets[target]
 	if t == nil || d <= 0 {
 		return
--- a/core/balance/pace_test.go
+++ b/core/balance/pace_test.go
@@ -15,7 +15,7 @@
 func observe(r *Registry, n int, now time.Duration, took map[string]time.Duration) {
 	for range n {
 		for _, id := range slices.Sorted(maps.Keys(took)) {
-			r.Took(id, "work", took[id], now)
+			r.RecordDuration(id, "work", took[id], now)
 		}
 	}
 }
@@ -28,12 +28,12 @@
 	fast, slow := 30*time.Millisecond, 210*time.Millisecond
 	observe(r, 20, now, map[string]time.Duration{"t0": fast, "t1": fast, "t2": fast, "t3": fast})
 	observe(r, 20, now, map[string]time.Duration{"t0": slow, "t1": slow, "t2": fast, "t3": fast})
-	target(t, r, "t2").Heard(request.Load{Running: 8, Places: 10}, now)
-	target(t, r, "t3").Heard(request.Load{Running: 9, Places: 10}, now)
+	target(t, r, "t2").RecordLoadReport(request.Load{Running: 8, Places: 10}, now)
+	target(t, r, "t3").RecordLoadReport(request.Load{Running: 9, Places: 10}, now)
 	require.Equal(t, "t2", pick(t, r, Query{}))
 	// They are used again once the fast ones have a queue.
-	target(t, r, "t2").Heard(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
-	target(t, r, "t3").Heard(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
+	target(t, r, "t2").RecordLoadReport(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
+	target(t, r, "t3").RecordLoadReport(request.Load{Running: 10, Waiting: 30, Places: 10}, now)
 	require.Contains(t, []string{"t0", "t1"}, pick(t, r, Query{}))
 }
 
@@ -41,7 +41,7 @@
 	r := registryOf(2)
 	observe(r, 20, time.Second, map[string]time.Duration{"t0": 210 * time.Millisecond, "t1": 30 * time.Millisecond})
 	for range 4 {
-		target(t, r, "t1").Sent(nil, time.Second)
+		target(t, r, "t1").RecordSend(nil, time.Second)
 	}
 	require.Equal(t, "t1", pick(t, r, Query{}))
 	c, ok := r.Pick(Query{Service: "s"}, time.Second+5*paceHalfLife)
@@ -59,9 +59,9 @@
 func TestPaceComparesOnlyTheSameKindOfWork(t *testing.T) {
 	r := registryOf(2)
 	for range 40 {
-		r.Took("t0", "long", 200*time.Millisecond, time.Second)
-		r.Took("t1", "short", 10*time.Millisecond, time.Second)
+		r.RecordDuration("t0", "long", 200*time.Millisecond, time.Second)
+		r.RecordDuration("t1", "short", 10*time.Millisecond, time.Second)
 	}
 	require.Equal(t, "t0", pick(t, r, Query{}), "the near one")
-	r.Took("gone", "long", time.Second, time.Second)
+	r.RecordDuration("gone", "long", time.Second, time.Second)
 }
--- a/core/balance/slowdown.go
+++ b/core/balance/slowdown.go
@@ -81,13 +81,13 @@
 	return d.mean + kept*(t.saidSlowdown()-d.mean)
 }
 
-// TellsSlowdown reports whether targets of a service tell how long work takes at the moment,
+// ReportsSlowdown reports whether targets of a service tell how long work takes at the moment,
 // so that requests go by predicted finish.
-func (r *Registry) TellsSlowdown(name string, now time.Duration) bool {
+func (r *Registry) ReportsSlowdown(name string, now time.Duration) bool {
 	s := r.services[name]
 	return s != nil && r.told(s, now)
 }
 
 func (r *Registry) told(s *service, now time.Duration) bool {
-	return r.weights.Finish && s.slow(now).told
+	return r.weights.PredictedFinish && s.slow(now).told
 }
--- a/core/balance/slowdown_test.go
+++ b/core/balance/slowdown_test.go
@@ -80,12 +80,12 @@
 	r := registryOf(4)
 	now := time.Second
 	require.InDelta(t, 1, target(t, r, "t0").slowdown(now), 0, "nobody tells")
-	require.False(t, r.TellsSlowdown("s", now))
+	require.False(t, r.ReportsSlowdown("s", now))
 	now += slowdownsEvery
 	for i, x := range []float64{4, 1, 1} {
-		target(t, r, []string{"t0", "t1", "t2"}[i]).Heard(request.Load{Places: 10, Slowdown: x}, now)
+		target(t, r, []string{"t0", "t1", "t2"}[i]).RecordLoadReport(request.Load{Places: 10, Slowdown: x}, now)
 	}
-	require.True(t, r.TellsSlowdown("s", now))
+	require.True(t, r.ReportsSlowdown("s", now))
 	mean := (4 + 1 + 1 + meanPrior) / (3 + meanPrior)
 	require.InDelta(t, 4, target(t, r, "t0").slowdown(now), 0)
 	require.InDelta(t, mean, target(t, r, "t3").slowdown(now), 0.01, "it has said nothing")
@@ -99,16 +99,16 @@
 func TestOddWordsOfSlowdown(t *testing.T) {
 	r := registryOf(1)
 	x := target(t, r, "t0")
-	x.Heard(request.Load{Places: 10, Slowdown: 1e9}, time.Second)
+	x.RecordLoadReport(request.Load{Places: 10, Slowdown: 1e9}, time.Second)
 	require.InDelta(t, slowdownMost, x.slowdown(time.Second), 0)
-	x.Heard(request.Load{Places: 10}, 2*time.Second)
+	x.RecordLoadReport(request.Load{Places: 10}, 2*time.Second)
 	require.InDelta(t, 1, x.slowdown(2*time.Second), 0)
-	require.False(t, r.TellsSlowdown("s", 2*time.Second))
-	require.False(t, r.TellsSlowdown("none", 0))
+	require.False(t, r.ReportsSlowdown("s", 2*time.Second))
+	require.False(t, r.ReportsSlowdown("none", 0))
 	w := DefaultWeights()
-	w.Finish = false
+	w.PredictedFinish = false
 	off := NewRegistry("dc0", w)
-	off.Set(Listed{ID: "t", Service: "s", Places: 1})
-	target(t, off, "t").Heard(request.Load{Places: 1, Slowdown: 2}, 0)
-	require.False(t, off.TellsSlowdown("s", 0))
+	off.SetTarget(TargetInfo{ID: "t", Service: "s", Capacity: 1})
+	target(t, off, "t").RecordLoadReport(request.Load{Places: 1, Slowdown: 2}, 0)
+	require.False(t, off.ReportsSlowdown("s", 0))
 }
--- a/core/balance/speed.go
+++ b/core/balance/speed.go
@@ -46,9 +46,9 @@
 	slowTolerance = 1.5
 )
 
-// Streamed notes how long the target took for one event of a stream that was sent
+// RecordEvent notes how long the target took for one event of a stream that was sent
 // to it at a load, in places.
-func (r *Registry) Streamed(target string, load float64, d time.Duration, now time.Duration) {
+func (r *Registry) RecordEvent(target string, load float64, d time.Duration, now time.Duration) {
 	t := r.targets[target]
 	if t == nil || d <= 0 {
 		return
--- a/core/balance/told.go
+++ b/core/balance/told.go
@@ -71,8 +71,8 @@
 	level float64
 }
 
-// Salt sets apart the choices of hosts that know the same, each with another salt.
-func (r *Registry) Salt(salt uint64) { r.sharing.salt = salt }
+// SetSalt sets apart the choices of hosts that know the same, each with another salt.
+func (r *Registry) SetSalt(salt uint64) { r.sharing.salt = salt }
 
 // noteSend notes a send of this host.
 func (t *Target) noteSend(now time.Duration) {
@@ -102,7 +102,7 @@
 	s.listed, s.byKey = make([]*Target, 0, len(r.targets)), map[loads.Key]*Target{}
 	twice := map[loads.Key]bool{}
 	for _, t := range r.targets {
-		t.told.key, t.told.in = loads.KeyOf(t.ID, t.Born), r
+		t.told.key, t.told.in = loads.KeyOf(t.ID, t.StartedAtMs), r
 		if s.byKey[t.told.key] != nil {
 			twice[t.told.key] = true
 		}
@@ -126,8 +126,8 @@
 	})
 }
 
-// Own is what this host sees of all targets by itself.
-func (r *Registry) Own() []loads.Own {
+// Observations is what this host sees of all targets by itself.
+func (r *Registry) Observations() []loads.Own {
 	r.list()
 	all := make([]loads.Own, 0, len(r.sharing.listed))
 	for _, t := range r.sharing.listed {
@@ -148,10 +148,10 @@
 	return n
 }
 
-// Hushed reports whether this host hears too little of the targets by itself: of some service
+// NeedsLoadExchange reports whether this host hears too little of the targets by itself: of some service
 // seldom, or its targets tell how much slower they are, which changes faster than a host hears,
 // or some of them are cold, of which hosts take a share each and must know how many they are.
-func (r *Registry) Hushed(now time.Duration) bool {
+func (r *Registry) NeedsLoadExchange(now time.Duration) bool {
 	hushed := false
 	for _, s := range r.services {
 		hushed = s.hears(now) || s.anyCold(now) || hushed // each service notes it for itself
@@ -180,8 +180,8 @@
 	return slices.ContainsFunc(s.targets, func(t *Target) bool { return t.told.hasWord && t.told.word.Load.Slowdown > 0 })
 }
 
-// Told takes what an exchange with other hosts brought.
-func (r *Registry) Told(l loads.Learned, now time.Duration) {
+// ApplyUpdate takes what an exchange with other hosts brought.
+func (r *Registry) ApplyUpdate(l loads.Learned, now time.Duration) {
 	if !l.Fresh {
 		return
 	}
@@ -207,8 +207,8 @@
 	}
 }
 
-// ToldAge is how long ago an exchange with other hosts was answered; negative if none was.
-func (r *Registry) ToldAge(now time.Duration) time.Duration {
+// UpdateAge is how long ago an exchange with other hosts was answered; negative if none was.
+func (r *Registry) UpdateAge(now time.Duration) time.Duration {
 	if !r.sharing.told {
 		return -1
 	}
@@ -272,7 +272,7 @@
 		return load
 	}
 	x := &t.told.in.sharing
-	room := t.service.sent.level*float64(t.Places) - float64(load)
+	room := t.service.sent.level*float64(t.Capacity) - float64(load)
 	if x.hosts == 0 || room <= 0 || now-x.toldAt > toldTrust+toldHalfLife {
 		return load
 	}
@@ -318,7 +318,7 @@
 		if t.obstacle(now) != "" {
 			continue
 		}
-		f := filling{t.perPlace(float64(t.estimate(now))), float64(max(1, t.Places))}
+		f := filling{t.perPlace(float64(t.estimate(now))), float64(max(1, t.Capacity))}
 		all = append(all, f)
 		if t.DataCentre == r.dataCentre {
 			near = append(near, f)
--- a/core/balance/told_test.go
+++ b/core/balance/told_test.go
@@ -21,40 +21,40 @@
 func TestOthersRequestsCountUntilTheBoardIsSilent(t *testing.T) {
 	r := registryOf(2)
 	x := target(t, r, "t0")
-	x.Sent(nil, 0)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Others: 6}), 0)
+	x.RecordSend(nil, 0)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Others: 6}), 0)
 	require.Equal(t, 7, x.estimate(toldTrust))
 	require.Equal(t, 4, x.estimate(toldTrust+toldHalfLife))
 	require.Equal(t, 1, x.estimate(10*time.Second), "its own")
-	r.Told(loads.Learned{Fresh: true, Reset: true}, 10*time.Second)
+	r.ApplyUpdate(loads.Learned{Fresh: true, Reset: true}, 10*time.Second)
 	require.Equal(t, 1, x.estimate(10*time.Second), "another board has told nothing yet")
-	r.Told(loads.Learned{Hosts: 16}, 20*time.Second)
-	require.Equal(t, 10*time.Second, r.ToldAge(20*time.Second), "no answer")
+	r.ApplyUpdate(loads.Learned{Hosts: 16}, 20*time.Second)
+	require.Equal(t, 10*time.Second, r.UpdateAge(20*time.Second), "no answer")
 }
 
 func TestANewerWordOfOthersReplacesTheOwn(t *testing.T) {
 	r := registryOf(1)
 	x := target(t, r, "t0")
-	x.Heard(request.Load{Running: 9, Places: 10}, time.Second)
+	x.RecordLoadReport(request.Load{Running: 9, Places: 10}, time.Second)
 	word := loads.Word{Load: request.Load{Running: 2, Slowdown: 3}, At: 900 * time.Millisecond}
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
 	require.Equal(t, 9, x.reported.Running, "an older one")
 	word.At = 1050 * time.Millisecond
-	x.Sent(nil, 1080*time.Millisecond)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
+	x.RecordSend(nil, 1080*time.Millisecond)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
 	require.Equal(t, request.Load{Running: 3, Slowdown: 3}, x.reported, "with what this host has sent since")
 	require.Equal(t, word.At, x.reportedAt)
-	require.Equal(t, 10, x.Places)
-	require.Equal(t, 9, r.Own()[0].Word.Load.Running, "its own word is what it tells")
+	require.Equal(t, 10, x.Capacity)
+	require.Equal(t, 9, r.Observations()[0].Word.Load.Running, "its own word is what it tells")
 }
 
 func TestWhatIsToldOfAStartIsNotOfTheNext(t *testing.T) {
 	r := NewRegistry("dc0", DefaultWeights())
-	r.Set(Listed{ID: "t0", Service: "s", DataCentre: "dc0", Places: 10, Born: 1})
-	r.Told(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 5, Failed: 9}), 0)
+	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, StartedAtMs: 1})
+	r.ApplyUpdate(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 5, Failed: 9}), 0)
 	require.Equal(t, 5, target(t, r, "t0").estimate(0))
-	r.Set(Listed{ID: "t0", Service: "s", DataCentre: "dc0", Places: 10, Born: 2})
-	r.Told(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 7, Failed: 9}), 0)
+	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, StartedAtMs: 2})
+	r.ApplyUpdate(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 7, Failed: 9}), 0)
 	require.Zero(t, target(t, r, "t0").estimate(0))
 	require.Zero(t, target(t, r, "t0").faults)
 }
@@ -63,29 +63,29 @@
 func TestFailuresOfOthersCount(t *testing.T) {
 	r := registryOf(2)
 	own, other := target(t, r, "t1"), target(t, r, "t0")
-	own.Done(Failed, 0)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 1}), 0)
+	own.RecordOutcome(Failed, 0)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 1}), 0)
 	require.Less(t, other.fade(0), own.fade(0))
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 6}), 0)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 6}), 0)
 	require.Greater(t, other.fade(0), own.fade(0))
-	require.Equal(t, "t1", pick(t, r, Query{Only: map[string]bool{"t0": true, "t1": true}}), "far, and failed once")
+	require.Equal(t, "t1", pick(t, r, Query{Allowed: map[string]bool{"t0": true, "t1": true}}), "far, and failed once")
 	for range 20 {
-		r.Told(learned(loads.Told{Key: keyOf("t0"), Served: 5}), 0)
+		r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Served: 5}), 0)
 	}
 	require.Less(t, other.fade(0), 0.1, "it works again")
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Failed: 1000}), 0)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 1000}), 0)
 	require.LessOrEqual(t, other.fade(0), float64(faultMost))
 }
 
 // Targets of which two have the same key are not told of.
 func TestSharedKeysAreLeftOut(t *testing.T) {
 	r := registryOf(3)
-	require.Len(t, r.Own(), 3)
+	require.Len(t, r.Observations(), 3)
 	r.sharing.listed = nil
 	x := target(t, r, "t0")
 	r.targets["again"] = x // the same id and start
-	require.Len(t, r.Own(), 2)
-	r.Told(learned(loads.Told{Key: keyOf("t0"), Others: 5}), 0)
+	require.Len(t, r.Observations(), 2)
+	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Others: 5}), 0)
 	require.Zero(t, x.estimate(0))
 }
 
@@ -95,23 +95,23 @@
 	hear := func(perTarget float64, l request.Load) {
 		for end := now + 10*time.Second; now < end; now += time.Duration(float64(time.Second) / (10 * perTarget)) {
 			for id := range r.targets {
-				target(t, r, id).Heard(l, now)
+				target(t, r, id).RecordLoadReport(l, now)
 				break
 			}
-			r.Hushed(now)
+			r.NeedsLoadExchange(now)
 		}
 	}
-	require.False(t, r.Hushed(now))
+	require.False(t, r.NeedsLoadExchange(now))
 	hear(0.3, request.Load{})
-	require.True(t, r.Hushed(now))
+	require.True(t, r.NeedsLoadExchange(now))
 	hear(0.6, request.Load{})
-	require.True(t, r.Hushed(now), "not far enough above")
+	require.True(t, r.NeedsLoadExchange(now), "not far enough above")
 	hear(3, request.Load{})
-	require.False(t, r.Hushed(now))
+	require.False(t, r.NeedsLoadExchange(now))
 	hear(0.6, request.Load{})
-	require.False(t, r.Hushed(now), "not far enough below")
+	require.False(t, r.NeedsLoadExchange(now), "not far enough below")
 	hear(3, request.Load{Slowdown: 1})
-	require.True(t, r.Hushed(now), "targets tell a slowdown")
+	require.True(t, r.NeedsLoadExchange(now), "targets tell a slowdown")
 }
 
 // dataCentre is hosts that send to the same targets, each by its own registry.
@@ -155,9 +155,9 @@
 	d := &dataCentre{scene: s, rng: rand.New(rand.NewPCG(seed, 1)), board: loads.NewBoard(1), running: map[string]int{}}
 	for i := range s.hosts {
 		r := NewRegistry("dc", DefaultWeights())
-		r.Salt(d.rng.Uint64())
+		r.SetSalt(d.rng.Uint64())
 		for k := range s.targets {
-			r.Set(Listed{ID: fmt.Sprintf("t%d", k), Service: "s", DataCentre: "dc", Places: simPlaces})
+			r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", k), Service: "s", DataCentre: "dc", Capacity: simPlaces})
 		}
 		d.hosts = append(d.hosts, r)
 		d.tellers = append(d.tellers, loads.NewReporter(uint64(i)+1))
@@ -185,18 +185,18 @@
 }
 
 func (d *dataCentre) exchange(i int, r *Registry, spread bool) {
-	d.tellers[i].Note(r.Own())
+	d.tellers[i].Note(r.Observations())
 	l := d.tellers[i].Take(d.board.Exchange(d.tellers[i].Report(d.now), d.now), d.now)
 	if !spread {
 		l.Hosts = 0
 	}
-	r.Told(l, d.now)
+	r.ApplyUpdate(l, d.now)
 }
 
 func (d *dataCentre) send() {
 	i := d.rng.IntN(len(d.hosts))
 	c, _ := d.hosts[i].Pick(Query{Service: "s"}, d.now)
-	c.Sent(nil, d.now)
+	c.RecordSend(nil, d.now)
 	d.running[c.ID]++
 	e := end{d.now + time.Duration(d.rng.ExpFloat64()*float64(d.work)), i, c.ID, Served}
 	for k := range d.broken {
@@ -217,11 +217,11 @@
 		}
 		t, _ := d.hosts[e.host].Target(e.id)
 		d.running[e.id]--
-		t.Done(e.outcome, d.now)
+		t.RecordOutcome(e.outcome, d.now)
 		if e.outcome == Failed {
 			continue
 		}
-		t.Heard(request.Load{Running: d.running[e.id], Places: simPlaces}, d.now)
+		t.RecordLoadReport(request.Load{Running: d.running[e.id], Places: simPlaces}, d.now)
 	}
 	d.ends = left
 }
--- a/core/balance/turnfinish.go
+++ b/core/balance/turnfinish.go
@@ -33,8 +33,8 @@
 	lasting = 0.25
 )
 
-// First notes the first event of a stream for which the target had to read missing tokens.
-func (r *Registry) First(target string, load float64, missing int64, d, now time.Duration) {
+// RecordFirstEvent notes the first event of a stream for which the target had to read missing tokens.
+func (r *Registry) RecordFirstEvent(target string, load float64, missing int64, d, now time.Duration) {
 	t := r.targets[target]
 	if t == nil || d <= 0 || !r.told(t.service, now) {
 		return
@@ -93,7 +93,7 @@
 func (t *Target) turnCost(v *view, load float64) float64 {
 	read, slowdown := v.service.turns.read(t.missing(v)), t.slowdown(v.now)
 	work := readPrice*read + v.service.eventsTime(load)*(1+t.queued(load))
-	running := min(1, load) * float64(t.Places)
+	running := min(1, load) * float64(t.Capacity)
 	stalls := read * running * slowdown
 	return (work*(1+lasting*(slowdown-1)) + stalls) * t.own.factor(v.now)
 }
--- a/core/placement/watch.go
+++ b/core/placement/watch.go
@@ -32,7 +32,7 @@
 		if m.WatchesAll() {
 			n = len(ids)
 		}
-		for _, id := range subset.Of(host, ids, n) {
+		for _, id := range subset.Select(host, ids, n) {
 			watched[id] = true
 		}
 	}
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -22,9 +22,9 @@
 	return d.Sum64()
 }
 
-// Of returns the n things that rank lowest for a chooser, all if there are no more, in the
+// Select returns the n things that rank lowest for a chooser, all if there are no more, in the
 // order of their ranks.
-func Of(chooser string, things []string, n int) []string {
+func Select(chooser string, things []string, n int) []string {
 	type ranked struct {
 		thing string
 		rank  uint64
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -17,8 +17,8 @@
 }
 
 func TestAllOfAFewAreChosen(t *testing.T) {
-	require.ElementsMatch(t, names("t", 3), Of("c", names("t", 3), 5))
-	require.Empty(t, Of("c", nil, 5))
+	require.ElementsMatch(t, names("t", 3), Select("c", names("t", 3), 5))
+	require.Empty(t, Select("c", nil, 5))
 }
 
 // Each thing is chosen by about as many choosers.
@@ -26,7 +26,7 @@
 	const choosers, things, n = 900, 120, 4
 	chosen := map[string]int{}
 	for _, c := range names("c", choosers) {
-		for _, x := range Of(c, names("t", things), n) {
+		for _, x := range Select(c, names("t", things), n) {
 			chosen[x]++
 		}
 	}
@@ -44,9 +44,9 @@
 		n := rapid.IntRange(1, len(things)).Draw(t, "n")
 		gone := rapid.IntRange(0, len(things)-1).Draw(t, "gone")
 		chooser := rapid.String().Draw(t, "chooser")
-		before := Of(chooser, things, n)
+		before := Select(chooser, things, n)
 		left := append(append([]string{}, things[:gone]...), things[gone+1:]...)
-		after := Of(chooser, left, n)
+		after := Select(chooser, left, n)
 		for _, x := range before {
 			if x != things[gone] {
 				require.Contains(t, after, x)
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -48,25 +48,25 @@
 // Remove takes a target out.
 func (x *Index) Remove(g Group) { x.count(g, -1) }
 
-// Step is how often the parts of a service were halved for hosts of one data centre, as their
+// Halvings is how often the parts of a service were halved for hosts of one data centre, as their
 // targets became more: of the targets of that data centre and of the others.
-type Step struct {
+type Halvings struct {
 	Service   string
 	Near, Far int
 }
 
-// Steps are those of all services for hosts of a data centre, in the order of their names.
-func (x *Index) Steps(dataCentre string) []Step {
-	var steps []Step
+// Halvings are those of all services for hosts of a data centre, in the order of their names.
+func (x *Index) Halvings(dataCentre string) []Halvings {
+	var steps []Halvings
 	for _, service := range slices.Sorted(maps.Keys(x.total)) {
 		g := Group{service, dataCentre}
-		steps = append(steps, Step{Service: service, Near: x.near[g], Far: x.farStep(g)})
+		steps = append(steps, Halvings{Service: service, Near: x.near[g], Far: x.farStep(g)})
 	}
 	return steps
 }
 
 // Shrunk reports whether parts by the steps of now are within those by the steps of before.
-func Shrunk(before, now []Step) bool {
+func Shrunk(before, now []Halvings) bool {
 	for _, b := range before {
 		n := stepOf(now, b.Service)
 		if n.Near < b.Near || n.Far < b.Far {
@@ -76,8 +76,8 @@
 	return true
 }
 
-// Whole reports whether hosts of a data centre hold all targets of a group by these steps.
-func Whole(steps []Step, dataCentre string, g Group) bool {
+// HoldsAll reports whether hosts of a data centre hold all targets of a group by these steps.
+func HoldsAll(steps []Halvings, dataCentre string, g Group) bool {
 	s := stepOf(steps, g.Service)
 	if g.DataCentre == dataCentre {
 		return s.Near == 0
@@ -85,17 +85,17 @@
 	return s.Far == 0
 }
 
-func stepOf(steps []Step, service string) Step {
+func stepOf(steps []Halvings, service string) Halvings {
 	for _, s := range steps {
 		if s.Service == service {
 			return s
 		}
 	}
-	return Step{Service: service}
+	return Halvings{Service: service}
 }
 
-// Within reports whether a host of a data centre holds a target of a group by these steps.
-func Within(steps []Step, host, dataCentre string, g Group, target string) bool {
+// Holds reports whether a host of a data centre holds a target of a group by these steps.
+func Holds(steps []Halvings, host, dataCentre string, g Group, target string) bool {
 	s := stepOf(steps, g.Service)
 	if g.DataCentre == dataCentre {
 		return in(s.Near, host, target)
--- a/core/subset/targets_test.go
+++ b/core/subset/targets_test.go
@@ -94,14 +94,14 @@
 	x, groups := fleetOf(6, 400)
 	g := Group{"llm", "dc0"}
 	before, _ := held(x, groups, "h")
-	steps := x.Steps("dc0")
+	steps := x.Halvings("dc0")
 	for range 80 {
 		x.Remove(g)
-		require.Equal(t, steps, x.Steps("dc0"))
+		require.Equal(t, steps, x.Halvings("dc0"))
 	}
 	for range 80 {
 		x.Add(g)
-		require.Equal(t, steps, x.Steps("dc0"))
+		require.Equal(t, steps, x.Halvings("dc0"))
 	}
 	after, _ := held(x, groups, "h")
 	require.Equal(t, before, after)
@@ -116,15 +116,15 @@
 func TestStepsHaveSlack(t *testing.T) {
 	x, _ := fleetOf(1, 127)
 	g := Group{"llm", "dc0"}
-	whole := x.Steps("dc0")
+	whole := x.Halvings("dc0")
 	x.Add(g)
-	parts := x.Steps("dc0")
+	parts := x.Halvings("dc0")
 	require.NotEqual(t, whole, parts, "128 are no longer held whole")
 	for range 10 {
 		x.Remove(g)
-		require.Equal(t, parts, x.Steps("dc0"))
+		require.Equal(t, parts, x.Halvings("dc0"))
 		x.Add(g)
-		require.Equal(t, parts, x.Steps("dc0"))
+		require.Equal(t, parts, x.Halvings("dc0"))
 	}
 }
 
@@ -146,19 +146,19 @@
 // so it can make the part itself.
 func TestPartsOfMoreTargetsAreWithinThoseOfFewer(t *testing.T) {
 	x, groups := fleetOf(6, 100)
-	before := x.Steps("dc0")
+	before := x.Halvings("dc0")
 	small, _ := held(x, groups, "h")
 	for g := range groups {
 		for range 900 {
 			x.Add(g)
 		}
 	}
-	now := x.Steps("dc0")
+	now := x.Halvings("dc0")
 	require.True(t, Shrunk(before, now))
 	require.False(t, Shrunk(now, before))
 	for id := range small {
 		g := Group{"llm", "dc0"}
-		require.Equal(t, x.Holds("h", "dc0", g, id), Within(now, "h", "dc0", g, id))
+		require.Equal(t, x.Holds("h", "dc0", g, id), Holds(now, "h", "dc0", g, id))
 	}
 	require.True(t, Shrunk(nil, now), "of a service that is new a host has nothing")
 }
--- a/ctl/player/host.go
+++ b/ctl/player/host.go
@@ -60,7 +60,7 @@
 	h.dispatcher = dispatch.New(h.registry, h.w.policy.Limits)
 	h.idle, h.open = map[string][]time.Duration{}, nil
 	for _, id := range h.w.order {
-		h.registry.Set(h.w.listed(id))
+		h.registry.SetTarget(h.w.listed(id))
 	}
 	h.exchangeLater()
 }
@@ -131,7 +131,7 @@
 	}
 	for i, p := range t.parts {
 		if x, ok := t.h.registry.Target(t.program.ran[p.ID]); ok {
-			x.HasRead(t.parts[:i+1], t.h.w.Now())
+			x.MarkCached(t.parts[:i+1], t.h.w.Now())
 		}
 	}
 }
@@ -161,15 +161,15 @@
 	}
 	h, w := t.h, t.h.w
 	v := h.dispatcher.Decide(dispatch.Request{
-		Query:    balance.Query{Service: engineService, Parts: t.parts, PromptTokens: int64(t.prompt), Exclude: t.tried},
-		UnderWay: t.underWay, Draw: t.draw,
+		Query:          balance.Query{Service: engineService, Parts: t.parts, PromptTokens: int64(t.prompt), Exclude: t.tried},
+		ProgramStarted: t.underWay, Draw: t.draw,
 	}, w.Now())
-	switch v.Decision {
+	switch v.Action {
 	case dispatch.NoTarget:
 		t.end(outcome{notRun: true, comeBack: retryLater})
-	case dispatch.TurnAway:
+	case dispatch.Reject:
 		w.result.TurnedAway++
-		t.end(outcome{notRun: true, comeBack: v.ComeBack})
+		t.end(outcome{notRun: true, comeBack: v.RetryDelay})
 	default:
 		t.send(v.Choice)
 	}
@@ -182,8 +182,8 @@
 	delay := w.link(h.centre, e.centre)
 	way := delay + h.connect(target.ID, delay)
 	r := &run{parts: t.parts, tokens: t.tokens, own: t.own}
-	s := &sending{target: target.ID, load: float64(target.Load) / float64(max(1, target.Places)), at: w.Now(), missing: target.Missing}
-	target.Sent(t.parts, w.Now())
+	s := &sending{target: target.ID, load: float64(target.Load) / float64(max(1, target.Capacity)), at: w.Now(), missing: target.UncachedTokens}
+	target.RecordSend(t.parts, w.Now())
 	w.result.sentTurn(w.Now(), e.centre == h.centre)
 	t.sending = s
 	h.open = append(h.open, s)
@@ -239,7 +239,7 @@
 	t.sending = nil
 	t.h.open = slices.DeleteFunc(t.h.open, func(x *sending) bool { return x == s })
 	if x, ok := t.h.registry.Target(s.target); ok {
-		x.Done(o, t.h.w.Now())
+		x.RecordOutcome(o, t.h.w.Now())
 	}
 }
 
@@ -248,9 +248,9 @@
 		return
 	}
 	if x, ok := t.h.registry.Target(s.target); ok {
-		x.Heard(l, t.h.w.Now())
+		x.RecordLoadReport(l, t.h.w.Now())
 	}
-	t.h.registry.First(s.target, s.load, s.missing, t.h.w.Now()-s.at, t.h.w.Now())
+	t.h.registry.RecordFirstEvent(s.target, s.load, s.missing, t.h.w.Now()-s.at, t.h.w.Now())
 	t.h.w.result.first(t.h.w.Now() - t.began)
 	s.heard = t.h.w.Now()
 }
@@ -261,7 +261,7 @@
 		return
 	}
 	now := t.h.w.Now()
-	t.h.registry.Streamed(s.target, s.load, now-s.heard, now)
+	t.h.registry.RecordEvent(s.target, s.load, now-s.heard, now)
 	s.heard = now
 }
 
@@ -326,7 +326,7 @@
 
 func (c *call) route() {
 	v := c.decide()
-	if v.Decision != dispatch.Send {
+	if v.Action != dispatch.Send {
 		c.end(outcome{notRun: true, comeBack: retryLater})
 		return
 	}
@@ -334,16 +334,16 @@
 	c.planSecond()
 }
 
-func (c *call) decide() dispatch.Verdict {
+func (c *call) decide() dispatch.Decision {
 	return c.h.dispatcher.Decide(dispatch.Request{
-		Query: balance.Query{Service: plainService, Work: c.tool.Name, Exclude: c.tried}, UnderWay: true, Draw: c.draw(),
+		Query: balance.Query{Service: plainService, WorkKind: c.tool.Name, Exclude: c.tried}, ProgramStarted: true, Draw: c.draw(),
 	}, c.h.w.Now())
 }
 
 func (c *call) launch(target balance.Choice) {
 	h, w := c.h, c.h.w
 	p := w.plains[target.ID]
-	target.Sent(nil, w.Now())
+	target.RecordSend(nil, w.Now())
 	w.result.PlainSends.sent(p.centre == h.centre)
 	c.tried[target.ID] = true
 	delay := w.link(h.centre, p.centre)
@@ -351,7 +351,7 @@
 	sent := w.Now()
 	done := func(o balance.Outcome) {
 		if x, ok := h.registry.Target(target.ID); ok {
-			x.Done(o, w.Now())
+			x.RecordOutcome(o, w.Now())
 		}
 	}
 	s := &callSend{to: p, delay: delay, done: done}
@@ -363,10 +363,10 @@
 			}
 			c.dropOthers()
 			if x, ok := h.registry.Target(target.ID); ok {
-				x.Heard(l, w.Now())
+				x.RecordLoadReport(l, w.Now())
 			}
 			done(balance.Served)
-			h.registry.Took(target.ID, c.tool.Name, w.Now()-sent, w.Now())
+			h.registry.RecordDuration(target.ID, c.tool.Name, w.Now()-sent, w.Now())
 			h.release(target.ID)
 			w.result.took(w.Now() - c.began)
 			c.answered()
--- a/ctl/player/loads.go
+++ b/ctl/player/loads.go
@@ -38,7 +38,7 @@
 	const phases = 16 // hosts do not tell in step
 	salt := w.reporterID()
 	teller := loads.NewReporter(salt)
-	h.registry.Salt(salt)
+	h.registry.SetSalt(salt)
 	h.teller = teller
 	w.After(time.Duration(w.reporters%phases)*loads.Every/phases, func() { h.exchange(teller) })
 }
@@ -50,8 +50,8 @@
 		return
 	}
 	next := loads.IdleEvery
-	if h.registry.Hushed(w.Now()) {
-		teller.Note(h.registry.Own())
+	if h.registry.NeedsLoadExchange(w.Now()) {
+		teller.Note(h.registry.Observations())
 		if teller.Pending() || h.registry.InFlight() > 0 {
 			next = loads.Every
 		}
@@ -65,6 +65,6 @@
 	m := teller.Report(w.Now())
 	w.After(nearDelay, func() {
 		reply := board.Exchange(m, w.Now())
-		w.After(nearDelay, func() { h.registry.Told(teller.Take(reply, w.Now()), w.Now()) })
+		w.After(nearDelay, func() { h.registry.ApplyUpdate(teller.Take(reply, w.Now()), w.Now()) })
 	})
 }
--- a/ctl/player/policies.go
+++ b/ctl/player/policies.go
@@ -21,18 +21,18 @@
 		{Name: "no_loads", Weights: w, Limits: l, Ran: true, Second: true},
 		{Name: "no_ran", Weights: w, Limits: l, Second: true, Loads: true},
 		vary("send_at_once", func(_ *balance.Weights, l *dispatch.Limits) { *l = dispatch.Limits{} }),
-		vary("no_pace", func(w *balance.Weights, _ *dispatch.Limits) { w.Pace, w.Slow = false, 0 }),
-		vary("no_finish", func(w *balance.Weights, _ *dispatch.Limits) { w.Finish = false }),
-		vary("no_homes", func(w *balance.Weights, _ *dispatch.Limits) { w.Homes = false }),
+		vary("no_pace", func(w *balance.Weights, _ *dispatch.Limits) { w.Latency, w.SlowEvents = false, 0 }),
+		vary("no_finish", func(w *balance.Weights, _ *dispatch.Limits) { w.PredictedFinish = false }),
+		vary("no_homes", func(w *balance.Weights, _ *dispatch.Limits) { w.PrefixAffinity = false }),
 		vary("no_prefill", func(w *balance.Weights, _ *dispatch.Limits) { w.Prefill = 0 }),
-		vary("no_slow", func(w *balance.Weights, _ *dispatch.Limits) { w.Slow = 0 }),
-		vary("no_wait", func(w *balance.Weights, _ *dispatch.Limits) { w.Wait = 0 }),
-		vary("no_far", func(w *balance.Weights, _ *dispatch.Limits) { w.Far = 0 }),
-		vary("no_connect", func(w *balance.Weights, _ *dispatch.Limits) { w.Connect = 0 }),
+		vary("no_slow", func(w *balance.Weights, _ *dispatch.Limits) { w.SlowEvents = 0 }),
+		vary("no_wait", func(w *balance.Weights, _ *dispatch.Limits) { w.Queue = 0 }),
+		vary("no_far", func(w *balance.Weights, _ *dispatch.Limits) { w.CrossDataCentre = 0 }),
+		vary("no_connect", func(w *balance.Weights, _ *dispatch.Limits) { w.NewConnection = 0 }),
 		// The way before, whole; and its weights with what hosts are told now.
-		{Name: "former", Weights: balance.FormerWeights()},
-		{Name: "former_weights", Weights: balance.FormerWeights(), Ran: true},
-		{Name: "least_loaded", Weights: balance.Weights{Busy: 1, Wait: 1}, Ran: true},
+		{Name: "former", Weights: balance.BaselineWeights()},
+		{Name: "former_weights", Weights: balance.BaselineWeights(), Ran: true},
+		{Name: "least_loaded", Weights: balance.Weights{Occupancy: 1, Queue: 1}, Ran: true},
 	}
 }
 
--- a/ctl/player/second.go
+++ b/ctl/player/second.go
@@ -59,7 +59,7 @@
 	if c.over || len(c.tried) >= plainAttempts || !c.waits() || !h.hedger.Take(plainService) {
 		return
 	}
-	if v := c.decide(); v.Decision == dispatch.Send {
+	if v := c.decide(); v.Action == dispatch.Send {
 		h.w.result.SecondSends++
 		c.launch(v.Choice)
 	}
--- a/ctl/player/uneven.go
+++ b/ctl/player/uneven.go
@@ -81,7 +81,7 @@
 				continue
 			}
 			if t, ok := h.registry.Target(id); ok {
-				t.Heard(l, w.Now())
+				t.RecordLoadReport(l, w.Now())
 			}
 		}
 	}
--- a/ctl/player/world.go
+++ b/ctl/player/world.go
@@ -82,12 +82,12 @@
 }
 
 // listed is what the platform would list of a target.
-func (w *world) listed(id string) balance.Listed {
+func (w *world) listed(id string) balance.TargetInfo {
 	if e := w.engines[id]; e != nil {
-		return balance.Listed{ID: id, Service: engineService, Address: id, DataCentre: e.centre, Places: e.s.Places}
+		return balance.TargetInfo{ID: id, Service: engineService, Address: id, DataCentre: e.centre, Capacity: e.s.Places}
 	}
 	p := w.plains[id]
-	return balance.Listed{ID: id, Service: plainService, Address: id, DataCentre: p.centre, Places: p.s.Places}
+	return balance.TargetInfo{ID: id, Service: plainService, Address: id, DataCentre: p.centre, Capacity: p.s.Places}
 }
 
 func (w *world) centreOf(target string) string { return w.listed(target).DataCentre }
@@ -176,7 +176,7 @@
 	for _, h := range w.hosts {
 		l := w.listed(id)
 		l.Draining = draining
-		h.registry.Set(l)
+		h.registry.SetTarget(l)
 	}
 }
 
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -253,13 +253,13 @@
 
 // list writes a target's entry in the platform's list.
 func (c *cluster) list(id, service, place string, i int, draining bool) {
-	text, err := json.Marshal(balance.Listed{ID: id, Service: service, Address: place + ":80", DataCentre: fmt.Sprintf("dc%d", i), Places: 8, Draining: draining})
+	text, err := json.Marshal(balance.TargetInfo{ID: id, Service: service, Address: place + ":80", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 8, Draining: draining})
 	require.NoError(c.t, err)
 	c.store.Put(targetKind, id, text)
 }
 
-func decodeTarget(id string, spec []byte) (balance.Listed, error) {
-	var l balance.Listed
+func decodeTarget(id string, spec []byte) (balance.TargetInfo, error) {
+	var l balance.TargetInfo
 	err := json.Unmarshal(spec, &l)
 	return l, err
 }
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -46,12 +46,12 @@
 }
 
 // dataCentres is those of the regions. One whose region the settings do not name is in none.
-func (x *exchange) dataCentres() balance.Centres {
+func (x *exchange) dataCentres() balance.DataCentreSet {
 	regions := x.regions()
 	if regions.Everywhere() {
 		return nil
 	}
-	in := balance.Centres{}
+	in := balance.DataCentreSet{}
 	for dataCentre, region := range x.host.Regions {
 		in[dataCentre] = regions.Allows(region)
 	}
--- a/daemon/entry/evacuation.go
+++ b/daemon/entry/evacuation.go
@@ -51,6 +51,6 @@
 	h := v.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.registry.Evacuate(v.dataCentres, h.now())
+	h.registry.SetEvacuated(v.dataCentres, h.now())
 	h.Log.Info("evacuated data centres", "data_centres", slices.Sorted(maps.Keys(v.dataCentres)))
 }
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -25,7 +25,7 @@
 func TestAnEvacuationStaysInForceWhileThePlatformIsLost(t *testing.T) {
 	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
 	s := newSystem(t, a, b)
-	s.host.registry.Set(balance.Listed{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Places: 4})
+	s.host.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	view := NewEvacuationView(s.host)
 	view.Replaced(evacuated("dc1"))
 	view.Lost(failure.New(failure.PlatformUnavailable, "away"))
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -92,34 +92,34 @@
 }
 
 // pick chooses the next target, or turns the request away.
-func (x *exchange) pick() (balance.Listed, error) {
+func (x *exchange) pick() (balance.TargetInfo, error) {
 	if err := x.authorise(); err != nil {
-		return balance.Listed{}, err
+		return balance.TargetInfo{}, err
 	}
 	h := x.host
 	h.mu.Lock()
 	v := h.dispatch.Decide(dispatch.Request{
 		Query: balance.Query{
-			Service: x.service, Work: x.route.Name, Parts: x.call.Prefix, PromptTokens: x.call.PromptTokens, Exclude: x.tried, Only: x.room.only(), In: x.dataCentres(),
+			Service: x.service, WorkKind: x.route.Name, Parts: x.call.Prefix, PromptTokens: x.call.PromptTokens, Exclude: x.tried, Allowed: x.room.only(), DataCentres: x.dataCentres(),
 		},
-		UnderWay: !x.begins() || x.sends > 0, Draw: x.draw(),
+		ProgramStarted: !x.begins() || x.sends > 0, Draw: x.draw(),
 	}, h.now())
-	if v.Decision != dispatch.Send {
+	if v.Action != dispatch.Send {
 		size := h.registry.Size()
 		h.mu.Unlock()
-		return balance.Listed{}, x.unsent(v, size)
+		return balance.TargetInfo{}, x.unsent(v, size)
 	}
 	c := v.Choice
-	listed := c.Listed
-	c.Sent(x.call.Prefix, h.now())
+	listed := c.TargetInfo
+	c.RecordSend(x.call.Prefix, h.now())
 	h.mu.Unlock()
 	x.tried[listed.ID] = true
-	x.target, x.born, x.load, x.missing = listed.ID, listed.Born, float64(c.Load)/float64(max(1, c.Places)), c.Missing
+	x.target, x.born, x.load, x.missing = listed.ID, listed.StartedAtMs, float64(c.Load)/float64(max(1, c.Capacity)), c.UncachedTokens
 	h.Meter.Count("sends", x.sort(), x.distance(listed))
 	h.Log.Info("request routed", "request", x.call.ID, "program", x.call.Program, "customer", x.customerName(), "route", x.route.Name, "config", x.table.Version,
-		"target", listed.ID, "data_centre", listed.DataCentre, "load", c.Load, "places", c.Places, "report_age_ms", c.ReportAge.Milliseconds(),
-		"slowdown", hundredths(c.Slowdown), "predicted_ms", c.Predicted.Milliseconds(), "near", c.Near, "near_predicted_ms", c.NearPredicted.Milliseconds(),
-		"prompt", x.call.PromptTokens, "missing", c.Missing, "candidates", c.Candidates, "send", x.sends+1,
+		"target", listed.ID, "data_centre", listed.DataCentre, "load", c.Load, "places", c.Capacity, "report_age_ms", c.ReportAge.Milliseconds(),
+		"slowdown", hundredths(c.Slowdown), "predicted_ms", c.Predicted.Milliseconds(), "near", c.NearTarget, "near_predicted_ms", c.NearPredicted.Milliseconds(),
+		"prompt", x.call.PromptTokens, "missing", c.UncachedTokens, "candidates", c.Candidates, "send", x.sends+1,
 		"left_ms", time.Until(x.deadline).Milliseconds(), "program_left_ms", x.programLeft().Milliseconds(), "after_ms", time.Since(x.began).Milliseconds())
 	return listed, nil
 }
@@ -136,7 +136,7 @@
 }
 
 // distance names the way to a target in metrics.
-func (x *exchange) distance(t balance.Listed) string {
+func (x *exchange) distance(t balance.TargetInfo) string {
 	if t.DataCentre == x.host.DataCentre {
 		return "near"
 	}
@@ -153,14 +153,14 @@
 }
 
 // unsent is the failure of a request that goes to no target.
-func (x *exchange) unsent(v dispatch.Verdict, targets int) error {
-	if v.Decision == dispatch.NoTarget {
+func (x *exchange) unsent(v dispatch.Decision, targets int) error {
+	if v.Action == dispatch.NoTarget {
 		return failure.Retry(failure.NoTarget, retryLater, "no target of %s among %d", x.service, targets)
 	}
 	x.host.Meter.Count("turned_away", "full")
 	x.host.Log.Info("program turned away", "request", x.call.ID, "program", x.call.Program, "service", x.service,
-		"load_percent", int(100*v.Load), "come_back_ms", v.ComeBack.Milliseconds(), "program_left_ms", x.call.ProgramLeft.Milliseconds())
-	return failure.Retry(failure.Overloaded, v.ComeBack, "the engines of %s have a queue, load %.2f", x.service, v.Load)
+		"load_percent", int(100*v.Load), "come_back_ms", v.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramLeft.Milliseconds())
+	return failure.Retry(failure.Overloaded, v.RetryDelay, "the engines of %s have a queue, load %.2f", x.service, v.Load)
 }
 
 // hasOther reports whether there is a target that has not been tried.
@@ -168,22 +168,22 @@
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.registry.Pick(balance.Query{Service: x.service, Exclude: x.tried, In: x.dataCentres()}, h.now())
+	_, ok := h.registry.Pick(balance.Query{Service: x.service, Exclude: x.tried, DataCentres: x.dataCentres()}, h.now())
 	return ok
 }
 
 // done reports the end of a send to the registry.
 func (x *exchange) done(target string, o balance.Outcome) {
-	x.host.ended(balance.Listed{ID: target, Born: x.born}, o)
+	x.host.ended(balance.TargetInfo{ID: target, StartedAtMs: x.born}, o)
 }
 
 // ended reports the end of a send to the start of a target.
-func (h *Host) ended(t balance.Listed, o balance.Outcome) {
+func (h *Host) ended(t balance.TargetInfo, o balance.Outcome) {
 	h.Meter.Count("sends", o.String())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if t, ok := h.registry.Started(t.ID, t.Born); ok {
-		t.Done(o, h.now())
+	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
+		t.RecordOutcome(o, h.now())
 	}
 }
 
@@ -192,10 +192,10 @@
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.Started(x.target, x.born); !ok {
+	if _, ok := h.registry.TargetIncarnation(x.target, x.born); !ok {
 		return
 	}
-	h.registry.Took(x.target, x.route.Name, d, h.now())
+	h.registry.RecordDuration(x.target, x.route.Name, d, h.now())
 	h.hedger.Answered(x.service, x.route.Name, time.Since(x.firstSent))
 }
 
@@ -204,8 +204,8 @@
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.Started(x.target, x.born); ok {
-		h.registry.First(x.target, x.load, x.missing, d, h.now())
+	if _, ok := h.registry.TargetIncarnation(x.target, x.born); ok {
+		h.registry.RecordFirstEvent(x.target, x.load, x.missing, d, h.now())
 	}
 }
 
@@ -214,29 +214,29 @@
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.Started(x.target, x.born); !ok {
+	if _, ok := h.registry.TargetIncarnation(x.target, x.born); !ok {
 		return
 	}
-	h.registry.Streamed(x.target, x.load, d, h.now())
+	h.registry.RecordEvent(x.target, x.load, d, h.now())
 }
 
 // heard takes the load that a target tells at the head of its answer. At the end of
 // a stream the word would be old.
-func (h *Host) heard(t balance.Listed, a request.Answer) {
+func (h *Host) heard(t balance.TargetInfo, a request.Answer) {
 	h.reach.heard(t.ID)
 	if !a.HasLoad {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if t, ok := h.registry.Started(t.ID, t.Born); ok {
-		t.Heard(a.Load, h.now())
+	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
+		t.RecordLoadReport(a.Load, h.now())
 	}
 }
 
 // try sends the request to one target and passes its answer on. again reports
 // that another target may be tried.
-func (x *exchange) try(ctx context.Context, t balance.Listed) (again bool, err error) {
+func (x *exchange) try(ctx context.Context, t balance.TargetInfo) (again bool, err error) {
 	if delay, twice := x.hedgeDelay(); twice {
 		return x.tryTwice(ctx, t, delay)
 	}
@@ -259,7 +259,7 @@
 }
 
 // unanswered ends a send to which no answer began.
-func (x *exchange) unanswered(ctx context.Context, t balance.Listed, err error) (again bool, _ error) {
+func (x *exchange) unanswered(ctx context.Context, t balance.TargetInfo, err error) (again bool, _ error) {
 	f := failure.From(err)
 	x.done(t.ID, outcomeOf(ctx, f))
 	if f.Ran != failure.RanNo {
@@ -269,7 +269,7 @@
 }
 
 // putBack ends a send that its target did not run.
-func (x *exchange) putBack(t balance.Listed, resp *targetpool.Response) (again bool, _ error) {
+func (x *exchange) putBack(t balance.TargetInfo, resp *targetpool.Response) (again bool, _ error) {
 	x.done(t.ID, refusal(resp.Answer))
 	if !resp.Answer.Moved {
 		x.room.refused(t.ID)
@@ -279,14 +279,14 @@
 
 // send sends the request to one target; a connection that cannot be made starts
 // probes of it.
-func (x *exchange) send(ctx context.Context, t balance.Listed, lastEvent string) (*targetpool.Response, error) {
+func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEvent string) (*targetpool.Response, error) {
 	x.sent = time.Now()
 	x.firstSent = x.sent
 	return x.host.ask(ctx, t, x.outgoing(t, lastEvent))
 }
 
 // ask sends a request to a target, and takes what its answer says of it.
-func (h *Host) ask(ctx context.Context, t balance.Listed, out *targetpool.Request) (*targetpool.Response, error) {
+func (h *Host) ask(ctx context.Context, t balance.TargetInfo, out *targetpool.Request) (*targetpool.Response, error) {
 	sent := time.Now()
 	resp, err := h.pool.Do(ctx, out, h.decode)
 	switch {
@@ -331,7 +331,7 @@
 }
 
 // outgoing builds the request to a target.
-func (x *exchange) outgoing(t balance.Listed, lastEvent string) *targetpool.Request {
+func (x *exchange) outgoing(t balance.TargetInfo, lastEvent string) *targetpool.Request {
 	header := x.host.Headers.Outgoing(x.r.Header, request.Send{
 		Target: t.ID, Left: max(leastLeft, time.Until(x.deadline)), LastEvent: lastEvent,
 		Urgency: min(leastUrgent, x.priority()), HasUrgency: x.engine != nil,
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -202,7 +202,7 @@
 		route("/short/", routing.Route{Timeout: 30 * time.Millisecond}),
 	}))
 	for _, x := range targets {
-		s.host.registry.Set(balance.Listed{ID: x.id, Service: "s", Address: x.listener.Addr().String(), DataCentre: "dc1", Places: 4})
+		s.host.registry.SetTarget(balance.TargetInfo{ID: x.id, Service: "s", Address: x.listener.Addr().String(), DataCentre: "dc1", Capacity: 4})
 	}
 	s.server = httptest.NewServer(s.host)
 	t.Cleanup(s.server.Close)
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -13,7 +13,7 @@
 
 // reply is what came of one send of a plain call.
 type reply struct {
-	target balance.Listed
+	target balance.TargetInfo
 	sent   time.Time
 	// resp is nil if err is of the send itself; else err is of reading the body.
 	resp *targetpool.Response
@@ -47,7 +47,7 @@
 // tryTwice sends the call to one target, and to another one if the first has not answered
 // after a delay. The first whole answer goes to the caller; the other send is broken off,
 // so that its target drops the work.
-func (x *exchange) tryTwice(ctx context.Context, t balance.Listed, delay time.Duration) (again bool, err error) {
+func (x *exchange) tryTwice(ctx context.Context, t balance.TargetInfo, delay time.Duration) (again bool, err error) {
 	replies := make(chan *reply, 2)
 	began := time.Now()
 	x.firstSent = began
@@ -97,7 +97,7 @@
 
 // launch sends the call to a target beside the caller's wait. The returned function breaks
 // it off.
-func (x *exchange) launch(ctx context.Context, t balance.Listed, replies chan<- *reply) context.CancelFunc {
+func (x *exchange) launch(ctx context.Context, t balance.TargetInfo, replies chan<- *reply) context.CancelFunc {
 	guarded, release := x.host.reach.guard(ctx, t)
 	out := x.outgoing(t, x.call.LastEvent)
 	go func() {
@@ -113,25 +113,25 @@
 }
 
 // pickSecond chooses the target of a second send, if there is a token and a target for it.
-func (x *exchange) pickSecond(first balance.Listed, delay time.Duration) (balance.Listed, bool) {
+func (x *exchange) pickSecond(first balance.TargetInfo, delay time.Duration) (balance.TargetInfo, bool) {
 	h := x.host
 	if !x.hasOther() {
 		h.Meter.Count("second_sends", "no_target")
-		return balance.Listed{}, false
+		return balance.TargetInfo{}, false
 	}
 	h.mu.Lock()
 	paid := h.hedger.Take(x.service)
 	h.mu.Unlock()
 	if !paid {
 		h.Meter.Count("second_sends", "no_token")
-		return balance.Listed{}, false
+		return balance.TargetInfo{}, false
 	}
 	x.sends++ // the first is under way
 	other, err := x.pick()
 	if err != nil {
 		x.sends--
 		h.Log.Info("call not sent a second time", "request", x.call.ID, "target", first.ID, "error", err.Error())
-		return balance.Listed{}, false
+		return balance.TargetInfo{}, false
 	}
 	h.Meter.Count("second_sends", "sent")
 	h.Log.Info("call sent a second time", "request", x.call.ID, "target", other.ID, "beside", first.ID, "route", x.route.Name, "delay_ms", delay.Milliseconds())
@@ -173,7 +173,7 @@
 // conclude ends the try with a reply, as if its target had been the only one. Only the word
 // that the call has not run is not passed on where the other send failed and may have.
 func (x *exchange) conclude(ctx context.Context, r *reply, other error) (again bool, err error) {
-	x.target, x.born, x.sent = r.target.ID, r.target.Born, r.sent
+	x.target, x.born, x.sent = r.target.ID, r.target.StartedAtMs, r.sent
 	if r.resp == nil {
 		return x.unanswered(ctx, r.target, r.err)
 	}
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -35,7 +35,7 @@
 	defer h.mu.Unlock()
 	for _, id := range []string{"t1", "t2", "t3"} {
 		if t, ok := h.registry.Target(id); ok {
-			t.Heard(request.Load{Places: 4, Slowdown: 1}, h.now())
+			t.RecordLoadReport(request.Load{Places: 4, Slowdown: 1}, h.now())
 		}
 	}
 	h.hedger = hedge.New()
@@ -259,7 +259,7 @@
 			s := newSystem(t, newTarget(t, "t1", nil))
 			s.host.Meter = meter.New()
 			x := &exchange{host: s.host}
-			r := &reply{target: balance.Listed{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
+			r := &reply{target: balance.TargetInfo{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
 			require.NotEqual(t, failure.RanNo, failure.From(x.failedSend(c.ctx, r)).Ran)
 			require.EqualValues(t, 1, s.host.Meter.Value("sends_abandoned"))
 		})
@@ -343,10 +343,10 @@
 	h.mu.Lock()
 	home, _ := h.registry.Target("t1")
 	away, _ := h.registry.Target("t2")
-	moved := away.Listed
+	moved := away.TargetInfo
 	moved.DataCentre = "dc2"
-	h.registry.Set(moved)
-	home.Heard(request.Load{Running: 4, Waiting: 40, Places: 4, Slowdown: 1.5}, h.now())
+	h.registry.SetTarget(moved)
+	home.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Places: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
 	line := out.first()
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -23,7 +23,7 @@
 
 func newTeller(h *Host) *teller {
 	id := rand.Uint64() | 1
-	h.registry.Salt(id)
+	h.registry.SetSalt(id)
 	return &teller{host: h, reporter: loads.NewReporter(id)}
 }
 
@@ -54,7 +54,7 @@
 	h := t.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	on := h.registry.Hushed(h.now())
+	on := h.registry.NeedsLoadExchange(h.now())
 	if on != t.on {
 		h.Log.Info("exchange of loads", "on", on)
 	}
@@ -65,7 +65,7 @@
 func (t *teller) exchange(ctx context.Context) time.Duration {
 	h := t.host
 	h.mu.Lock()
-	own, active := h.registry.Own(), h.registry.InFlight() > 0
+	own, active := h.registry.Observations(), h.registry.InFlight() > 0
 	h.mu.Unlock()
 	t.reporter.Note(own)
 	every := loads.IdleEvery
@@ -85,7 +85,7 @@
 	defer h.mu.Unlock()
 	learned := t.reporter.Take(reply, h.now())
 	t.board, t.hosts = reply.Board, reply.Hosts
-	h.registry.Told(learned, h.now())
+	h.registry.ApplyUpdate(learned, h.now())
 	return every
 }
 
@@ -116,7 +116,7 @@
 // state returns what the host was told; the caller holds the host's mu.
 func (t *teller) state() LoadsState {
 	s := LoadsState{On: t.on, Board: t.board, Hosts: t.hosts, ToldMs: -1}
-	if age := t.host.registry.ToldAge(t.host.now()); age >= 0 {
+	if age := t.host.registry.UpdateAge(t.host.now()); age >= 0 {
 		s.ToldMs = age.Milliseconds()
 	}
 	return s
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -53,7 +53,7 @@
 		past.Patient(boardPatience)
 		past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
 		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: quietLog()})
-		h.registry.Set(balance.Listed{ID: "x", Service: "s", DataCentre: "dc1", Places: 4, Born: 1})
+		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 1})
 		f.hosts = append(f.hosts, h)
 	}
 	return f
@@ -76,11 +76,11 @@
 	defer h.mu.Unlock()
 	x, ok := h.registry.Target("x")
 	require.True(f.t, ok)
-	x.Sent(nil, h.now())
+	x.RecordSend(nil, h.now())
 }
 
 // others is what a host was told of others' requests at the target.
-func (f *fleet) others(host int) int { return f.hosts[host].State().Targets[0].Others }
+func (f *fleet) others(host int) int { return f.hosts[host].State().Targets[0].OthersInFlight }
 
 // board is the member that the hosts report to.
 func (f *fleet) board() string {
@@ -172,7 +172,7 @@
 	require.Equal(t, 1, f.others(1))
 	for _, h := range f.hosts {
 		h.mu.Lock()
-		h.registry.Set(balance.Listed{ID: "x", Service: "s", DataCentre: "dc1", Places: 4, Born: 2})
+		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 2})
 		h.mu.Unlock()
 	}
 	f.exchange()
@@ -189,7 +189,7 @@
 	h.mu.Lock()
 	x, _ := h.registry.Target("x")
 	for range 10 {
-		x.Heard(request.Load{Running: 1, Places: 4, Slowdown: 1.5}, h.now())
+		x.RecordLoadReport(request.Load{Running: 1, Places: 4, Slowdown: 1.5}, h.now())
 	}
 	h.mu.Unlock()
 	h.teller.step(t.Context())
--- a/daemon/entry/plain.go
+++ b/daemon/entry/plain.go
@@ -13,7 +13,7 @@
 )
 
 // plain passes on an answer that is not a stream, of which readAnswer has returned the body.
-func (x *exchange) plain(ctx context.Context, t balance.Listed, resp *targetpool.Response, body *pieces, err error) (again bool, _ error) {
+func (x *exchange) plain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *pieces, err error) (again bool, _ error) {
 	if failure.Is(err, failure.Overloaded) {
 		x.done(t.ID, balance.Abandoned)
 		return false, failure.Unknown(failure.Overloaded, "answer of %s: %v", t.ID, err)
--- a/daemon/entry/ran.go
+++ b/daemon/entry/ran.go
@@ -46,8 +46,8 @@
 	defer h.mu.Unlock()
 	for _, r := range ran {
 		last := slices.IndexFunc(x.call.Prefix, func(p request.Part) bool { return p.ID == r.Part })
-		if t, ok := h.registry.Started(r.Target, r.Born); ok && last >= 0 {
-			t.HasRead(x.call.Prefix[:last+1], h.now())
+		if t, ok := h.registry.TargetIncarnation(r.Target, r.Born); ok && last >= 0 {
+			t.MarkCached(x.call.Prefix[:last+1], h.now())
 		}
 	}
 }
--- a/daemon/entry/ran_test.go
+++ b/daemon/entry/ran_test.go
@@ -59,7 +59,7 @@
 	x := s.turnOf("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
 	x.learn([]*historypb.Ran{{Target: "t1", Born: 7, Part: "own"}, {Target: "gone", Part: "own"}, {Target: "t1", Part: "unknown"}})
 	known, _ := s.host.registry.Target("t1")
-	require.Zero(t, known.Reads(x.call.Prefix))
+	require.Zero(t, known.CachedTokens(x.call.Prefix))
 	x.learn([]*historypb.Ran{{Target: "t1", Part: "own"}})
-	require.EqualValues(t, 505, known.Reads(x.call.Prefix))
+	require.EqualValues(t, 505, known.CachedTokens(x.call.Prefix))
 }
--- a/daemon/entry/reach.go
+++ b/daemon/entry/reach.go
@@ -111,7 +111,7 @@
 
 // guard returns a context that ends with errUnreachable when the target cannot be
 // reached any more, and probes it when it has been silent.
-func (r *reach) guard(ctx context.Context, t balance.Listed) (context.Context, context.CancelFunc) {
+func (r *reach) guard(ctx context.Context, t balance.TargetInfo) (context.Context, context.CancelFunc) {
 	r.mu.Lock()
 	l := r.of(t.ID)
 	l.dataCentre = t.DataCentre
--- a/daemon/entry/reach_test.go
+++ b/daemon/entry/reach_test.go
@@ -32,7 +32,7 @@
 
 func newReachHost(d *lineDialer) *Host {
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
-	h.registry.Set(balance.Listed{ID: "t1", Service: "s", Address: "a"})
+	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 	return h
 }
 
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &lineDialer{}
 		h := newReachHost(d)
-		ctx, release := h.reach.guard(t.Context(), balance.Listed{ID: "t1", Address: "a"})
+		ctx, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
 		defer release()
 		time.Sleep(5 * time.Second)
 		require.NoError(t, ctx.Err(), "a silent target that can be reached is left alone")
@@ -70,8 +70,8 @@
 		d := &lineDialer{}
 		d.cut.Store(true)
 		h := newReachHost(d)
-		h.registry.Set(balance.Listed{ID: "t2", Service: "s", Address: "b"})
-		h.registry.Set(balance.Listed{ID: "far", Service: "s", Address: "c", DataCentre: "other"})
+		h.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: "b"})
+		h.registry.SetTarget(balance.TargetInfo{ID: "far", Service: "s", Address: "c", DataCentre: "other"})
 		h.reach.lost("t1", "a")
 		time.Sleep(2*probeTimeout + time.Millisecond)
 		h.mu.Lock()
@@ -95,11 +95,11 @@
 		h.reach.lost("t1", "a")
 		time.Sleep(time.Second)
 		h.mu.Lock()
-		h.registry.Keep(map[string]bool{})
+		h.registry.RetainOnly(map[string]bool{})
 		h.mu.Unlock()
 		time.Sleep(time.Second)
 		h.mu.Lock()
-		h.registry.Set(balance.Listed{ID: "t1", Service: "s", Address: "a"})
+		h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 		h.mu.Unlock()
 		h.reach.lost("t1", "a")
 		time.Sleep(time.Second)
@@ -107,7 +107,7 @@
 		d.cut.Store(false)
 		time.Sleep(time.Second)
 		require.True(t, h.reachable(t))
-		ctx, release := h.reach.guard(t.Context(), balance.Listed{ID: "t1", Address: "a"})
+		ctx, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
 		defer release()
 		time.Sleep(time.Second)
 		require.NoError(t, ctx.Err())
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newReachHost(&lineDialer{})
 		require.False(t, h.reach.heardFrom("far", time.Minute), "never heard")
-		_, release := h.reach.guard(t.Context(), balance.Listed{ID: "t1", Address: "a", DataCentre: "far"})
+		_, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a", DataCentre: "far"})
 		defer release()
 		h.reach.heard("t1")
 		time.Sleep(farSilence)
@@ -139,8 +139,8 @@
 	var b *target
 	ended := make(chan struct{})
 	a := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
-		view := NewTargetView(s.host, func(id string, spec []byte) (balance.Listed, error) {
-			return balance.Listed{ID: id, Born: 2, Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc1", Places: 4}, nil
+		view := NewTargetView(s.host, func(id string, spec []byte) (balance.TargetInfo, error) {
+			return balance.TargetInfo{ID: id, StartedAtMs: 2, Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc1", Capacity: 4}, nil
 		})
 		view.Changed(objects.Changes{Events: []objects.Event{{Object: objects.Object{Name: "t1"}}}})
 		<-ended
@@ -160,8 +160,8 @@
 func TestUnreadableEntryEndsItsTarget(t *testing.T) {
 	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
 	s := newSystem(t, a, b)
-	view := NewTargetView(s.host, func(id string, _ []byte) (balance.Listed, error) {
-		return balance.Listed{}, failure.New(failure.InvalidDeclaration, "not readable")
+	view := NewTargetView(s.host, func(id string, _ []byte) (balance.TargetInfo, error) {
+		return balance.TargetInfo{}, failure.New(failure.InvalidDeclaration, "not readable")
 	})
 	view.Changed(objects.Changes{Events: []objects.Event{{Object: objects.Object{Name: "t1"}}}})
 	for i := range 6 {
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -24,7 +24,7 @@
 	north, south = newTarget(t, "north", answer), newTarget(t, "south", answer)
 	s = newSystem(t, north)
 	s.host.Regions = map[string]string{"dc1": "north", "dc2": "south", "0": "north", "1": "north", "2": "south"}
-	s.host.registry.Set(balance.Listed{ID: "south", Service: "s", Address: south.listener.Addr().String(), DataCentre: "dc2", Places: 4})
+	s.host.registry.SetTarget(balance.TargetInfo{ID: "south", Service: "s", Address: south.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	return s, north, south
 }
 
@@ -85,7 +85,7 @@
 	s.bind("/quick/", routing.In("north"))
 	x, _ := s.host.registry.Target("north")
 	for range 6 {
-		x.Sent(nil, s.host.now())
+		x.RecordSend(nil, s.host.now())
 	}
 	got := s.post("/quick/", "", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.MaxTokens, "3", ownheaders.Prompt, "100")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -50,7 +50,7 @@
 	x := &exchange{host: s.host, r: r, table: s.host.table.Load(), route: s.host.table.Load().Routes()[0], tried: map[string]bool{}}
 	for left, most := range map[time.Duration]int64{2 * time.Second: 2000, 400 * time.Microsecond: 1, -time.Second: 1} {
 		x.deadline = time.Now().Add(left)
-		got := number(x.outgoing(balance.Listed{ID: "t1"}, "").Header.Get(ownheaders.Left))
+		got := number(x.outgoing(balance.TargetInfo{ID: "t1"}, "").Header.Get(ownheaders.Left))
 		require.Positive(t, got, "%v", left)
 		require.LessOrEqual(t, got, most, "%v", left)
 	}
@@ -77,7 +77,7 @@
 			}
 		})
 		defer h.stop()
-		h.registry.Set(balance.Listed{ID: "t2", Service: "s", Address: "t2", DataCentre: "dc1", Places: 4})
+		h.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: "t2", DataCentre: "dc1", Capacity: 4})
 		c := h.ask("/plain/")
 		defer c.Close()
 		require.Equal(t, http.StatusOK, status(t, c))
@@ -163,7 +163,7 @@
 				ended := make(chan time.Time, 2)
 				h := newSlowHost(t, stopsAfter(x.raw, ended))
 				defer h.stop()
-				h.registry.Set(balance.Listed{ID: "t2", Service: "s", Address: "t2", DataCentre: "dc1", Places: 4})
+				h.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: "t2", DataCentre: "dc1", Capacity: 4})
 				c := h.ask(x.path)
 				time.Sleep(time.Second)
 				left := time.Now()
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -83,7 +83,7 @@
 		route("/once/", routing.Route{Kind: routing.AtMostOnce}),
 		route("/quick/", routing.Route{Kind: routing.Streaming, Resumable: true}),
 	}))
-	h.registry.Set(balance.Listed{ID: "t1", Service: "s", Address: "t1", DataCentre: "dc1", Places: 4000})
+	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "t1", DataCentre: "dc1", Capacity: 4000})
 	h.Serve(p)
 	return &slowHost{Host: h, t: t, pipes: p, meter: m}
 }
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -15,7 +15,7 @@
 
 // stream passes events on as they come. A stream that breaks is resumed at other
 // targets where the route allows it.
-func (x *exchange) stream(ctx context.Context, t balance.Listed, resp *targetpool.Response) (again bool, err error) {
+func (x *exchange) stream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (again bool, err error) {
 	last := x.call.LastEvent
 	for {
 		err = x.pump(ctx, resp, &last)
@@ -115,11 +115,11 @@
 
 // resume sends the request to another target, after the last event passed on. The
 // caller releases the guard of the new target.
-func (x *exchange) resume(ctx context.Context, last string) (balance.Listed, *targetpool.Response, context.CancelFunc, error) {
+func (x *exchange) resume(ctx context.Context, last string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
 	for x.sends < x.route.Attempts {
 		t, err := x.pick()
 		if err != nil {
-			return balance.Listed{}, nil, nil, err
+			return balance.TargetInfo{}, nil, nil, err
 		}
 		x.host.Meter.Count("streams", "resumed")
 		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", last)
@@ -142,7 +142,7 @@
 		_ = resp.Body.Close()
 		release()
 	}
-	return balance.Listed{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sends)
+	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sends)
 }
 
 // finishStream makes a turn durable before its caller sees it end.
--- a/daemon/entry/suspect.go
+++ b/daemon/entry/suspect.go
@@ -23,7 +23,7 @@
 	asked         map[string]bool
 	first, missed int
 	// rest is probed once most of the first have been missed.
-	rest []balance.Listed
+	rest []balance.TargetInfo
 }
 
 // suspect probes targets beside one that was found unreachable: a cut mostly takes a whole data
@@ -31,7 +31,7 @@
 // nothing until their probe has come through.
 func (r *reach) suspect(target string) {
 	r.host.mu.Lock()
-	near := r.host.registry.Near(target)
+	near := r.host.registry.OthersInDataCentre(target)
 	r.host.mu.Unlock()
 	for _, x := range r.begin(near) {
 		r.doubt(x)
@@ -39,7 +39,7 @@
 }
 
 // begin returns the targets of a data centre to probe first, none while a suspicion stands.
-func (r *reach) begin(near []balance.Listed) []balance.Listed {
+func (r *reach) begin(near []balance.TargetInfo) []balance.TargetInfo {
 	if len(near) == 0 {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // doubt probes a target, which gets nothing until then if it is silent.
-func (r *reach) doubt(x balance.Listed) {
+func (r *reach) doubt(x balance.TargetInfo) {
 	r.mu.Lock()
 	silent := time.Since(r.of(x.ID).heard) >= centreSilence
 	r.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // condemned returns the targets to probe as most of those beside them were missed.
-func (r *reach) condemned(target string, reached bool) []balance.Listed {
+func (r *reach) condemned(target string, reached bool) []balance.TargetInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.suspicions {
--- a/daemon/entry/suspect_test.go
+++ b/daemon/entry/suspect_test.go
@@ -45,7 +45,7 @@
 	d := &someDialer{dark: dark}
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
 	for i := range n {
-		h.registry.Set(balance.Listed{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint(i), DataCentre: "dc1"})
+		h.registry.SetTarget(balance.TargetInfo{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint(i), DataCentre: "dc1"})
 	}
 	return h, d
 }
@@ -55,7 +55,7 @@
 	defer h.mu.Unlock()
 	n := 0
 	for _, s := range h.registry.State(h.now()) {
-		if s.Why == "unreachable" {
+		if s.UnusableReason == "unreachable" {
 			n++
 		}
 	}
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -95,23 +95,23 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range t.Services() {
-		h.registry.Declare(s.Name, balance.ColdStart{Lasts: s.ColdFor, PerSecond: s.ColdPerSecond})
+		h.registry.SetColdStart(s.Name, balance.ColdStart{Window: s.ColdFor, Rate: s.ColdPerSecond})
 	}
 }
 
 // DecodeTarget decodes the entry of a target.
-type DecodeTarget func(id string, spec []byte) (balance.Listed, error)
+type DecodeTarget func(id string, spec []byte) (balance.TargetInfo, error)
 
 // TargetView takes the list of targets from the platform; an objects.Listener.
 type TargetView struct {
 	host   *Host
 	decode DecodeTarget
 	// steps are those of the part that the host holds; nil where it holds all.
-	steps func() []subset.Step
+	steps func() []subset.Halvings
 }
 
 // Holding tells the view by which steps the host holds a part of the targets.
-func (v *TargetView) Holding(steps func() []subset.Step) *TargetView {
+func (v *TargetView) Holding(steps func() []subset.Halvings) *TargetView {
 	v.steps = steps
 	return v
 }
@@ -123,7 +123,7 @@
 	}
 	v.host.mu.Lock()
 	defer v.host.mu.Unlock()
-	v.host.registry.Hold(v.steps())
+	v.host.registry.SetHalvings(v.steps())
 }
 
 // NewTargetView returns the listener for the list of targets.
@@ -141,7 +141,7 @@
 	}
 	v.host.mu.Lock()
 	defer v.host.mu.Unlock()
-	v.host.registry.Keep(ids)
+	v.host.registry.RetainOnly(ids)
 }
 
 // Changed implements objects.Listener.
@@ -168,12 +168,12 @@
 	}
 	v.host.mu.Lock()
 	old, known := v.host.registry.Target(l.ID)
-	changed := !known || old.Draining != l.Draining || old.Born != l.Born
-	renewed := v.host.registry.Set(l)
-	v.host.registry.Cool(l.ID, l.Cold, v.host.now())
+	changed := !known || old.Draining != l.Draining || old.StartedAtMs != l.StartedAtMs
+	renewed := v.host.registry.SetTarget(l)
+	v.host.registry.SetColdFor(l.ID, l.ColdFor, v.host.now())
 	v.host.mu.Unlock()
 	if changed {
-		v.host.Log.Info("target listed", "target", l.ID, "service", l.Service, "draining", l.Draining, "born", l.Born, "cold_ms", l.Cold.Milliseconds(), "renewed", renewed)
+		v.host.Log.Info("target listed", "target", l.ID, "service", l.Service, "draining", l.Draining, "born", l.StartedAtMs, "cold_ms", l.ColdFor.Milliseconds(), "renewed", renewed)
 	}
 	if renewed {
 		v.host.pool.Forget(old.Address)
--- a/daemon/relay/ownpart.go
+++ b/daemon/relay/ownpart.go
@@ -71,7 +71,7 @@
 	for i := range c.Events {
 		e := &c.Events[i]
 		g, listed := p.all.groupOf(e.Object.Name, e.Object.Spec)
-		if listed && !subset.Within(now, p.holder.Host, p.holder.DataCentre, g, e.Object.Name) {
+		if listed && !subset.Holds(now, p.holder.Host, p.holder.DataCentre, g, e.Object.Name) {
 			e.Removed = true
 		}
 		p.note(*e)
@@ -87,7 +87,7 @@
 	}
 	p.holder.Steps = steps
 	for _, name := range slices.Sorted(maps.Keys(p.held)) {
-		if !subset.Within(now, p.holder.Host, p.holder.DataCentre, p.held[name], name) {
+		if !subset.Holds(now, p.holder.Host, p.holder.DataCentre, p.held[name], name) {
 			gone := objects.Event{Object: objects.Object{Name: name, Revision: c.Revision}, Removed: true}
 			p.note(gone)
 			c.Events = append(c.Events, gone)
--- a/daemon/relay/part.go
+++ b/daemon/relay/part.go
@@ -101,7 +101,7 @@
 		return nil
 	}
 	var list []*historypb.Step
-	for _, s := range p.index.Steps(h.DataCentre) {
+	for _, s := range p.index.Halvings(h.DataCentre) {
 		list = append(list, &historypb.Step{Service: s.Service, Near: uint32(s.Near), Far: uint32(s.Far)})
 	}
 	return list
@@ -110,13 +110,13 @@
 // covered reports whether a holder has all of its part but for what changes tell. Where its
 // part has grown as a whole, as there are fewer targets, it must list again.
 func (p *parts) covered(h *historypb.Holder) bool {
-	return h == nil || p.groupOf == nil || subset.Shrunk(stepsOf(h.Steps), p.index.Steps(h.DataCentre))
+	return h == nil || p.groupOf == nil || subset.Shrunk(stepsOf(h.Steps), p.index.Halvings(h.DataCentre))
 }
 
-func stepsOf(list []*historypb.Step) []subset.Step {
-	var steps []subset.Step
+func stepsOf(list []*historypb.Step) []subset.Halvings {
+	var steps []subset.Halvings
 	for _, s := range list {
-		steps = append(steps, subset.Step{Service: s.Service, Near: int(s.Near), Far: int(s.Far)})
+		steps = append(steps, subset.Halvings{Service: s.Service, Near: int(s.Near), Far: int(s.Far)})
 	}
 	return steps
 }
--- a/daemon/relay/source.go
+++ b/daemon/relay/source.go
@@ -94,7 +94,7 @@
 
 // Steps are those of the part that the host holds, none where it holds all; for the goroutine
 // that reads.
-func (s *Source) Steps() []subset.Step {
+func (s *Source) Steps() []subset.Halvings {
 	if s.part == nil {
 		return nil
 	}
