--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -47,7 +47,7 @@
 // patientPool returns a pool whose dials and calls do not fail because the machine is busy.
 func patientPool(t *testing.T) *Pool {
 	p := NewPool(&patientDialer{})
-	p.Silence = time.Minute
+	p.SilenceTimeout = time.Minute
 	t.Cleanup(p.Close)
 	return p
 }
