--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -1,6 +1,8 @@
 // Package chart interprets state charts that are kept in files.
 //
-// A chart file has one transition a line:
+// A chart file has one statement per line: the initial state, a transition
+// (state, event, arrow, next state) or a list of final states. Empty lines and
+// lines that start with # are ignored.
 //
 //	# comment
 //	initial received
@@ -8,8 +10,8 @@
 //	admitted  queue  -> queued
 //	final delivered failed
 //
-// States and events are compiled to small integers, so that one transition is
-// one table look-up without allocation.
+// States and events are compiled to small integers, so a transition is one table
+// lookup without allocation.
 package chart
 
 import (
@@ -19,35 +21,37 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// State is a state of a chart.
+// State is the index of a state in its chart.
 type State uint8
 
-// Event is an event of a chart.
+// Event is the index of an event in its chart.
 type Event uint8
 
+// noState marks a missing transition.
 const noState State = 255
 
-// Chart is a compiled state chart. It is immutable.
+// Chart is a compiled state chart. It is immutable once parsed.
 type Chart struct {
-	name    string
-	initial State
-	states  []string
-	events  []string
-	final   []bool
-	next    [][]State
+	name        string
+	initial     State
+	states      []string
+	events      []string
+	final       []bool
+	transitions [][]State // by state and event; noState if there is none
 }
 
-// Parse compiles the text of a chart file; name is used in errors.
+// Parse compiles the text of a chart file; name identifies the file in errors. An
+// error is of kind InvalidDeclaration.
 func Parse(name, text string) (*Chart, error) {
 	c := &Chart{name: name, initial: noState}
 	scan := bufio.NewScanner(strings.NewReader(text))
 	for line := 1; scan.Scan(); line++ {
-		words := strings.Fields(scan.Text())
-		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
+		fields := strings.Fields(scan.Text())
+		if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
 			continue
 		}
-		if !c.parseLine(words) {
-			return nil, failure.New(failure.InvalidDeclaration, "%s:%d: not a chart line: %q", name, line, scan.Text())
+		if !c.parseLine(fields) {
+			return nil, failure.New(failure.InvalidDeclaration, "%s:%d: invalid or contradictory chart statement: %q", name, line, scan.Text())
 		}
 	}
 	if c.initial == noState {
@@ -56,7 +60,7 @@
 	return c, nil
 }
 
-// MustParse is Parse for charts embedded in the program.
+// MustParse parses a chart embedded in the program and panics on an error.
 func MustParse(name, text string) *Chart {
 	c, err := Parse(name, text)
 	if err != nil {
@@ -65,28 +69,31 @@
 	return c
 }
 
-func (c *Chart) parseLine(words []string) bool {
+// parseLine adds one statement and reports whether it is valid. A second transition
+// for the same state and event must lead to the same state.
+func (c *Chart) parseLine(fields []string) bool {
 	switch {
-	case words[0] == "initial" && len(words) == 2:
-		c.initial = c.state(words[1])
+	case fields[0] == "initial" && len(fields) == 2:
+		c.initial = c.internState(fields[1])
 		return true
-	case words[0] == "final" && len(words) > 1:
-		for _, w := range words[1:] {
-			c.final[c.state(w)] = true
+	case fields[0] == "final" && len(fields) > 1:
+		for _, name := range fields[1:] {
+			c.final[c.internState(name)] = true
 		}
 		return true
-	case len(words) == 4 && words[2] == "->":
-		from, ev, to := c.state(words[0]), c.event(words[1]), c.state(words[3])
-		if c.next[from][ev] != noState && c.next[from][ev] != to {
+	case len(fields) == 4 && fields[2] == "->":
+		from, ev, to := c.internState(fields[0]), c.internEvent(fields[1]), c.internState(fields[3])
+		if c.transitions[from][ev] != noState && c.transitions[from][ev] != to {
 			return false
 		}
-		c.next[from][ev] = to
+		c.transitions[from][ev] = to
 		return true
 	}
 	return false
 }
 
-func (c *Chart) state(name string) State {
+// internState returns the state with the given name and adds it if it is new.
+func (c *Chart) internState(name string) State {
 	for i, s := range c.states {
 		if s == name {
 			return State(i)
@@ -98,28 +105,29 @@
 	for i := range row {
 		row[i] = noState
 	}
-	c.next = append(c.next, row)
+	c.transitions = append(c.transitions, row)
 	return State(len(c.states) - 1)
 }
 
-func (c *Chart) event(name string) Event {
+// internEvent returns the event with the given name and adds it if it is new.
+func (c *Chart) internEvent(name string) Event {
 	for i, e := range c.events {
 		if e == name {
 			return Event(i)
 		}
 	}
 	c.events = append(c.events, name)
-	for i := range c.next {
-		c.next[i] = append(c.next[i], noState)
+	for i := range c.transitions {
+		c.transitions[i] = append(c.transitions[i], noState)
 	}
 	return Event(len(c.events) - 1)
 }
 
-// Initial returns the state in which the chart starts.
+// Initial returns the initial state.
 func (c *Chart) Initial() State { return c.initial }
 
-// State returns the state of that name; it panics on an unknown one, which is
-// a fault in the program.
+// State returns the state with the given name. It panics if there is none,
+// which is a programming error.
 func (c *Chart) State(name string) State {
 	for i, s := range c.states {
 		if s == name {
@@ -129,7 +137,7 @@
 	panic(failure.New(failure.Internal, "chart %s has no state %q", c.name, name))
 }
 
-// Event returns the event of that name; it panics on an unknown one.
+// Event returns the event with the given name. It panics if there is none.
 func (c *Chart) Event(name string) Event {
 	for i, e := range c.events {
 		if e == name {
@@ -139,10 +147,10 @@
 	panic(failure.New(failure.Internal, "chart %s has no event %q", c.name, name))
 }
 
-// Next returns the state after ev in s; ok is false when the chart has no such
-// transition, and the state is then unchanged.
+// Next returns the state that follows s on event ev. If the chart has no such
+// transition, it returns s and false.
 func (c *Chart) Next(s State, ev Event) (next State, ok bool) {
-	n := c.next[s][ev]
+	n := c.transitions[s][ev]
 	if n == noState {
 		return s, false
 	}
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -18,7 +18,7 @@
 final locked
 `
 
-func TestChart(t *testing.T) {
+func TestTransitions(t *testing.T) {
 	c, err := Parse("door", door)
 	require.NoError(t, err)
 	s := c.Initial()
@@ -32,11 +32,11 @@
 	assert.Panics(t, func() { c.Event("kick") })
 }
 
-func TestChartFaults(t *testing.T) {
+func TestParseRejectsInvalidCharts(t *testing.T) {
 	for name, text := range map[string]string{
-		"not a line":      "initial a\na b c",
-		"no initial":      "a e -> b",
-		"two transitions": "initial a\na e -> b\na e -> c",
+		"invalid statement":       "initial a\na b c",
+		"no initial state":        "a e -> b",
+		"conflicting transitions": "initial a\na e -> b\na e -> c",
 	} {
 		_, err := Parse(name, text)
 		assert.True(t, failure.Is(err, failure.InvalidDeclaration), name)
