--- a/core/decl/decl_test.go
+++ b/core/decl/decl_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sound = `[service "llm"]
+const validDeclaration = `[service "llm"]
 objective = cache
 [service "orders"]
 kind = plain
@@ -30,8 +30,8 @@
 then = priority 5
 `
 
-func TestParse(t *testing.T) {
-	set, err := Parse("f", []byte(sound))
+func TestParseValidDeclaration(t *testing.T) {
+	set, err := Parse("f", []byte(validDeclaration))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"a", "b"}, set.Targets["e1"].Models)
 	assert.True(t, set.Targets["e1"].ChecksFencing)
@@ -41,8 +41,8 @@
 	assert.Equal(t, "desk", c.Name)
 }
 
-func TestFirstMatchDecides(t *testing.T) {
-	set, err := Parse("f", []byte(sound))
+func TestRouteUsesFirstMatchingRule(t *testing.T) {
+	set, err := Parse("f", []byte(validDeclaration))
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		env  Env
@@ -60,34 +60,34 @@
 	assert.Equal(t, Then{Rule: "long", Priority: 2, Deadline: 30 * time.Second, CallsPerSecond: 10, Retries: 1, Objective: Latency}, then)
 }
 
-// TestFaults states for each bad declaration the line and a part of the reason.
-func TestFaults(t *testing.T) {
-	base := "[service \"s\"]\n" // line 1; the case begins at line 2
+// TestParseReportsLineAndReason checks the line and a part of the reason of the first fault.
+func TestParseReportsLineAndReason(t *testing.T) {
+	base := "[service \"s\"]\n" // line 1; each case starts on line 2
 	for name, c := range map[string]struct {
 		text   string
 		line   int
 		reason string
 	}{
 		"unknown section":    {"[servise \"x\"]", 2, "unknown section"},
-		"no name":            {"[target]", 2, "needs a name"},
-		"twice":              {"[service \"s\"]", 2, "stands twice"},
+		"missing name":       {"[target]", 2, "needs a name"},
+		"duplicate section":  {"[service \"s\"]", 2, "declared twice"},
 		"unknown key":        {"[service \"t\"]\ncolour = red", 3, "unknown key"},
-		"bad number":         {"[service \"t\"]\nqueue_limit = many", 3, "whole number"},
-		"bad duration":       {"[service \"t\"]\ntimeout = 5 parsecs", 3, "duration"},
-		"bad choice":         {"[service \"t\"]\nkind = steam", 3, "engine or plain"},
-		"bad bool":           {"[target \"t\"]\nservice = s\ndata_centre = d\nurl = http://x\nleaving = perhaps", 6, "true or false"},
+		"invalid number":     {"[service \"t\"]\nqueue_limit = many", 3, "whole number"},
+		"invalid duration":   {"[service \"t\"]\ntimeout = 5 parsecs", 3, "duration"},
+		"invalid choice":     {"[service \"t\"]\nkind = steam", 3, "engine or plain"},
+		"invalid bool":       {"[target \"t\"]\nservice = s\ndata_centre = d\nurl = http://x\nleaving = perhaps", 6, "true or false"},
 		"missing key":        {"[target \"t\"]\nservice = s\nurl = http://x", 2, "data_centre"},
 		"unknown service":    {"[target \"t\"]\nservice = z\ndata_centre = d\nurl = http://x", 3, "unknown service"},
-		"bad url":            {"[target \"t\"]\nservice = s\ndata_centre = d\nurl = ftp://x", 5, "http"},
-		"token":              {"[caller \"c\"]\ntoken_sha256 = 12", 3, "64 hex"},
+		"invalid URL":        {"[target \"t\"]\nservice = s\ndata_centre = d\nurl = ftp://x", 5, "http"},
+		"short token digest": {"[caller \"c\"]\ntoken_sha256 = 12", 3, "64 hex"},
 		"type error":         {"[rule \"r\"]\nwhen = sequence == \"one\"\nthen = priority 1", 2, "condition"},
 		"not a condition":    {"[rule \"r\"]\nwhen = sequence + 1\nthen = priority 1", 2, "condition"},
 		"unknown field":      {"[rule \"r\"]\nwhen = moon > 1\nthen = priority 1", 2, "moon"},
 		"never true":         {"[rule \"r\"]\nwhen = false\nthen = priority 1", 2, "never true"},
 		"unknown action":     {"[rule \"r\"]\nthen = dance wildly", 2, "unknown action"},
-		"no value":           {"[rule \"r\"]\nthen = priority", 2, "needs a value"},
-		"bad priority":       {"[rule \"r\"]\nthen = priority 11", 2, "0 to 9"},
-		"route to nowhere":   {"[rule \"r\"]\nthen = route z", 2, "unknown service"},
+		"missing value":      {"[rule \"r\"]\nthen = priority", 2, "needs a value"},
+		"invalid priority":   {"[rule \"r\"]\nthen = priority 11", 2, "0 to 9"},
+		"route to unknown":   {"[rule \"r\"]\nthen = route z", 2, "unknown service"},
 		"after a catch-all":  {"[rule \"a\"]\nthen = priority 1\n[rule \"b\"]\nthen = priority 2", 4, "never match"},
 		"same condition":     {"[rule \"a\"]\nwhen = sequence > 1\nthen = priority 1\n[rule \"b\"]\nwhen = sequence  >  1\nthen = priority 2", 5, "never match"},
 		"narrower condition": {"[rule \"a\"]\nwhen = sequence > 1\nthen = priority 1\n[rule \"b\"]\nwhen = idempotent && sequence > 1\nthen = priority 2", 5, "never match"},
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse("f", []byte("[service \"a\"]\nkind = x\nqueue_limit = y\n[rule \"r\"]\nthen = priority 99\n"))
 	var faults Faults
 	require.ErrorAs(t, err, &faults)
@@ -111,7 +111,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(sound)
+	f.Add(validDeclaration)
 	f.Add("[rule \"r\"]\nwhen = a && (b ||\nthen = priority 1")
 	f.Add("[service \"a\"")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/core/decl/parse.go
+++ b/core/decl/parse.go
@@ -14,20 +14,20 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// MaxBytes bounds the text of one declaration.
+// MaxBytes is the maximum size of the text of one declaration.
 const MaxBytes = 8 << 20
 
-// Fault is one thing wrong with a declaration.
+// Fault is one error in a declaration.
 type Fault struct {
 	File   string `json:"file"`
-	Line   int    `json:"line"`
+	Line   int    `json:"line"` // from 1
 	Reason string `json:"reason"`
 }
 
-// String gives the fault as "file:line: reason".
+// String formats the fault as "file:line: reason".
 func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
 
-// Faults is every fault of a declaration; it is the error that Parse returns.
+// Faults lists all faults of a declaration. It is the error that Parse returns.
 type Faults []Fault
 
 // Error implements error.
@@ -39,16 +39,17 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a declaration. The error is Faults, in order of line.
+// Parse parses and validates a declaration; file is the file name for faults. The
+// error is of type Faults, in order of line.
 func Parse(file string, text []byte) (*Set, error) {
-	p := &parsing{file: file, lines: indexLines(text), set: &Set{
+	p := &parseState{file: file, lines: newLineIndex(text), set: &Set{
 		Services: map[string]*Service{},
 		Targets:  map[string]*Target{},
 		Callers:  map[string]*Caller{},
 		byToken:  map[string]*Caller{},
 	}}
 	if len(text) > MaxBytes {
-		p.fault(1, "a declaration has at most %d bytes", MaxBytes)
+		p.fault(1, "declaration exceeds %d bytes", MaxBytes)
 		return nil, p.faults
 	}
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, AllowShadows: true, AllowDuplicateShadowValues: true}, text)
@@ -67,41 +68,41 @@
 	return p.set, nil
 }
 
-// parsing is the state of one Parse.
-type parsing struct {
-	file   string
-	lines  lineIndex
-	set    *Set
-	faults Faults
-	sect   string          // section at hand
-	ini    *ini.Section    // the same
-	used   map[string]bool // keys of it that were read
+// parseState is the state of one call of Parse.
+type parseState struct {
+	file        string
+	lines       lineIndex
+	set         *Set
+	faults      Faults
+	sectionName string          // name of the current section
+	ini         *ini.Section    // the current section
+	used        map[string]bool // keys of the current section that were read
 }
 
-func (p *parsing) fault(line int, format string, args ...any) {
+func (p *parseState) fault(line int, format string, args ...any) {
 	p.faults = append(p.faults, Fault{File: p.file, Line: line, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (p *parsing) faultKey(key, format string, args ...any) {
-	p.fault(p.lines.key(p.sect, key), "[%s] %s: %s", p.sect, key, fmt.Sprintf(format, args...))
+func (p *parseState) faultKey(key, format string, args ...any) {
+	p.fault(p.lines.key(p.sectionName, key), "[%s] %s: %s", p.sectionName, key, fmt.Sprintf(format, args...))
 }
 
-func (p *parsing) section(s *ini.Section) {
-	p.sect, p.ini, p.used = s.Name(), s, map[string]bool{}
+func (p *parseState) section(s *ini.Section) {
+	p.sectionName, p.ini, p.used = s.Name(), s, map[string]bool{}
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			p.fault(p.lines.key("", k.Name()), "key %q stands before any section", k.Name())
+			p.fault(p.lines.key("", k.Name()), "key %q before the first section", k.Name())
 		}
 		return
 	}
-	if p.lines.count(p.sect) > 1 {
-		p.fault(p.lines.section(p.sect), "section [%s] stands twice", p.sect)
+	if p.lines.count(p.sectionName) > 1 {
+		p.fault(p.lines.section(p.sectionName), "section [%s] is declared twice", p.sectionName)
 		return
 	}
 	kind, name, _ := strings.Cut(s.Name(), " ")
 	name = strings.Trim(strings.TrimSpace(name), `"`)
 	if name == "" || strings.ContainsAny(name, "/ \t\"") && kind != "rule" {
-		p.fault(p.lines.section(p.sect), "section [%s] needs a name, as in [%s \"name\"], without spaces or slashes", p.sect, kind)
+		p.fault(p.lines.section(p.sectionName), "section [%s] needs a name, as in [%s \"name\"], without spaces or slashes", p.sectionName, kind)
 		return
 	}
 	switch kind {
@@ -114,7 +115,7 @@
 	case "rule":
 		p.rule(name)
 	default:
-		p.fault(p.lines.section(p.sect), "unknown section [%s]; there are service, target, caller and rule", p.sect)
+		p.fault(p.lines.section(p.sectionName), "unknown section [%s]; valid sections are service, target, caller and rule", p.sectionName)
 		return
 	}
 	for _, k := range s.Keys() {
@@ -124,7 +125,7 @@
 	}
 }
 
-func (p *parsing) service(name string) {
+func (p *parseState) service(name string) {
 	s := &Service{Name: name}
 	s.Kind = ServiceKind(p.oneOf("kind", string(Engine), string(Plain)))
 	s.Objective = Objective(p.oneOf("objective", string(Latency), string(Cache)))
@@ -138,7 +139,7 @@
 	p.set.Services[name] = s
 }
 
-func (p *parsing) target(name string) {
+func (p *parseState) target(name string) {
 	t := &Target{Name: name}
 	t.Service = p.text("service", true)
 	t.DataCentre = p.text("data_centre", true)
@@ -152,8 +153,8 @@
 	t.Prefill = p.duration("prefill", 50*time.Microsecond, 0)
 	t.Decode = p.duration("decode", 8*time.Millisecond, 0)
 	if m := p.text("models", false); m != "" {
-		for one := range strings.SplitSeq(m, ",") {
-			t.Models = append(t.Models, strings.TrimSpace(one))
+		for model := range strings.SplitSeq(m, ",") {
+			t.Models = append(t.Models, strings.TrimSpace(model))
 		}
 	}
 	t.ChecksFencing = p.boolean("checks_fencing", true)
@@ -161,13 +162,13 @@
 	p.set.Targets[name] = t
 }
 
-func (p *parsing) caller(name string) {
+func (p *parseState) caller(name string) {
 	c := &Caller{Name: name}
 	c.TokenSHA256 = strings.ToLower(p.text("token_sha256", true))
 	c.CallsPerSecond = p.float("calls_per_second", 0, 0, 1e9)
 	c.Budget = p.integer("budget", 1_000_000, 1, 1<<50)
 	if len(c.TokenSHA256) != 64 {
-		p.faultKey("token_sha256", "is 64 hex digits")
+		p.faultKey("token_sha256", "must be 64 hex digits")
 	}
 	if _, ok := p.set.byToken[c.TokenSHA256]; ok {
 		p.faultKey("token_sha256", "another caller has the same token")
@@ -176,28 +177,28 @@
 	p.set.byToken[c.TokenSHA256] = c
 }
 
-func (p *parsing) rule(name string) {
-	line := p.lines.section(p.sect)
+func (p *parseState) rule(name string) {
+	line := p.lines.section(p.sectionName)
 	r, err := newRule(name, p.text("when", false), p.text("then", true), line)
 	if err != nil {
-		p.fault(line, "[%s] %s", p.sect, failure.From(err).Detail)
+		p.fault(line, "[%s] %s", p.sectionName, failure.From(err).Detail)
 		return
 	}
 	for _, earlier := range p.set.Rules {
 		if earlier.shadows(r) {
-			p.fault(line, "[%s] can never match: rule %q at line %d matches first", p.sect, earlier.Name, earlier.Line)
+			p.fault(line, "[%s] can never match: rule %q on line %d matches first", p.sectionName, earlier.Name, earlier.Line)
 			return
 		}
 	}
 	p.set.Rules = append(p.set.Rules, r)
 }
 
-// check verifies what the sections say of each other.
-func (p *parsing) check() {
+// check verifies the references between sections.
+func (p *parseState) check() {
 	for name, t := range p.set.Targets {
 		if _, ok := p.set.Services[t.Service]; !ok && t.Service != "" {
-			sect := fmt.Sprintf("target %q", name)
-			p.fault(p.lines.key(sect, "service"), "[%s] unknown service %q", sect, t.Service)
+			section := fmt.Sprintf("target %q", name)
+			p.fault(p.lines.key(section, "service"), "[%s] unknown service %q", section, t.Service)
 		}
 	}
 	for _, r := range p.set.Rules {
@@ -207,17 +208,17 @@
 	}
 }
 
-func (p *parsing) text(key string, required bool) string {
+func (p *parseState) text(key string, required bool) string {
 	p.used[key] = true
 	if !p.ini.HasKey(key) {
 		if required {
-			p.fault(p.lines.section(p.sect), "[%s] key %q is missing", p.sect, key)
+			p.fault(p.lines.section(p.sectionName), "[%s] key %q is missing", p.sectionName, key)
 		}
 		return ""
 	}
 	k := p.ini.Key(key)
 	if len(k.ValueWithShadows()) > 1 {
-		p.faultKey(key, "stands twice")
+		p.faultKey(key, "is given twice")
 	}
 	v := strings.TrimSpace(k.Value())
 	if v == "" && required {
@@ -226,94 +227,94 @@
 	return v
 }
 
-func (p *parsing) oneOf(key, first string, others ...string) string {
+func (p *parseState) oneOf(key, defaultValue string, alternatives ...string) string {
 	v := p.text(key, false)
-	if v == "" || v == first {
-		return first
+	if v == "" || v == defaultValue {
+		return defaultValue
 	}
-	for _, o := range others {
-		if v == o {
-			return o
+	for _, alternative := range alternatives {
+		if v == alternative {
+			return alternative
 		}
 	}
-	p.faultKey(key, "must be %s or %s, not %q", first, strings.Join(others, ", "), v)
-	return first
+	p.faultKey(key, "must be %s or %s, not %q", defaultValue, strings.Join(alternatives, ", "), v)
+	return defaultValue
 }
 
-func (p *parsing) integer(key string, def, least, most int64) int64 {
+func (p *parseState) integer(key string, defaultValue, minValue, maxValue int64) int64 {
 	v := p.text(key, false)
 	if v == "" {
-		return def
+		return defaultValue
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
-	if err != nil || n < least || n > most {
-		p.faultKey(key, "must be a whole number from %d to %d, not %q", least, most, v)
-		return def
+	if err != nil || n < minValue || n > maxValue {
+		p.faultKey(key, "must be a whole number from %d to %d, not %q", minValue, maxValue, v)
+		return defaultValue
 	}
 	return n
 }
 
-func (p *parsing) float(key string, def, least, most float64) float64 {
+func (p *parseState) float(key string, defaultValue, minValue, maxValue float64) float64 {
 	v := p.text(key, false)
 	if v == "" {
-		return def
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= least && n <= most) {
-		p.faultKey(key, "must be a number from %g to %g, not %q", least, most, v)
-		return def
+	if err != nil || !(n >= minValue && n <= maxValue) {
+		p.faultKey(key, "must be a number from %g to %g, not %q", minValue, maxValue, v)
+		return defaultValue
 	}
 	return n
 }
 
-func (p *parsing) duration(key string, def, least time.Duration) time.Duration {
+func (p *parseState) duration(key string, defaultValue, minValue time.Duration) time.Duration {
 	v := p.text(key, false)
 	if v == "" {
-		return def
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d < least {
-		p.faultKey(key, "must be a duration of at least %s, not %q", least, v)
-		return def
+	if err != nil || d < minValue {
+		p.faultKey(key, "must be a duration of at least %s, not %q", minValue, v)
+		return defaultValue
 	}
 	return d
 }
 
-func (p *parsing) boolean(key string, def bool) bool {
+func (p *parseState) boolean(key string, defaultValue bool) bool {
 	v := p.text(key, false)
 	if v == "" {
-		return def
+		return defaultValue
 	}
 	b, err := strconv.ParseBool(v)
 	if err != nil {
 		p.faultKey(key, "must be true or false, not %q", v)
-		return def
+		return defaultValue
 	}
 	return b
 }
 
-// lineIndex finds the line of a section or key; ini.v1 does not keep it.
+// lineIndex maps sections and keys to line numbers, which ini.v1 does not keep.
 type lineIndex struct {
-	sections map[string]int
-	counts   map[string]int
-	keys     map[string]int
+	sections    map[string]int
+	occurrences map[string]int
+	keys        map[string]int
 }
 
-func indexLines(text []byte) lineIndex {
-	x := lineIndex{sections: map[string]int{}, counts: map[string]int{}, keys: map[string]int{}}
+func newLineIndex(text []byte) lineIndex {
+	x := lineIndex{sections: map[string]int{}, occurrences: map[string]int{}, keys: map[string]int{}}
 	scan := bufio.NewScanner(bytes.NewReader(text))
 	scan.Buffer(nil, MaxBytes+1)
-	sect := ""
+	section := ""
 	for n := 1; scan.Scan(); n++ {
 		line := strings.TrimSpace(scan.Text())
 		if strings.HasPrefix(line, "[") {
-			sect = strings.TrimSpace(strings.Trim(line, "[]"))
-			x.counts[sect]++
-			x.sections[sect] = n
+			section = strings.TrimSpace(strings.Trim(line, "[]"))
+			x.occurrences[section]++
+			x.sections[section] = n
 			continue
 		}
 		if key, _, ok := strings.Cut(line, "="); ok {
-			x.keys[sect+"\x00"+strings.TrimSpace(key)] = n
+			x.keys[section+"\x00"+strings.TrimSpace(key)] = n
 		}
 	}
 	return x
@@ -321,7 +322,7 @@
 
 func (x lineIndex) section(name string) int { return max(1, x.sections[name]) }
 
-func (x lineIndex) count(name string) int { return x.counts[name] }
+func (x lineIndex) count(name string) int { return x.occurrences[name] }
 
 func (x lineIndex) key(section, key string) int {
 	if n, ok := x.keys[section+"\x00"+key]; ok {
--- a/core/decl/rule.go
+++ b/core/decl/rule.go
@@ -14,7 +14,8 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Env is what a condition may ask about a call.
+// Env holds the variables of a call that conditions can use, by the names in the expr
+// tags.
 type Env struct {
 	Service       string `expr:"service"`
 	Caller        string `expr:"caller"`
@@ -30,34 +31,38 @@
 
 // Then is the decision of a rule.
 type Then struct {
+	// Rule is the name of the rule.
 	Rule string
-	// Service that the call goes to; empty keeps the program's own.
+	// Service is the service that the call is routed to; empty keeps the program's own.
 	Service string
-	// Priority from 0 (lowest) to 9; the default is DefaultPriority.
+	// Priority is from 0 (lowest) to 9; the default is DefaultPriority.
 	Priority int
-	// Deadline bounds the time from receipt to answer; 0 is none.
+	// Deadline limits the time from receipt to answer; 0 means no limit.
 	Deadline time.Duration
-	// CallsPerSecond limits each caller under this rule; 0 is unlimited.
+	// CallsPerSecond limits each caller under this rule; 0 means unlimited.
 	CallsPerSecond float64
-	// Retries bounds the attempts after the first; -1 keeps the default.
+	// Retries is the maximum number of attempts after the first; -1 keeps the default.
 	Retries int
-	// Objective overrides the service's.
+	// Objective overrides the objective of the service; empty keeps it.
 	Objective Objective
-	// Reject, when not empty, refuses the call with this text.
+	// Reject is the text with which the call is rejected; empty accepts the call.
 	Reject string
 }
 
 // DefaultPriority is the priority of a call for which no rule sets one.
 const DefaultPriority = 5
 
-// DefaultRetries is how often an idempotent call is tried again.
+// DefaultRetries is the number of retries of an idempotent call for which no rule sets
+// one.
 const DefaultRetries = 3
 
-// Rule is one when-then pair.
+// Rule is one when-then pair: an expr-lang condition and the decision for calls that
+// match it.
 type Rule struct {
 	Name string
 	When string
 	Then Then
+	// Line is the line of the rule's section, from 1.
 	Line int
 
 	program   *vm.Program
@@ -66,8 +71,8 @@
 	conjuncts map[string]bool
 }
 
-// Matches evaluates the condition; a condition that fails at run time, which
-// type checking makes rare, does not match. Not safe for concurrent use.
+// Matches evaluates the condition. A condition that fails at run time, which type
+// checking makes rare, does not match. Not safe for concurrent use.
 func (r *Rule) Matches(env *Env) bool {
 	if r.always {
 		return true
@@ -108,7 +113,7 @@
 	}
 	r.program = program
 	r.conjuncts = map[string]bool{}
-	collect(tree.Node, r.conjuncts)
+	collectConjuncts(tree.Node, r.conjuncts)
 	delete(r.conjuncts, "true")
 	r.always = len(r.conjuncts) == 0
 	if r.conjuncts["false"] {
@@ -117,18 +122,18 @@
 	return nil
 }
 
-// collect splits a condition into the operands of its top-level "and".
-func collect(n ast.Node, into map[string]bool) {
+// collectConjuncts adds the operands of the top-level "and" of a condition to operands.
+func collectConjuncts(n ast.Node, operands map[string]bool) {
 	if b, ok := n.(*ast.BinaryNode); ok && (b.Operator == "&&" || b.Operator == "and") {
-		collect(b.Left, into)
-		collect(b.Right, into)
+		collectConjuncts(b.Left, operands)
+		collectConjuncts(b.Right, operands)
 		return
 	}
-	into[n.String()] = true
+	operands[n.String()] = true
 }
 
-// shadows reports whether every call that other matches is matched by r first,
-// as far as the sets of and-ed operands show it.
+// shadows reports whether r matches every call that other matches. It compares only the
+// operands of the top-level "and", so it can miss a shadowed rule.
 func (r *Rule) shadows(other *Rule) bool {
 	for c := range r.conjuncts {
 		if !other.conjuncts[c] {
@@ -143,15 +148,15 @@
 	return line
 }
 
-// thenFields parses one "key value" part of a then clause.
-var thenFields = map[string]func(t *Then, v string) error{
+// thenActions holds the parser of each action of a then clause, by its name.
+var thenActions = map[string]func(t *Then, v string) error{
 	"route":     func(t *Then, v string) error { t.Service = v; return nil },
 	"reject":    func(t *Then, v string) error { t.Reject = v; return nil },
 	"objective": func(t *Then, v string) (err error) { t.Objective, err = parseObjective(v); return err },
 	"priority": func(t *Then, v string) error {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 || n > 9 {
-			return failure.New(failure.InvalidDeclaration, "priority is a number from 0 to 9, not %q", v)
+			return failure.New(failure.InvalidDeclaration, "priority must be a number from 0 to 9, not %q", v)
 		}
 		t.Priority = n
 		return nil
@@ -159,7 +164,7 @@
 	"deadline": func(t *Then, v string) error {
 		d, err := time.ParseDuration(v)
 		if err != nil || d <= 0 {
-			return failure.New(failure.InvalidDeclaration, "deadline is a positive duration, not %q", v)
+			return failure.New(failure.InvalidDeclaration, "deadline must be a positive duration, not %q", v)
 		}
 		t.Deadline = d
 		return nil
@@ -167,7 +172,7 @@
 	"limit": func(t *Then, v string) error {
 		f, err := strconv.ParseFloat(strings.TrimSuffix(v, "/s"), 64)
 		if err != nil || f <= 0 {
-			return failure.New(failure.InvalidDeclaration, "limit is calls per second, not %q", v)
+			return failure.New(failure.InvalidDeclaration, "limit must be a positive number of calls per second, not %q", v)
 		}
 		t.CallsPerSecond = f
 		return nil
@@ -175,7 +180,7 @@
 	"retry": func(t *Then, v string) error {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 || n > 10 {
-			return failure.New(failure.InvalidDeclaration, "retry is a number from 0 to 10, not %q", v)
+			return failure.New(failure.InvalidDeclaration, "retry must be a number from 0 to 10, not %q", v)
 		}
 		t.Retries = n
 		return nil
@@ -190,9 +195,9 @@
 			continue
 		}
 		key, value, _ := strings.Cut(part, " ")
-		set, ok := thenFields[key]
+		set, ok := thenActions[key]
 		if !ok {
-			return t, failure.New(failure.InvalidDeclaration, "unknown action %q; there are %s", key, strings.Join(thenKeys(), ", "))
+			return t, failure.New(failure.InvalidDeclaration, "unknown action %q; valid actions are %s", key, strings.Join(thenActionNames(), ", "))
 		}
 		value = strings.TrimSpace(value)
 		if value == "" {
@@ -205,9 +210,9 @@
 	return t, nil
 }
 
-func thenKeys() []string {
+func thenActionNames() []string {
 	var keys []string
-	for k := range thenFields {
+	for k := range thenActions {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
@@ -219,5 +224,5 @@
 	case Latency, Cache:
 		return o, nil
 	}
-	return "", failure.New(failure.InvalidDeclaration, "objective is latency or cache, not %q", v)
+	return "", failure.New(failure.InvalidDeclaration, "objective must be latency or cache, not %q", v)
 }
