--- a/core/failure/failure.go
+++ b/core/failure/failure.go
@@ -1,7 +1,7 @@
 // Package failure defines the typed errors of pistachioarch.
 //
-// Every failure that leaves a process has a Kind, says whether the request ran
-// and, where trying again can help, after how long.
+// Every failure that leaves a process has a Kind, states whether the request ran
+// and, if a retry can help, the delay after which to retry.
 package failure
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind names one cause of failure. Its text is part of the public API.
+// Kind is the cause of a failure. Its text is part of the public API.
 type Kind string
 
 // The kinds of failure.
@@ -66,25 +66,26 @@
 	Internal            Kind = "internal"
 )
 
-// Ran says whether a request was executed by a target.
+// Ran states whether a target executed the request.
 type Ran string
 
-// The values of Ran. RanNo is a promise: the request did not run and, under
-// this identity, never will without being submitted again.
+// The values of Ran. RanNo is a guarantee: the request did not run, and under this
+// identity it never will unless it is submitted again.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Failure is an error with a type.
+// Failure is a typed error.
 type Failure struct {
 	Kind Kind
 	Ran  Ran
-	// RetryAfter is how long the caller should wait; 0 means that trying again
-	// does not help.
+	// RetryAfter is the delay after which the caller should retry; 0 means that a
+	// retry does not help.
 	RetryAfter time.Duration
-	Detail     string
+	// Detail describes the failure to a human; it may be empty.
+	Detail string
 }
 
 // Error implements error.
@@ -95,26 +96,27 @@
 	return string(f.Kind) + ": " + f.Detail
 }
 
-// New returns a failure of a request that did not run.
+// New returns the failure of a request that did not run, without a retry delay.
 func New(kind Kind, format string, args ...any) *Failure {
 	return &Failure{Kind: kind, Ran: RanNo, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Retry returns a failure of a request that did not run and may be sent again.
-func Retry(kind Kind, after time.Duration, format string, args ...any) *Failure {
+// Retry returns the failure of a request that did not run and may be retried after delay.
+func Retry(kind Kind, delay time.Duration, format string, args ...any) *Failure {
 	f := New(kind, format, args...)
-	f.RetryAfter = after
+	f.RetryAfter = delay
 	return f
 }
 
-// Unknown returns a failure of a request that may or may not have run.
+// Unknown returns the failure of a request that may or may not have run.
 func Unknown(kind Kind, format string, args ...any) *Failure {
 	f := New(kind, format, args...)
 	f.Ran = RanUnknown
 	return f
 }
 
-// Wrap gives err a kind and keeps its cause and stack.
+// Wrap returns err as a failure of the given kind of a request that did not run, with
+// the text of its cause and a stack trace. It returns nil if err is nil.
 func Wrap(err error, kind Kind, format string, args ...any) error {
 	if err == nil {
 		return nil
@@ -124,7 +126,8 @@
 	return eris.Wrap(f, err.Error())
 }
 
-// From finds the Failure in err's chain; any other error becomes Internal.
+// From returns the Failure in the chain of err. Any other error becomes one of kind
+// Internal.
 func From(err error) *Failure {
 	var f *Failure
 	if eris.As(err, &f) {
@@ -133,7 +136,7 @@
 	return New(Internal, "%v", err)
 }
 
-// Is reports whether err carries the kind.
+// Is reports whether err is a failure of the given kind.
 func Is(err error, kind Kind) bool {
 	return err != nil && From(err).Kind == kind
 }
--- a/core/ident/ident.go
+++ b/core/ident/ident.go
@@ -9,45 +9,46 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Slot is one unit of program ownership: a data centre and a number in it.
+// Slot is the unit of program ownership: a data centre and a number within it.
 type Slot struct {
 	DataCentre string
 	Number     int
 }
 
-// String gives the slot as it stands in a program identifier.
+// String returns the slot in the form used in program identifiers.
 func (s Slot) String() string { return s.DataCentre + "-" + strconv.Itoa(s.Number) }
 
-// Program identifies a program: "<data centre>-<slot>-<random>".
+// Program is the identifier of a program: "<data centre>-<slot number>-<random suffix>".
 type Program string
 
-// NewProgram makes the identifier of a program in slot s. tail must be unique
-// in the slot and free of '-'.
-func NewProgram(s Slot, tail string) Program {
-	return Program(s.String() + "-" + tail)
+// NewProgram returns the identifier of a program in slot s. suffix must be unique in the
+// slot, not empty and without '-'.
+func NewProgram(s Slot, suffix string) Program {
+	return Program(s.String() + "-" + suffix)
 }
 
-// Slot returns the slot that owns the program.
+// Slot returns the slot that owns the program. For a malformed identifier it returns a
+// failure of kind UnknownProgram.
 func (p Program) Slot() (Slot, error) {
 	s := string(p)
-	last := strings.LastIndexByte(s, '-')
-	if last <= 0 || last == len(s)-1 {
+	suffixSep := strings.LastIndexByte(s, '-')
+	if suffixSep <= 0 || suffixSep == len(s)-1 {
 		return Slot{}, failure.New(failure.UnknownProgram, "malformed program id %q", s)
 	}
-	mid := strings.LastIndexByte(s[:last], '-')
-	if mid <= 0 {
+	slotSep := strings.LastIndexByte(s[:suffixSep], '-')
+	if slotSep <= 0 {
 		return Slot{}, failure.New(failure.UnknownProgram, "malformed program id %q", s)
 	}
-	n, err := strconv.Atoi(s[mid+1 : last])
+	n, err := strconv.Atoi(s[slotSep+1 : suffixSep])
 	if err != nil || n < 0 {
 		return Slot{}, failure.New(failure.UnknownProgram, "malformed slot in program id %q", s)
 	}
-	return Slot{DataCentre: s[:mid], Number: n}, nil
+	return Slot{DataCentre: s[:slotSep], Number: n}, nil
 }
 
-// Hash is a stable 64-bit hash (FNV-1a) of b.
+// Hash returns a stable 64-bit hash (FNV-1a) of b.
 func Hash(b []byte) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(b) // never fails
+	_, _ = h.Write(b) // Write of a hash never fails
 	return h.Sum64()
 }
--- a/core/ident/ident_test.go
+++ b/core/ident/ident_test.go
@@ -9,13 +9,13 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-func TestProgramSlot(t *testing.T) {
+func TestProgramIdentifierContainsSlot(t *testing.T) {
 	slot := Slot{DataCentre: "sapporo-a", Number: 17}
 	got, err := NewProgram(slot, "x8f3").Slot()
 	require.NoError(t, err)
 	assert.Equal(t, slot, got)
-	for _, bad := range []Program{"", "x", "a-1", "a--1", "-1-x", "a-b-c", "a-1-", "a-99999999999999999999-x"} {
-		_, err := bad.Slot()
-		assert.True(t, failure.Is(err, failure.UnknownProgram), "%q", bad)
+	for _, malformed := range []Program{"", "x", "a-1", "a--1", "-1-x", "a-b-c", "a-1-", "a-99999999999999999999-x"} {
+		_, err := malformed.Slot()
+		assert.True(t, failure.Is(err, failure.UnknownProgram), "%q", malformed)
 	}
 }
