--- a/core/request/request.go
+++ b/core/request/request.go
@@ -1,12 +1,15 @@
-// Package request holds what a caller's request says about itself, decoded once
-// at the boundary, in the terms of the project.
+// Package request defines what a caller's request, a target's answer and a request to a
+// target state about themselves. Headers are decoded to these types once at the process
+// boundary, so that other packages are independent of header names.
 package request
 
 import "time"
 
-// Part is one part of a prompt, as the prefix cache of a model engine knows it.
+// Part is one part of a prompt, the unit in which the prefix cache of a model engine holds
+// prompts.
 type Part struct {
-	ID     string
+	ID string
+	// Tokens is the length of the part.
 	Tokens int
 }
 
@@ -14,75 +17,81 @@
 type Call struct {
 	// ID is unique to the attempt; targets echo it in their answers.
 	ID string
-	// Program, Session and ProgramLeft are empty outside of agent programs.
+	// Program, Session and ProgramTimeout are empty outside of agent programs.
 	Program string
 	// Session names one line of turns of a program.
 	Session string
-	// ProgramTimeout is the time in which the whole program should be finished.
+	// ProgramTimeout is the time within which the whole program should finish.
 	ProgramTimeout time.Duration
-	// Timeout is how long the caller will wait for this attempt; 0 if not said.
+	// Timeout is how long the caller waits for this attempt; 0 if it is not stated.
 	Timeout time.Duration
-	// TokenBudget is the number of tokens that all turns of the program may generate.
+	// TokenBudget is the number of tokens that all turns of the program together may
+	// generate.
 	TokenBudget int64
-	// PromptTokens and MaxTokens are the size of the prompt and the most tokens
+	// PromptTokens is the length of the prompt, MaxTokens the maximum number of tokens
 	// that this turn generates.
 	PromptTokens, MaxTokens int64
 	// Prefix lists the parts of the prompt in order.
 	Prefix []Part
-	// PreviousTurn is the turn that this one continues, empty at the start of a chain.
+	// PreviousTurn is the turn that this one continues; empty at the start of a chain.
 	PreviousTurn string
-	// LastEventID is the last event that the caller has of an interrupted stream.
+	// LastEventID is the last event that the caller received of an interrupted stream.
 	LastEventID string
 	// Affinity names the object that the request concerns.
 	Affinity string
 	Model    string
-	// CustomerKey is what the caller shows as its customer's key, empty if it shows none. It goes
-	// no further than the entry host.
+	// CustomerKey is the key by which the caller identifies its customer; empty if it sends
+	// none. It is not passed on by the entry host.
 	CustomerKey string
 }
 
-// Answer is what the head of a target's answer says about itself.
+// Answer is what the head of a target's answer states.
 type Answer struct {
-	// ID echoes Call.ID; empty if the target did not say.
+	// ID echoes Call.ID; empty if the target does not echo it.
 	ID string
-	// Instance is the target that answered, where it says so.
+	// Instance is the id of the target that answered; empty if the target does not send it.
 	Instance string
-	// Signed reports that the answer bears the target's signature.
+	// Signed reports that the answer has the target's signature.
 	Signed bool
-	// NotRun is the target's word that the request did not run there.
+	// NotRun reports that, by the target's statement, the request did not run there.
 	NotRun bool
-	// Misdirected reports that another target has the address.
+	// Misdirected reports that the address belongs to another target.
 	Misdirected bool
 	// Load is valid if HasLoad.
 	Load    Load
 	HasLoad bool
-	// IdleTimeout is how long the target keeps an idle connection; 0 if not said.
+	// IdleTimeout is how long the target keeps an idle connection open; 0 if it is not
+	// stated.
 	IdleTimeout time.Duration
 }
 
-// Load is a target's own count of its requests.
+// Load is a target's own report of its load.
 type Load struct {
+	// Running and Waiting are the requests that the target runs and queues; Capacity is the
+	// number that it runs at once.
 	Running, Waiting, Capacity int
-	// Slowdown is how many times longer than usual work takes at the target at this moment;
-	// 0 where the target does not say so.
+	// Slowdown is the current duration of work at the target relative to the usual one: 2
+	// means that work takes twice as long; 0 if the target does not report it.
 	Slowdown float64
 }
 
-// SendOptions is what the system says to a target beside the caller's own headers.
+// SendOptions is what an entry host states to a target in addition to the caller's headers.
 type SendOptions struct {
-	// Instance is the start of the target that is meant; another one refuses.
+	// Instance is the id of the target that the request is meant for; another target refuses
+	// the request.
 	Instance string
-	// Timeout is how long the target may take; 0 if there is no limit.
+	// Timeout is how long the target may take; 0 means no limit.
 	Timeout time.Duration
-	// Priority ranks requests at the target, 0 first; valid if HasUrgency.
+	// Priority ranks requests at the target; 0 is the most urgent. Valid if HasPriority.
 	Priority    int
 	HasPriority bool
-	// Pin keeps the prompt and the answer from eviction for a while.
+	// Pin is the time for which the target keeps the prompt and the answer from eviction; 0
+	// means not at all.
 	Pin time.Duration
-	// HideKey keeps the caller's key from the target.
+	// HideKey removes the caller's key from the request.
 	HideKey bool
-	// Customer is the caller's customer, empty on public routes.
+	// Customer is the caller's customer; empty on public routes.
 	Customer string
-	// LastEventID continues an interrupted stream after this event.
+	// LastEventID is the event after which an interrupted stream continues.
 	LastEventID string
 }
