--- a/core/routing/customer_test.go
+++ b/core/routing/customer_test.go
@@ -8,14 +8,14 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-func TestCustomersAreChecked(t *testing.T) {
+func TestNewCustomersRejectsInvalidDeclarations(t *testing.T) {
 	k := DigestKey("k")
 	for name, list := range map[string][]*Customer{
-		"a key of two":    {{Name: "a", Keys: []KeyDigest{k}}, {Name: "b", Keys: []KeyDigest{k}}},
-		"a name twice":    {{Name: "a"}, {Name: "a"}},
-		"no name":         {{}},
-		"rate below zero": {{Name: "a", Quota: Quota{Rate: -1}}},
-		"burst below 0":   {{Name: "a", Quota: Quota{Burst: -1}}},
+		"shared key":     {{Name: "a", Keys: []KeyDigest{k}}, {Name: "b", Keys: []KeyDigest{k}}},
+		"duplicate name": {{Name: "a"}, {Name: "a"}},
+		"missing name":   {{}},
+		"negative rate":  {{Name: "a", Quota: Quota{Rate: -1}}},
+		"negative burst": {{Name: "a", Quota: Quota{Burst: -1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewCustomers(list)
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestHolderIsFoundByAnyOfItsKeys(t *testing.T) {
+func TestCustomerIsFoundByAnyOfItsKeys(t *testing.T) {
 	a := &Customer{Name: "a", Keys: []KeyDigest{DigestKey("1"), DigestKey("2"), DigestKey("1")}}
 	c, err := NewCustomers([]*Customer{a, {Name: "b"}})
 	require.NoError(t, err)
--- a/core/routing/regions.go
+++ b/core/routing/regions.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// Regions is where requests may be served and what they hold may be kept. The zero value is
-// everywhere.
+// Regions is the set of regions in which requests may be served and their data stored. The
+// zero value is unrestricted.
 type Regions struct {
-	bound bool
-	names []string
+	restricted bool
+	names      []string
 }
 
-// NewRegions returns the regions of these names; everywhere where none is named.
+// NewRegions returns the regions with the given names, or unrestricted regions if there are
+// no names.
 func NewRegions(names ...string) Regions {
-	return Regions{bound: len(names) > 0, names: names}
+	return Regions{restricted: len(names) > 0, names: names}
 }
 
-// Unrestricted reports whether nothing bounds the regions.
-func (r Regions) Unrestricted() bool { return !r.bound }
+// Unrestricted reports whether every region is allowed.
+func (r Regions) Unrestricted() bool { return !r.restricted }
 
-// Intersect returns the regions that both allow, which may be none.
+// Intersect returns the regions that both r and other allow, possibly none.
 func (r Regions) Intersect(other Regions) Regions {
-	if !r.bound {
+	if !r.restricted {
 		return other
 	}
-	if !other.bound {
+	if !other.restricted {
 		return r
 	}
-	both := Regions{bound: true}
+	both := Regions{restricted: true}
 	for _, name := range r.names {
 		if other.Allows(name) {
 			both.names = append(both.names, name)
@@ -34,8 +35,8 @@
 	return both
 }
 
-// Allows reports whether a region is one of them. A region without a name is one only where
-// nothing bounds them.
+// Allows reports whether the region is allowed. A region without a name is allowed only if r
+// is unrestricted.
 func (r Regions) Allows(region string) bool {
-	return !r.bound || region != "" && slices.Contains(r.names, region)
+	return !r.restricted || region != "" && slices.Contains(r.names, region)
 }
--- a/core/routing/regions_test.go
+++ b/core/routing/regions_test.go
@@ -6,23 +6,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRegionsOfRouteAndCustomerBothBind(t *testing.T) {
+func TestIntersectAllowsOnlyCommonRegions(t *testing.T) {
 	for name, c := range map[string]struct {
-		r       Regions
+		regions Regions
 		allowed []string
 	}{
-		"everywhere":   {NewRegions(), []string{"", "a", "b", "c"}},
-		"one":          {NewRegions("a"), []string{"a"}},
-		"of the route": {NewRegions("a", "b").Intersect(NewRegions()), []string{"a", "b"}},
-		"of the other": {NewRegions().Intersect(NewRegions("b")), []string{"b"}},
-		"of both":      {NewRegions("a", "b").Intersect(NewRegions("c", "b")), []string{"b"}},
-		"nowhere":      {NewRegions("a").Intersect(NewRegions("b")), nil},
-		"no name":      {NewRegions(""), nil},
+		"unrestricted":       {NewRegions(), []string{"", "a", "b", "c"}},
+		"one region":         {NewRegions("a"), []string{"a"}},
+		"other unrestricted": {NewRegions("a", "b").Intersect(NewRegions()), []string{"a", "b"}},
+		"first unrestricted": {NewRegions().Intersect(NewRegions("b")), []string{"b"}},
+		"both restricted":    {NewRegions("a", "b").Intersect(NewRegions("c", "b")), []string{"b"}},
+		"disjoint":           {NewRegions("a").Intersect(NewRegions("b")), nil},
+		"unnamed region":     {NewRegions(""), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []string
 			for _, region := range []string{"", "a", "b", "c"} {
-				if c.r.Allows(region) {
+				if c.regions.Allows(region) {
 					got = append(got, region)
 				}
 			}
@@ -30,5 +30,5 @@
 		})
 	}
 	require.True(t, NewRegions().Intersect(NewRegions()).Unrestricted())
-	require.False(t, NewRegions("a").Intersect(NewRegions("b")).Unrestricted(), "nowhere is not everywhere")
+	require.False(t, NewRegions("a").Intersect(NewRegions("b")).Unrestricted(), "an empty set of regions is restricted")
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,8 +1,8 @@
 // Package routing holds the configuration that operators declare for the entry
 // hosts, and finds the route of a request.
 //
-// A Table is immutable. A host replaces its table only by one with a higher
-// version (see Newer), so that its view never goes backwards.
+// A Table is immutable. A host replaces its table only by one with a higher version
+// (see Newer), so its configuration never goes back to an older version.
 package routing
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind states how often a request may run.
 type Kind uint8
 
 // The kinds of route.
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent Kind = iota
-	// AtMostOnce requests must never be sent again once they may have run.
+	// AtMostOnce requests must not be sent again once they may have run.
 	AtMostOnce
-	// Streaming requests are AtMostOnce and answered by a series of events.
+	// Streaming requests are AtMostOnce and are answered by a stream of events.
 	Streaming
 )
 
@@ -30,51 +30,54 @@
 // String implements fmt.Stringer.
 func (k Kind) String() string { return kindNames[k] }
 
-// WeightedService is one service of a split route.
+// WeightedService is one service of a route that splits its requests by weight.
 type WeightedService struct {
 	Service string
-	Weight  int
+	// Weight is relative to the sum of the route's weights.
+	Weight int
 }
 
-// Route is one declared route.
+// Route is one declared route: the requests to a host with a path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Services is where requests go, chosen by weight.
+	// Services are the services that requests are sent to, chosen by weight.
 	Services []WeightedService
-	// Timeout bounds the time to the final answer; 0 means none.
+	// Timeout limits the time to the final answer; 0 means no limit.
 	Timeout time.Duration
-	// LatencyObjective is the time within which an answer earns its full value.
+	// LatencyObjective is the time within which an answer has its full value.
 	LatencyObjective time.Duration
-	// MaxGap is the longest pause between events that is still on time.
+	// MaxGap is the longest gap between events of a stream that is still on time.
 	MaxGap time.Duration
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is the maximum number of targets that one request is sent to.
 	MaxAttempts int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// Sticky routes gain from reaching the target that served the object before.
+	// Sticky requests benefit from the target that served the same object before.
 	Sticky bool
-	// Resumable streams may go on at another target after their last event.
+	// Resumable streams can continue at another target after their last event.
 	Resumable bool
-	// Retained routes keep the turns of programs for Retention.
+	// Retained routes store the turns of programs for Retention.
 	Retained  bool
 	Retention time.Duration
-	// Public routes are served without a key.
+	// Public routes need no customer key.
 	Public bool
-	// Regions is where requests may be served and turns kept.
+	// Regions is where requests may be served and turns stored.
 	Regions Regions
 }
 
-// Engine is what a service of model engines says of its engines.
+// Engine describes each model engine of a service.
 type Engine struct {
+	// Capacity is the number of requests that one engine runs at once.
 	Capacity int
-	// CacheTokens is the memory of one engine, shared by running requests and cache.
+	// CacheTokens is the memory of one engine in tokens, shared by running requests and the
+	// prefix cache.
 	CacheTokens int
-	// TokensPerEvent is the number of tokens in one event of a stream.
+	// TokensPerEvent is the number of tokens per event of a stream.
 	TokensPerEvent int64
-	// MaxPin is the longest time for which a prompt can be kept from eviction.
+	// MaxPin is the maximum time for which a prompt can be protected from eviction.
 	MaxPin time.Duration
 }
 
@@ -83,18 +86,22 @@
 	Name       string
 	HealthPath string
 	MaxConns   int
-	// ColdStartWindow is how long a target is cold after its start, and ColdPerSecond the requests a
-	// second that it bears then from all hosts together; 0 if there is no bound.
+	// ColdStartWindow is the time after its start for which a target is cold. ColdStartRate
+	// is the rate that it sustains during that time, in requests per second from all hosts
+	// together; 0 means no limit.
 	ColdStartWindow time.Duration
 	ColdStartRate   float64
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	// HeaderBytes and BodyBytes are the maximum sizes of a header and a body.
+	HeaderBytes int
+	BodyBytes   int64
+	// HeaderTimeout is the time within which a header must arrive, IdleTimeout the time for
+	// which an idle connection is kept.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -105,7 +112,7 @@
 	Limits   Limits
 	services map[string]*Service
 	hosts    map[string][]*Route // longest prefix first
-	// customers is nil where callers need no keys.
+	// customers is nil if callers need no keys.
 	customers *Customers
 }
 
@@ -125,20 +132,20 @@
 	return t
 }
 
-// RequireKeys makes callers show a key of one of the customers. It is called before the table
-// is in use.
+// RequireKeys makes callers present a key of one of the customers and returns t. It must be
+// called before the table is in use.
 func (t *Table) RequireKeys(c *Customers) *Table {
 	t.customers = c
 	return t
 }
 
-// RequiresKey reports whether callers must show a key.
+// RequiresKey reports whether callers must present a customer key.
 func (t *Table) RequiresKey() bool { return t.customers != nil }
 
-// Customers returns the customers, nil where callers need no keys.
+// Customers returns the customers, or nil if callers need no keys.
 func (t *Table) Customers() *Customers { return t.customers }
 
-// Newer reports whether t may replace current: versions never go back.
+// Newer reports whether t may replace current, which may be nil: versions never go back.
 func (t *Table) Newer(current *Table) bool {
 	return current == nil || t.Version > current.Version
 }
@@ -149,10 +156,10 @@
 	return s, ok
 }
 
-// Services returns all services, in no order.
+// Services returns all services, in no particular order.
 func (t *Table) Services() []*Service { return slices.Collect(maps.Values(t.services)) }
 
-// Routes returns all routes, in no order.
+// Routes returns all routes, in no particular order.
 func (t *Table) Routes() []*Route {
 	var list []*Route
 	for _, routes := range t.hosts {
@@ -161,7 +168,8 @@
 	return list
 }
 
-// Match returns the route of the host with the longest prefix of path.
+// Match returns the route of host with the longest prefix of path. It ignores the case and
+// the port of host.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.hosts[host] {
@@ -172,16 +180,17 @@
 	return nil, false
 }
 
-// Choose picks a service of the route by weight; draw is uniform in [0, 1).
+// Choose returns a service of the route, chosen by weight; draw is uniform in [0, 1). If all
+// weights are 0, it returns the last service.
 func (r *Route) Choose(draw float64) string {
 	total := 0
 	for _, s := range r.Services {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.Services {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLongestPrefixOfTheHostDecides(t *testing.T) {
+func TestMatchUsesLongestPrefixOfHost(t *testing.T) {
 	route := func(name, host, prefix string) *Route { return &Route{Name: name, Host: host, Prefix: prefix} }
 	table := NewTable(1, Limits{}, nil, []*Route{
 		route("all", "a", "/"), route("deep", "a", "/x/y/"), route("x", "a", "/x/"), route("other", "b", "/x/"),
@@ -22,7 +22,7 @@
 	require.False(t, ok)
 }
 
-func TestVersionsNeverGoBack(t *testing.T) {
+func TestOnlyHigherVersionIsNewer(t *testing.T) {
 	old, new := NewTable(3, Limits{}, nil, nil), NewTable(4, Limits{}, nil, nil)
 	require.True(t, old.Newer(nil))
 	require.True(t, new.Newer(old))
@@ -37,5 +37,5 @@
 		count[r.Choose(float64(i)/1000)]++
 	}
 	require.Equal(t, map[string]int{"a": 900, "c": 100}, count)
-	require.Equal(t, "z", (&Route{Services: []WeightedService{{"z", 0}}}).Choose(0.5), "weights that are all zero")
+	require.Equal(t, "z", (&Route{Services: []WeightedService{{"z", 0}}}).Choose(0.5), "all weights are zero")
 }
