--- a/core/sched/breaker.go
+++ b/core/sched/breaker.go
@@ -6,49 +6,50 @@
 )
 
 // Limits of the circuit breaker. The breaker opens after breakerThreshold
-// failures in a row, for Base, doubled on each further failure up to Max.
-// Libraries for it read the clock themselves, which core may not.
+// consecutive failures, for Base, doubled on each further failure up to Max.
+// Circuit breaker libraries read the clock themselves, which core must not do.
 const (
 	breakerThreshold = 3
 	breakerBase      = time.Second
 	breakerMax       = 30 * time.Second
 )
 
-// Breaker is a circuit breaker; its zero value is closed.
+// Breaker is a circuit breaker. Its zero value is closed.
 type Breaker struct {
-	// Base and Max bound the time for which it is open; zero takes breakerBase and
-	// breakerMax.
+	// Base and Max are the shortest and the longest time for which the breaker is
+	// open; 0 selects breakerBase and breakerMax.
 	Base, Max time.Duration
 
-	failures int
-	until    time.Duration
-	trial    bool
+	failures      int
+	openUntil     time.Duration
+	trialInFlight bool
 }
 
-// Open reports whether calls must not be sent at now. After the open time one
-// trial call is let through; see Sent.
+// Open reports whether calls must not be sent at now. After the open time the
+// breaker is half open and allows one trial call; see Sent.
 func (b *Breaker) Open(now time.Duration) bool {
-	return b.failures >= breakerThreshold && (now < b.until || b.trial)
+	return b.failures >= breakerThreshold && (now < b.openUntil || b.trialInFlight)
 }
 
-// Sent notes that a call was sent; on a half-open breaker it is the trial.
+// Sent records that a call was sent. On a half-open breaker it is the trial call.
 func (b *Breaker) Sent() {
-	b.trial = b.failures >= breakerThreshold
+	b.trialInFlight = b.failures >= breakerThreshold
 }
 
-// Success closes the breaker.
+// Success records a successful call and closes the breaker.
 func (b *Breaker) Success() { *b = Breaker{Base: b.Base, Max: b.Max} }
 
-// Inconclusive ends a call that says nothing of the target: a trial may follow.
-func (b *Breaker) Inconclusive() { b.trial = false }
+// Inconclusive records a call that ended without evidence about the target. Another
+// trial call may follow.
+func (b *Breaker) Inconclusive() { b.trialInFlight = false }
 
-// Failure counts one failure at now.
+// Failure records a failed call at now.
 func (b *Breaker) Failure(now time.Duration) {
-	b.trial = false
+	b.trialInFlight = false
 	b.failures++
 	if b.failures < breakerThreshold {
 		return
 	}
 	open := cmp.Or(b.Base, breakerBase) << min(b.failures-breakerThreshold, 10)
-	b.until = now + min(open, cmp.Or(b.Max, breakerMax))
+	b.openUntil = now + min(open, cmp.Or(b.Max, breakerMax))
 }
--- a/core/sched/policy.go
+++ b/core/sched/policy.go
@@ -7,16 +7,16 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Policy orders the queue and chooses targets. A policy may keep state of its
-// own, but reads no clock and draws no random numbers.
+// Policy orders the queue and chooses targets. A policy may keep its own state, but must
+// not read a clock or draw random numbers.
 type Policy interface {
-	// Key orders the queue: the smallest goes first.
+	// Key returns the item's place in the queue: the item with the smallest key is first.
 	Key(it *Item) float64
-	// Choose picks a target from candidates, which is not empty. It returns
-	// nil when the item should rather wait in the queue.
+	// Choose returns one of candidates, which is not empty, or nil if the item should
+	// wait in the queue.
 	Choose(it *Item, candidates []*Target) *Target
-	// EvictsCache says whether the cache of paused programs is dropped on
-	// purpose when a target's memory is full, or left to the target's LRU.
+	// EvictsCache reports whether the host evicts the cache of paused programs when a
+	// target's memory is full. Otherwise eviction is left to the target's LRU.
 	EvictsCache() bool
 }
 
@@ -28,12 +28,13 @@
 	PolicyStickyFCFS  = "sticky_fcfs"
 )
 
-// Policies lists all policies, the product's first.
+// Policies returns the names of all policies, the product's first.
 func Policies() []string {
 	return []string{PolicyDefault, PolicyRoundRobin, PolicyLeastLoaded, PolicyStickyFCFS}
 }
 
-// NewPolicy returns a new policy of that name.
+// NewPolicy returns a new policy with the given name; empty selects PolicyDefault. An unknown
+// name is a failure of kind InvalidSetting.
 func NewPolicy(name string) (Policy, error) {
 	switch name {
 	case PolicyDefault, "":
@@ -48,12 +49,14 @@
 	return nil, failure.New(failure.InvalidSetting, "unknown policy %q", name)
 }
 
+// fcfs is the queue key of first come, first served.
 func fcfs(it *Item) float64 { return float64(it.Arrived) }
 
-func least(candidates []*Target) *Target {
+// leastLoadedOf returns the candidate with the lowest load relative to its batch size.
+func leastLoadedOf(candidates []*Target) *Target {
 	best := candidates[0]
 	for _, t := range candidates[1:] {
-		// Compare load relative to batch size without dividing.
+		// Compares load relative to batch size without a division.
 		if t.Load()*best.Decl.Batch < best.Load()*t.Decl.Batch {
 			best = t
 		}
@@ -61,13 +64,14 @@
 	return best
 }
 
-// leavesMemory is the part of the baselines that leaves memory to the targets.
-type leavesMemory struct{}
+// targetEviction implements EvictsCache for the baselines, which leave eviction to the
+// targets.
+type targetEviction struct{}
 
-func (leavesMemory) EvictsCache() bool { return false }
+func (targetEviction) EvictsCache() bool { return false }
 
 type roundRobin struct {
-	leavesMemory
+	targetEviction
 	next int
 }
 
@@ -77,12 +81,12 @@
 	return candidates[r.next%len(candidates)]
 }
 
-type leastLoaded struct{ leavesMemory }
+type leastLoaded struct{ targetEviction }
 
 func (leastLoaded) Key(it *Item) float64                         { return fcfs(it) }
-func (leastLoaded) Choose(_ *Item, candidates []*Target) *Target { return least(candidates) }
+func (leastLoaded) Choose(_ *Item, candidates []*Target) *Target { return leastLoadedOf(candidates) }
 
-type stickyFCFS struct{ leavesMemory }
+type stickyFCFS struct{ targetEviction }
 
 func (stickyFCFS) Key(it *Item) float64 { return fcfs(it) }
 func (stickyFCFS) Choose(it *Item, candidates []*Target) *Target {
@@ -91,28 +95,30 @@
 			return t
 		}
 	}
-	return least(candidates)
+	return leastLoadedOf(candidates)
 }
 
-// Parameters of the default policy. docs/POLICY.md says how the results move
-// when each is halved and doubled.
+// Parameters are the parameters of the default policy. docs/POLICY.md shows how the
+// results change when each is halved or doubled.
 type Parameters struct {
-	// AttainedWeight is how long a program is put back in the queue per token
-	// of service it has had.
+	// AttainedWeight is the time by which a program is moved back in the queue per
+	// token of service that it has attained.
 	AttainedWeight time.Duration
-	// MaxAttained bounds the tokens counted, and with it the put-back.
+	// MaxAttained is the maximum number of attained tokens that count, and so bounds the
+	// penalty.
 	MaxAttained int64
-	// PriorityStep is the head start of one step of priority.
+	// PriorityStep is the time by which one step of priority moves a program forward.
 	PriorityStep time.Duration
-	// RecomputeWeight multiplies the time to recompute a prefix, by objective.
+	// LatencyRecompute and CacheRecompute are the weights of the time to recompute an
+	// uncached prefix, by objective of the service.
 	LatencyRecompute, CacheRecompute float64
-	// MaxQueuedBatches is how many batches of calls may wait inside a target. They keep its
-	// places filled although word of a free place comes late; the target takes
-	// them by the same order as the queue here does.
+	// MaxQueuedBatches is the maximum number of batches of calls queued inside a target. They
+	// keep its batch full although the host learns late that a call has finished. The target
+	// takes them in the same order as the queue here; see Item.Rank.
 	MaxQueuedBatches int
 }
 
-// DefaultParameters returns the measured defaults.
+// DefaultParameters returns the parameters of the product's policy.
 func DefaultParameters() Parameters {
 	return Parameters{
 		AttainedWeight:   300 * time.Microsecond,
@@ -124,23 +130,23 @@
 	}
 }
 
-// Default is the product's policy: the oldest program first, put back by the
-// service it has had, and the target with the least sum of queue wait and
-// recompute time. See docs/POLICY.md.
+// Default is the product's policy. It takes the program that began first, moved back by
+// the service that it has attained, and chooses the target with the lowest sum of queue
+// wait and weighted recompute time. See docs/POLICY.md.
 type Default struct{ p Parameters }
 
 // NewDefault returns the default policy with the given parameters.
 func NewDefault(p Parameters) *Default { return &Default{p: p} }
 
-// Key implements Policy. Programs that began earlier go first, so that those
-// under way are finished before more are begun: fewer are interleaved, which
-// leaves each more of the cache, and no program waits at each of its calls for
-// all that came since. A call is passed only by programs that began within the
-// put-back after its own, so none starves.
+// Key implements Policy. Programs that began earlier go first, so running programs are
+// finished before new ones start: fewer programs are interleaved, which leaves more cache
+// to each, and a program does not wait at each of its calls for all programs that arrived
+// since. A call can be overtaken only by programs that began within the attained penalty
+// after its own, so no call starves.
 func (d *Default) Key(it *Item) float64 {
-	putBack := time.Duration(min(it.Attained, d.p.MaxAttained)) * d.p.AttainedWeight
-	headStart := time.Duration(it.Priority-decl.DefaultPriority) * d.p.PriorityStep
-	return float64(it.Begun + putBack - headStart)
+	attainedPenalty := time.Duration(min(it.Attained, d.p.MaxAttained)) * d.p.AttainedWeight
+	priorityBonus := time.Duration(it.Priority-decl.DefaultPriority) * d.p.PriorityStep
+	return float64(it.Begun + attainedPenalty - priorityBonus)
 }
 
 // Choose implements Policy.
@@ -162,10 +168,11 @@
 // EvictsCache implements Policy.
 func (d *Default) EvictsCache() bool { return true }
 
+// cost returns the cost of placing it at t, in nanoseconds.
 func (d *Default) cost(it *Item, t *Target) float64 {
-	recompute := d.p.LatencyRecompute
+	recomputeWeight := d.p.LatencyRecompute
 	if it.Objective == decl.Cache {
-		recompute = d.p.CacheRecompute
+		recomputeWeight = d.p.CacheRecompute
 	}
 	tokens := it.Prompt + it.History
 	cached := int64(0)
@@ -174,7 +181,7 @@
 	}
 	prefill := float64(t.Decl.Prefill)
 	cost := float64(t.Wait())
-	cost += recompute * prefill * float64(tokens-cached)
-	// A tie goes to the emptier target.
+	cost += recomputeWeight * prefill * float64(tokens-cached)
+	// Ties go to the target with the lower load.
 	return cost + float64(t.Load())/float64(t.Decl.Batch)*float64(time.Microsecond)
 }
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -15,34 +15,37 @@
 	Service   string
 	Priority  int
 	Objective decl.Objective
-	// Attained is the service the program has had, in tokens.
+	// Attained is the service that the program has had so far, in tokens.
 	Attained int64
-	// Prompt and History are the new and the earlier tokens of the request,
-	// Output the most that it may produce.
+	// Prompt and History are the numbers of new and of earlier tokens of the request;
+	// Output is the maximum number of tokens that it generates.
 	Prompt, History, Output int64
-	Arrived                 time.Duration
+	// Arrived is when the call arrived.
+	Arrived time.Duration
 	// Begun is when the program's first call arrived.
 	Begun time.Duration
-	// NotBefore delays a retry.
+	// NotBefore is the earliest time at which a retry is sent.
 	NotBefore time.Duration
-	// Holder is the target that has the program's cache, of HolderTokens.
+	// Holder is the target that has the program's cache, HolderTokens its size; empty if there
+	// is none.
 	Holder       string
 	HolderTokens int64
 	// LastTarget is the target that ran the program's last call.
 	LastTarget string
-	// AvoidTarget is the target at which the last attempt failed.
+	// AvoidTarget is the target at which the last attempt failed. It is chosen only if no
+	// other target can take calls.
 	AvoidTarget string
 
 	key   float64
-	order uint64
+	seq   uint64
 	index int
 }
 
-// Rank is the priority under which the item goes to its target, which takes
-// higher ones first: the order of the queue, in milliseconds.
+// Rank returns the priority with which the item is sent to its target, which takes higher
+// ranks first. It is the order of the queue here, in milliseconds.
 func (it *Item) Rank() int64 { return -int64(it.key / float64(time.Millisecond)) }
 
-// queue is a heap of items by key, then by order of arrival.
+// queue is a heap of items, ordered by key and then by the sequence of Enqueue.
 type queue []*Item
 
 func (q queue) Len() int { return len(q) }
@@ -50,7 +53,7 @@
 	if q[i].key != q[j].key {
 		return q[i].key < q[j].key
 	}
-	return q[i].order < q[j].order
+	return q[i].seq < q[j].seq
 }
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
--- a/core/sched/retry.go
+++ b/core/sched/retry.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Retry pacing: the first retry waits up to retryBase, doubled each time up to
-// retryMax, with full jitter.
+// Limits of retries. The first retry waits up to retryBase; the limit doubles with each
+// retry up to retryMax. Delays have full jitter.
 const (
-	retryBase  = 20 * time.Millisecond
-	retryMax   = 2 * time.Second
-	retryBurst = 10 // retries in hand when a service is new, and the most kept
+	retryBase      = 20 * time.Millisecond
+	retryMax       = 2 * time.Second
+	maxRetryTokens = 10 // retries allowed when a service is new, and the maximum kept
 )
 
-// RetryBudget allows retries as a ratio of first attempts.
+// RetryBudget is a token bucket that limits retries to a ratio of first attempts.
 type RetryBudget struct {
 	ratio  float64
 	tokens float64
@@ -21,13 +21,13 @@
 
 // NewRetryBudget returns a budget of ratio retries per first attempt.
 func NewRetryBudget(ratio float64) *RetryBudget {
-	return &RetryBudget{ratio: ratio, tokens: retryBurst}
+	return &RetryBudget{ratio: ratio, tokens: maxRetryTokens}
 }
 
-// First counts one first attempt.
-func (b *RetryBudget) First() { b.tokens = min(retryBurst, b.tokens+b.ratio) }
+// First records one first attempt, which adds ratio tokens.
+func (b *RetryBudget) First() { b.tokens = min(maxRetryTokens, b.tokens+b.ratio) }
 
-// Take spends one retry, or reports that there is none.
+// Take takes the token for one retry. It returns false if there is none.
 func (b *RetryBudget) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Backoff returns the wait before the attempt-th retry, counted from 1.
+// Backoff returns the delay before the given retry, counted from 1.
 func Backoff(rng *rand.Rand, attempt int) time.Duration {
 	limit := min(retryBase<<min(attempt-1, 10), retryMax)
 	return time.Duration(rng.Int64N(int64(limit)) + 1)
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -37,7 +37,7 @@
 	return &Item{Program: ident.Program(fmt.Sprintf("p%d", n)), Service: "s", Priority: decl.DefaultPriority, Prompt: 100, Arrived: time.Duration(n) * time.Millisecond}
 }
 
-func TestDefaultKeepsCallsWhereTheirCacheIs(t *testing.T) {
+func TestDefaultPrefersTargetWithCache(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(3))
 	it := item(1)
 	it.History, it.Holder, it.HolderTokens = 1000, "t2", 1000
@@ -47,7 +47,7 @@
 	assert.Equal(t, "t2", target.Decl.Name)
 }
 
-func TestDefaultWaitsInTheQueueWhenAllAreFull(t *testing.T) {
+func TestDefaultQueuesCallsWhenAllTargetsAreFull(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(2))
 	room := 2 * 2 * (1 + DefaultParameters().MaxQueuedBatches)
 	for i := range room + 1 {
@@ -58,13 +58,13 @@
 		require.NotNil(t, it)
 	}
 	it, _ := s.Next(0)
-	assert.Nil(t, it, "both targets have all they may have")
+	assert.Nil(t, it, "both targets have their maximum load")
 	s.Done(0, "t0", true, time.Second)
 	it, _ = s.Next(0)
 	assert.NotNil(t, it)
 }
 
-func TestLeastAttainedServiceFirst(t *testing.T) {
+func TestProgramWithLeastAttainedServiceGoesFirst(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(1))
 	long, short := item(0), item(1)
 	long.Attained = 5000
@@ -74,7 +74,7 @@
 	assert.Equal(t, short, it)
 }
 
-func TestNoItemIsPassedForEver(t *testing.T) {
+func TestItemIsNotOvertakenBeyondMaxPenalty(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(1))
 	old := item(0)
 	old.Attained = 1 << 40
@@ -84,10 +84,10 @@
 	late.Begun = time.Duration(p.MaxAttained)*p.AttainedWeight + time.Millisecond
 	s.Enqueue(late, false)
 	it, _ := s.Next(0)
-	assert.Equal(t, old, it, "a program that began after the greatest put-back does not pass")
+	assert.Equal(t, old, it, "a program that began later than the maximum penalty does not overtake")
 }
 
-func TestTargetsThatTakeNoWork(t *testing.T) {
+func TestLeavingTargetsGetNoCalls(t *testing.T) {
 	set := declared(2)
 	set.Targets["t0"].Leaving = true
 	s := newScheduler(t, PolicyRoundRobin, set)
@@ -104,7 +104,7 @@
 	assert.False(t, s.Usable(0, "s"))
 }
 
-func TestRetryAvoidsTheTargetThatFailed(t *testing.T) {
+func TestRetryAvoidsFailedTarget(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(2))
 	it := item(0)
 	it.AvoidTarget, it.Holder, it.HolderTokens, it.History = "t0", "t0", 5000, 5000
@@ -113,40 +113,40 @@
 	assert.Equal(t, "t1", target.Decl.Name)
 }
 
-func TestQueueLimit(t *testing.T) {
+func TestQueueLimitRejectsAllButRetries(t *testing.T) {
 	set := declared(1)
 	set.Services["s"].QueueLimit = 1
 	s := newScheduler(t, PolicyDefault, set)
 	assert.True(t, s.Enqueue(item(0), false))
 	assert.False(t, s.Enqueue(item(1), false))
-	assert.True(t, s.Enqueue(item(2), true), "a retry is always taken")
+	assert.True(t, s.Enqueue(item(2), true), "a retry is accepted in a full queue")
 }
 
-func TestUndeclaredServiceGivesItsItemsBack(t *testing.T) {
+func TestApplyReturnsItemsOfUndeclaredService(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(0))
 	s.Enqueue(item(0), false)
 	orphans := s.Apply(&decl.Set{})
 	assert.Len(t, orphans, 1)
 }
 
-func TestBreaker(t *testing.T) {
+func TestBreakerOpensAndAllowsOneTrial(t *testing.T) {
 	var b Breaker
 	for range breakerThreshold {
 		assert.False(t, b.Open(0))
 		b.Failure(0)
 	}
 	assert.True(t, b.Open(0))
-	assert.False(t, b.Open(breakerBase), "half open after a while")
+	assert.False(t, b.Open(breakerBase), "half open after the base time")
 	b.Sent()
-	assert.True(t, b.Open(breakerBase), "one trial at a time")
+	assert.True(t, b.Open(breakerBase), "one trial call at a time")
 	b.Failure(breakerBase)
-	assert.True(t, b.Open(2*breakerBase), "a failed trial doubles the pause")
+	assert.True(t, b.Open(2*breakerBase), "a failed trial doubles the open time")
 	assert.False(t, b.Open(3*breakerBase))
 	b.Success()
 	assert.False(t, b.Open(0))
 }
 
-func TestRetryBudgetIsARatio(t *testing.T) {
+func TestRetryBudgetLimitsRetriesToRatio(t *testing.T) {
 	b := NewRetryBudget(0.5)
 	for b.Take() {
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestPeersCountAsLoad(t *testing.T) {
+func TestPeerLoadCounts(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(1))
 	s.SetPeer("h2", map[string]PeerLoad{"t0": {InFlight: 2 * (1 + DefaultParameters().MaxQueuedBatches)}})
 	s.Enqueue(item(0), false)
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -8,40 +8,41 @@
 	"github.com/pistachioarch/pistachioarch/core/decl"
 )
 
-// scanLimit bounds how many waiting items one Next looks at, so that a step
-// stays short under a deep queue.
-const scanLimit = 64
+// maxScannedItems is the maximum number of waiting items that one Next examines, so that a
+// step stays short when the queue is long.
+const maxScannedItems = 64
 
 // Scheduler places the calls of one host. Not safe for concurrent use.
 type Scheduler struct {
-	policy   Policy
-	services map[string]*service
-	names    []string // of services, in order, so that every run decides alike
-	targets  map[string]*Target
-	peers    map[string]map[string]PeerLoad // by peer, then target
-	order    uint64
-	scratch  []*Target
-	skipped  []*Item
+	policy     Policy
+	services   map[string]*service
+	names      []string // of services, sorted, so that runs are deterministic
+	targets    map[string]*Target
+	peers      map[string]map[string]PeerLoad // by peer, then target
+	lastSeq    uint64
+	candidates []*Target
+	skipped    []*Item
 }
 
+// service is the state of one declared service.
 type service struct {
-	decl    *decl.Service
-	targets []*Target
-	waiting queue
-	retries *RetryBudget
-	dirty   bool // state changed since Next last found nothing
+	decl      *decl.Service
+	targets   []*Target
+	waiting   queue
+	retries   *RetryBudget
+	needsScan bool // state changed since Next last found no placement
 }
 
-// New returns a scheduler without targets.
+// New returns a scheduler without targets and services; Apply declares them.
 func New(p Policy) *Scheduler {
 	return &Scheduler{policy: p, services: map[string]*service{}, targets: map[string]*Target{}, peers: map[string]map[string]PeerLoad{}}
 }
 
-// EvictsCache is the policy's answer of that name.
+// EvictsCache returns EvictsCache of the policy.
 func (s *Scheduler) EvictsCache() bool { return s.policy.EvictsCache() }
 
-// Apply replaces the declaration. Targets that stay keep their state; items of
-// services that are gone are returned.
+// Apply replaces the declaration. Targets that remain declared keep their state. Apply
+// returns the queued items of services that are no longer declared.
 func (s *Scheduler) Apply(set *decl.Set) (orphans []*Item) {
 	for _, name := range s.names {
 		svc := s.services[name]
@@ -60,7 +61,7 @@
 		}
 		svc.decl = d
 		svc.retries.ratio = d.RetryRatio
-		svc.dirty = true
+		svc.needsScan = true
 	}
 	for name := range s.targets {
 		if _, ok := set.Targets[name]; !ok {
@@ -94,12 +95,12 @@
 	return t, ok
 }
 
-// Targets returns the names of all declared targets in order.
+// Targets returns the names of all declared targets, sorted.
 func (s *Scheduler) Targets() []string {
 	return sortedNames(s.targets)
 }
 
-// Waiting returns the number of calls that wait for a service.
+// Waiting returns the number of calls queued for a service.
 func (s *Scheduler) Waiting(name string) int {
 	if svc, ok := s.services[name]; ok {
 		return len(svc.waiting)
@@ -107,26 +108,26 @@
 	return 0
 }
 
-// ExpectedWait estimates how long a new call of the service waits in the queue:
-// the waiting calls times the mean call time over all places.
+// ExpectedWait estimates how long a new call of the service waits in the queue: the number
+// of waiting calls times the mean call time, divided by the batch sizes of all targets.
 func (s *Scheduler) ExpectedWait(name string) time.Duration {
 	svc, ok := s.services[name]
 	if !ok {
 		return 0
 	}
-	places, sum := 0, time.Duration(0)
+	capacity, sum := 0, time.Duration(0)
 	for _, t := range svc.targets {
-		places += t.Decl.Batch
-		sum += t.mean
+		capacity += t.Decl.Batch
+		sum += t.meanCallTime
 	}
-	if places == 0 {
+	if capacity == 0 {
 		return 0
 	}
 	mean := sum / time.Duration(len(svc.targets))
-	return mean * time.Duration(len(svc.waiting)) / time.Duration(places)
+	return mean * time.Duration(len(svc.waiting)) / time.Duration(capacity)
 }
 
-// RetryBudget returns the service's retry budget, nil for an unknown service.
+// RetryBudget returns the service's retry budget, or nil for an unknown service.
 func (s *Scheduler) RetryBudget(name string) *RetryBudget {
 	if svc, ok := s.services[name]; ok {
 		return svc.retries
@@ -134,22 +135,22 @@
 	return nil
 }
 
-// Enqueue adds an item of a declared service; it reports false when the queue
-// is full. A retry is always taken.
+// Enqueue adds an item to the queue of its service. It returns false if the service is not
+// declared or its queue is full; a retry is accepted in a full queue too.
 func (s *Scheduler) Enqueue(it *Item, retry bool) bool {
 	svc, ok := s.services[it.Service]
 	if !ok || !retry && len(svc.waiting) >= svc.decl.QueueLimit {
 		return false
 	}
-	s.order++
-	it.order = s.order
+	s.lastSeq++
+	it.seq = s.lastSeq
 	it.key = s.policy.Key(it)
 	svc.waiting.add(it)
-	svc.dirty = true
+	svc.needsScan = true
 	return true
 }
 
-// Remove takes a waiting item out of its queue.
+// Remove removes an item from its queue, if it is queued.
 func (s *Scheduler) Remove(it *Item) {
 	svc, ok := s.services[it.Service]
 	if ok && it.index >= 0 && it.index < len(svc.waiting) && svc.waiting[it.index] == it {
@@ -157,12 +158,12 @@
 	}
 }
 
-// Next returns one item with the target it goes to, and counts it as sent;
-// nil when nothing can be placed at now.
+// Next returns one item with its target and counts it as sent. It returns nil if no item can
+// be placed at now.
 func (s *Scheduler) Next(now time.Duration) (*Item, *Target) {
 	for _, name := range s.names {
 		svc := s.services[name]
-		if !svc.dirty || len(svc.waiting) == 0 {
+		if !svc.needsScan || len(svc.waiting) == 0 {
 			continue
 		}
 		if it, t := s.place(now, svc); it != nil {
@@ -170,11 +171,12 @@
 			t.Breaker.Sent()
 			return it, t
 		}
-		svc.dirty = false
+		svc.needsScan = false
 	}
 	return nil, nil
 }
 
+// place removes the first waiting item that can be placed at now from the queue of svc.
 func (s *Scheduler) place(now time.Duration, svc *service) (*Item, *Target) {
 	s.skipped = s.skipped[:0]
 	defer func() {
@@ -182,7 +184,7 @@
 			svc.waiting.add(it)
 		}
 	}()
-	for len(svc.waiting) > 0 && len(s.skipped) < scanLimit {
+	for len(svc.waiting) > 0 && len(s.skipped) < maxScannedItems {
 		it := svc.waiting.take()
 		if it.NotBefore <= now {
 			if t := s.choose(now, svc, it); t != nil {
@@ -194,9 +196,10 @@
 	return nil, nil
 }
 
-// choose filters the targets that may take work at all, then asks the policy.
+// choose returns the policy's choice among the targets that may take calls. The target that
+// the item avoids is a candidate only if there is no other.
 func (s *Scheduler) choose(now time.Duration, svc *service, it *Item) *Target {
-	s.scratch = s.scratch[:0]
+	s.candidates = s.candidates[:0]
 	var avoided *Target
 	for _, t := range svc.targets {
 		switch {
@@ -204,19 +207,19 @@
 		case t.Decl.Name == it.AvoidTarget:
 			avoided = t
 		default:
-			s.scratch = append(s.scratch, t)
+			s.candidates = append(s.candidates, t)
 		}
 	}
-	if len(s.scratch) == 0 && avoided != nil {
-		s.scratch = append(s.scratch, avoided)
+	if len(s.candidates) == 0 && avoided != nil {
+		s.candidates = append(s.candidates, avoided)
 	}
-	if len(s.scratch) == 0 {
+	if len(s.candidates) == 0 {
 		return nil
 	}
-	return s.policy.Choose(it, s.scratch)
+	return s.policy.Choose(it, s.candidates)
 }
 
-// Usable reports whether any target of the service may take work at now.
+// Usable reports whether any target of the service may take calls at now.
 func (s *Scheduler) Usable(now time.Duration, name string) bool {
 	svc, ok := s.services[name]
 	if !ok {
@@ -230,9 +233,9 @@
 	return false
 }
 
-// Done counts a call as finished at the target. ok feeds the circuit breaker,
-// took the estimate of queue waits.
-func (s *Scheduler) Done(now time.Duration, name string, ok bool, took time.Duration) {
+// Done records that a call has finished at the target. ok updates the circuit breaker;
+// duration updates the estimate of queue waits.
+func (s *Scheduler) Done(now time.Duration, name string, ok bool, duration time.Duration) {
 	t, found := s.targets[name]
 	if !found {
 		return
@@ -240,36 +243,36 @@
 	t.InFlight = max(0, t.InFlight-1)
 	if ok {
 		t.Breaker.Success()
-		t.observe(took)
+		t.recordCallTime(duration)
 	} else {
 		t.Breaker.Failure(now)
 	}
 	s.Wake(t.Decl.Service)
 }
 
-// Withdraw takes back a placement by Next that was not sent.
+// Withdraw reverts a placement by Next that was not sent.
 func (s *Scheduler) Withdraw(name string) {
 	if t, ok := s.targets[name]; ok {
 		t.InFlight = max(0, t.InFlight-1)
-		t.Breaker.trial = false
+		t.Breaker.trialInFlight = false
 		s.Wake(t.Decl.Service)
 	}
 }
 
-// Hold adds tokens to the estimate of cache kept at the target; a negative
-// number takes them off.
+// Hold adds tokens, which may be negative, to the estimate of this host's cache at the
+// target.
 func (s *Scheduler) Hold(name string, tokens int64) {
 	if t, ok := s.targets[name]; ok {
 		t.Held = max(0, t.Held+tokens)
 	}
 }
 
-// SetPeer replaces what a peer has under way; targets that are not in loads
-// count as idle for it. The cost follows the targets that the peer uses. The
-// scheduler keeps loads.
+// SetPeer replaces the load of a peer by target. For targets not in loads the peer counts as
+// idle. The cost grows with the number of targets that the peer uses. The scheduler retains
+// loads.
 func (s *Scheduler) SetPeer(peer string, loads map[string]PeerLoad) {
 	for name := range s.peers[peer] {
-		if _, still := loads[name]; !still {
+		if _, listed := loads[name]; !listed {
 			s.setPeerAt(name, peer, PeerLoad{})
 		}
 	}
@@ -289,16 +292,16 @@
 	}
 }
 
-// Wake makes Next look at the service again.
+// Wake makes Next examine the service's queue again.
 func (s *Scheduler) Wake(name string) {
 	if svc, ok := s.services[name]; ok {
-		svc.dirty = true
+		svc.needsScan = true
 	}
 }
 
-// WakeAll makes Next look at every service again, as when time has passed.
+// WakeAll makes Next examine all queues again, for instance when time has passed.
 func (s *Scheduler) WakeAll() {
 	for _, svc := range s.services {
-		svc.dirty = true
+		svc.needsScan = true
 	}
 }
--- a/core/sched/target.go
+++ b/core/sched/target.go
@@ -6,65 +6,66 @@
 	"github.com/pistachioarch/pistachioarch/core/decl"
 )
 
-// Target is what one host knows of a target.
+// Target is the state of one target as seen by one host.
 type Target struct {
 	Decl *decl.Target
-	// InFlight is the number of this host's calls at the target.
+	// InFlight is the number of this host's calls in flight at the target.
 	InFlight int
-	// Held is the estimate of cache tokens kept there for this host's programs.
+	// Held is the estimated number of cache tokens at the target for this host's programs.
 	Held int64
-	// PeerInFlight and PeerHeld are the same of all other hosts.
+	// PeerInFlight and PeerHeld are the sums of the same for all other hosts.
 	PeerInFlight int
 	PeerHeld     int64
-	// Queued is the target's own last report of calls it has not started.
-	Queued   int
-	Breaker  Breaker
-	peers    map[string]PeerLoad
-	mean     time.Duration // moving average of the time of one call
-	meanSeen bool
+	// Queued is the number of calls not yet started, from the target's last load report.
+	Queued       int
+	Breaker      Breaker
+	peers        map[string]PeerLoad
+	meanCallTime time.Duration // moving average of the duration of a call
+	hasMean      bool
 }
 
-// PeerLoad is what one peer has under way at a target.
+// PeerLoad is the load of one peer at a target: its calls in flight and the estimated cache
+// tokens of its programs.
 type PeerLoad struct {
 	InFlight int
 	Held     int64
 }
 
-// Load is the estimated number of calls at the target.
+// Load returns the estimated number of calls at the target, of all hosts.
 func (t *Target) Load() int { return t.InFlight + t.PeerInFlight }
 
-// Wait estimates how long a call that arrives now waits for a place.
+// Wait estimates how long a call that is sent now waits inside the target.
 func (t *Target) Wait() time.Duration {
 	over := t.Load() - t.Decl.Batch + 1
 	if over <= 0 {
 		return 0
 	}
-	mean := t.mean
-	if !t.meanSeen {
-		mean = t.Decl.Decode*typicalOutput + t.Decl.Prefill*typicalPrompt
+	mean := t.meanCallTime
+	if !t.hasMean {
+		mean = t.Decl.Decode*assumedOutputTokens + t.Decl.Prefill*assumedPromptTokens
 	}
 	return mean * time.Duration(over) / time.Duration(t.Decl.Batch)
 }
 
-// A call's size, in tokens, before any was seen at a target.
+// Assumed size of a call, in tokens, until the first call at a target has finished.
 const (
-	typicalPrompt = 512
-	typicalOutput = 128
+	assumedPromptTokens = 512
+	assumedOutputTokens = 128
 )
 
-// Overflow is by how many tokens this host's programs would exceed their share
-// of the target's memory if add more tokens came to it. The share of a host
-// follows from what it and its peers keep there.
+// Overflow returns the number of tokens by which this host's programs would exceed their
+// share of the target's memory if they added add tokens. The shares of the hosts are
+// proportional to the tokens that they hold there.
 func (t *Target) Overflow(add int64) int64 {
-	over := t.Held + t.PeerHeld + add - t.Decl.CacheTokens
-	if over <= 0 {
+	excess := t.Held + t.PeerHeld + add - t.Decl.CacheTokens
+	if excess <= 0 {
 		return 0
 	}
-	own := float64(t.Held+add) / float64(max(1, t.Held+t.PeerHeld+add))
-	return int64(float64(over) * own)
+	ownShare := float64(t.Held+add) / float64(max(1, t.Held+t.PeerHeld+add))
+	return int64(float64(excess) * ownShare)
 }
 
-// setPeer replaces what peer has under way.
+// setPeer replaces the load of peer.
 func (t *Target) setPeer(peer string, load PeerLoad) {
 	old := t.peers[peer]
 	t.PeerInFlight += load.InFlight - old.InFlight
@@ -76,13 +77,13 @@
 	t.peers[peer] = load
 }
 
-// meanWeight is the share of a new sample in the moving average of call times.
-const meanWeight = 0.2
+// callTimeWeight is the weight of a new sample in the moving average of call times.
+const callTimeWeight = 0.2
 
-func (t *Target) observe(d time.Duration) {
-	if !t.meanSeen {
-		t.mean, t.meanSeen = d, true
+func (t *Target) recordCallTime(d time.Duration) {
+	if !t.hasMean {
+		t.meanCallTime, t.hasMean = d, true
 		return
 	}
-	t.mean += time.Duration(meanWeight * float64(d-t.mean))
+	t.meanCallTime += time.Duration(callTimeWeight * float64(d-t.meanCallTime))
 }
