--- a/core/peerpb/doc.go
+++ b/core/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb holds the generated messages between hosts and the records of
-// the journal. peer.proto is the source; `make generate` renews the code.
+// Package peerpb holds the generated code of peer.proto: the messages between entry
+// hosts and the records of the journal. `make generate` regenerates it.
 package peerpb
