--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -1,9 +1,9 @@
-// Package subset chooses a few of many by rendezvous hashing: each chooser ranks all by a hash
-// of itself and of each, and takes the lowest.
+// Package subset selects a few of many items by rendezvous hashing: each chooser ranks all items
+// by a hash of itself and the item, and selects the lowest.
 //
-// Choosers need to agree on nothing. Each of the many is chosen by as many choosers, in the
-// mean, and when some come or go, only the choices that concern them change. It is what keeps
-// a host's state and messages the same when the fleet grows.
+// Choosers need no coordination. On average each item is selected by the same number of
+// choosers, and when items are added or removed, only the selections that include them change.
+// This keeps the state and the messages of a host constant when the fleet grows.
 package subset
 
 import (
@@ -13,32 +13,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank is the place of one thing for a chooser, uniform over all numbers.
-func Rank(chooser, thing string) uint64 {
-	d := xxhash.New()
-	_, _ = d.WriteString(chooser) // a digest takes all
-	_, _ = d.Write([]byte{0})
-	_, _ = d.WriteString(thing)
-	return d.Sum64()
+// Rank returns the rank of an item for a chooser, uniform over all 64-bit numbers.
+func Rank(chooser, item string) uint64 {
+	digest := xxhash.New()
+	_, _ = digest.WriteString(chooser) // Write to a digest never fails
+	_, _ = digest.Write([]byte{0})
+	_, _ = digest.WriteString(item)
+	return digest.Sum64()
 }
 
-// Select returns the n things that rank lowest for a chooser, all if there are no more, in the
-// order of their ranks.
-func Select(chooser string, things []string, n int) []string {
-	type ranked struct {
-		thing string
-		rank  uint64
+// Select returns the n items that rank lowest for a chooser, in the order of their ranks; all
+// items if there are at most n.
+func Select(chooser string, items []string, n int) []string {
+	type rankedItem struct {
+		item string
+		rank uint64
 	}
-	list := make([]ranked, len(things))
-	for i, thing := range things {
-		list[i] = ranked{thing, Rank(chooser, thing)}
+	ranked := make([]rankedItem, len(items))
+	for i, item := range items {
+		ranked[i] = rankedItem{item, Rank(chooser, item)}
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.thing, b.thing))
+	slices.SortFunc(ranked, func(a, b rankedItem) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.item, b.item))
 	})
-	chosen := make([]string, 0, min(n, len(list)))
-	for _, r := range list[:min(n, len(list))] {
-		chosen = append(chosen, r.thing)
+	chosen := make([]string, 0, min(n, len(ranked)))
+	for _, r := range ranked[:min(n, len(ranked))] {
+		chosen = append(chosen, r.item)
 	}
 	return chosen
 }
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -16,39 +16,38 @@
 	return list
 }
 
-func TestAllOfAFewAreChosen(t *testing.T) {
+func TestSelectReturnsAllItemsWhenFewerThanN(t *testing.T) {
 	require.ElementsMatch(t, names("t", 3), Select("c", names("t", 3), 5))
 	require.Empty(t, Select("c", nil, 5))
 }
 
-// Each thing is chosen by about as many choosers.
-func TestChoicesAreSpread(t *testing.T) {
-	const choosers, things, n = 900, 120, 4
+// Each item is selected by about the same number of choosers.
+func TestSelectSpreadsItemsEvenlyOverChoosers(t *testing.T) {
+	const choosers, items, n = 900, 120, 4
 	chosen := map[string]int{}
 	for _, c := range names("c", choosers) {
-		for _, x := range Select(c, names("t", things), n) {
+		for _, x := range Select(c, names("t", items), n) {
 			chosen[x]++
 		}
 	}
-	require.Len(t, chosen, things)
+	require.Len(t, chosen, items)
 	for x, count := range chosen {
-		require.InDelta(t, choosers*n/things, count, 25, x)
+		require.InDelta(t, choosers*n/items, count, 25, x)
 	}
 }
 
-// One thing that goes changes the choices of those who had chosen it, by one each, and no
-// other.
-func TestAChangeMovesLittle(t *testing.T) {
+// Removing an item changes only the selections that include it, by one item each.
+func TestRemovingAnItemKeepsTheOtherSelectedItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		things := names("t", rapid.IntRange(2, 60).Draw(t, "things"))
-		n := rapid.IntRange(1, len(things)).Draw(t, "n")
-		gone := rapid.IntRange(0, len(things)-1).Draw(t, "gone")
+		items := names("t", rapid.IntRange(2, 60).Draw(t, "things"))
+		n := rapid.IntRange(1, len(items)).Draw(t, "n")
+		removed := rapid.IntRange(0, len(items)-1).Draw(t, "gone")
 		chooser := rapid.String().Draw(t, "chooser")
-		before := Select(chooser, things, n)
-		left := append(append([]string{}, things[:gone]...), things[gone+1:]...)
-		after := Select(chooser, left, n)
+		before := Select(chooser, items, n)
+		remaining := append(append([]string{}, items[:removed]...), items[removed+1:]...)
+		after := Select(chooser, remaining, n)
 		for _, x := range before {
-			if x != things[gone] {
+			if x != items[removed] {
 				require.Contains(t, after, x)
 			}
 		}
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -11,100 +11,107 @@
 	Service, DataCentre string
 }
 
-// Sizes are how many targets of each service a host holds: of its own data centre, and of all
-// others together. Of up to twice as many it holds all.
+// Sizes are the numbers of targets of each service that a host holds: near targets, of its own
+// data centre, and far targets, of all others together. A host holds all targets while there are
+// fewer than twice as many.
 type Sizes struct {
 	Near, Far int
 }
 
-// DefaultSizes are enough that one lost third leaves a choice, and that the hosts of a data
-// centre together reach each of its targets several times over.
+// DefaultSizes returns sizes that leave a choice after the loss of a third of the targets, and
+// with which the hosts of a data centre together reach each of its targets several times over.
 func DefaultSizes() Sizes { return Sizes{Near: 64, Far: 64} }
 
-// Index says which targets each host holds. Half of a part is common: the same for all hosts of
-// a data centre, so that these agree on where shared prompts are read. The other half is the
-// host's own, so that all targets are in use. Not safe for concurrent use.
+// Index computes which targets each host holds. Half of a subset is shared: the same for all
+// hosts of a data centre, so that they agree on where shared prompts are cached. The other half
+// is specific to the host, so that all targets are in use. Index is not safe for concurrent use.
 //
-// A target is in a part if its rank is below a limit that depends on the number of targets
-// only, in steps of two. So whether a change concerns a host is known without the other
-// targets, and parts change as a whole only when the number doubles or halves.
+// A target is in a subset if its rank is below a limit that depends only on the number of
+// targets, in powers of two. So whether a change concerns a host can be computed without the
+// other targets, and a subset changes as a whole only when the number of targets doubles or
+// halves.
 type Index struct {
-	sizes  Sizes
-	counts map[Group]int
-	total  map[string]int // by service
-	// near is the steps of the targets of each group for hosts of its data centre, far those
-	// of all other targets of the service for hosts of the group's data centre.
+	sizes         Sizes
+	targetCounts  map[Group]int
+	serviceTotals map[string]int // by service
+	// near holds the halvings of each group for hosts of its data centre; far holds those of all
+	// other targets of the service for hosts of the group's data centre.
 	near, far map[Group]int
 }
 
-// NewIndex returns an index of no targets.
+// NewIndex returns an index without targets.
 func NewIndex(s Sizes) *Index {
-	return &Index{sizes: s, counts: map[Group]int{}, total: map[string]int{}, near: map[Group]int{}, far: map[Group]int{}}
+	return &Index{sizes: s, targetCounts: map[Group]int{}, serviceTotals: map[string]int{}, near: map[Group]int{}, far: map[Group]int{}}
 }
 
-// Add counts a target.
-func (x *Index) Add(g Group) { x.count(g, 1) }
+// Add counts a new target of a group.
+func (x *Index) Add(g Group) { x.adjust(g, 1) }
 
-// Remove takes a target out.
-func (x *Index) Remove(g Group) { x.count(g, -1) }
+// Remove uncounts a target of a group.
+func (x *Index) Remove(g Group) { x.adjust(g, -1) }
 
-// Halvings is how often the parts of a service were halved for hosts of one data centre, as their
-// targets became more: of the targets of that data centre and of the others.
+// Halvings is how often the subsets of a service were halved for hosts of one data centre as the
+// number of targets grew: Near for the targets of that data centre, Far for all others. Both are
+// 0 while hosts hold all targets.
 type Halvings struct {
 	Service   string
 	Near, Far int
 }
 
-// Halvings are those of all services for hosts of a data centre, in the order of their names.
+// Halvings returns the halvings of all services for hosts of a data centre, in order of service
+// names.
 func (x *Index) Halvings(dataCentre string) []Halvings {
-	var steps []Halvings
-	for _, service := range slices.Sorted(maps.Keys(x.total)) {
+	var list []Halvings
+	for _, service := range slices.Sorted(maps.Keys(x.serviceTotals)) {
 		g := Group{service, dataCentre}
-		steps = append(steps, Halvings{Service: service, Near: x.near[g], Far: x.farStep(g)})
+		list = append(list, Halvings{Service: service, Near: x.near[g], Far: x.farHalvings(g)})
 	}
-	return steps
+	return list
 }
 
-// Shrunk reports whether parts by the steps of now are within those by the steps of before.
-func Shrunk(before, now []Halvings) bool {
+// Shrunk reports whether the subsets with the halvings after are contained in those with the
+// halvings before.
+func Shrunk(before, after []Halvings) bool {
 	for _, b := range before {
-		n := stepOf(now, b.Service)
-		if n.Near < b.Near || n.Far < b.Far {
+		a := halvingsOf(after, b.Service)
+		if a.Near < b.Near || a.Far < b.Far {
 			return false
 		}
 	}
 	return true
 }
 
-// HoldsAll reports whether hosts of a data centre hold all targets of a group by these steps.
-func HoldsAll(steps []Halvings, dataCentre string, g Group) bool {
-	s := stepOf(steps, g.Service)
+// HoldsAll reports whether hosts of a data centre hold all targets of a group with these
+// halvings.
+func HoldsAll(list []Halvings, dataCentre string, g Group) bool {
+	h := halvingsOf(list, g.Service)
 	if g.DataCentre == dataCentre {
-		return s.Near == 0
+		return h.Near == 0
 	}
-	return s.Far == 0
+	return h.Far == 0
 }
 
-func stepOf(steps []Halvings, service string) Halvings {
-	for _, s := range steps {
-		if s.Service == service {
-			return s
+func halvingsOf(list []Halvings, service string) Halvings {
+	for _, h := range list {
+		if h.Service == service {
+			return h
 		}
 	}
 	return Halvings{Service: service}
 }
 
-// Holds reports whether a host of a data centre holds a target of a group by these steps.
-func Holds(steps []Halvings, host, dataCentre string, g Group, target string) bool {
-	s := stepOf(steps, g.Service)
+// Holds reports whether a host of a data centre holds a target of a group with these halvings.
+func Holds(list []Halvings, host, dataCentre string, g Group, target string) bool {
+	h := halvingsOf(list, g.Service)
 	if g.DataCentre == dataCentre {
-		return in(s.Near, host, target)
+		return contains(h.Near, host, target)
 	}
-	return in(s.Far, host, target)
+	return contains(h.Far, host, target)
 }
 
-// in reports whether a host's part, halved so often, has a target. Half of a part is common.
-func in(halvings int, host, target string) bool {
+// contains reports whether the subset of a host, after a number of halvings, contains a target.
+// Half of a subset is shared by all hosts.
+func contains(halvings int, host, target string) bool {
 	if halvings == 0 {
 		return true
 	}
@@ -112,47 +119,48 @@
 	return CommonRank(target) < limit || Rank(host, target) < limit
 }
 
-func (x *Index) count(g Group, n int) {
-	x.counts[g] += n
-	x.total[g.Service] += n
-	x.near[g] = step(x.near[g], x.counts[g], x.sizes.Near)
-	for other := range x.counts {
+func (x *Index) adjust(g Group, delta int) {
+	x.targetCounts[g] += delta
+	x.serviceTotals[g.Service] += delta
+	x.near[g] = updateHalvings(x.near[g], x.targetCounts[g], x.sizes.Near)
+	for other := range x.targetCounts {
 		if other.Service == g.Service {
-			x.far[other] = step(x.far[other], x.total[g.Service]-x.counts[other], x.sizes.Far)
+			x.far[other] = updateHalvings(x.far[other], x.serviceTotals[g.Service]-x.targetCounts[other], x.sizes.Far)
 		}
 	}
 }
 
-// step adjusts a step to a number of targets, late enough that a number that goes up and down
-// around a limit changes nothing.
-func step(step, n, size int) int {
-	for n >= size<<(step+1) {
-		step++
+// updateHalvings adjusts a number of halvings to a number of targets. It has hysteresis, so that
+// a number of targets that oscillates around a limit does not change the subsets.
+func updateHalvings(halvings, targets, size int) int {
+	for targets >= size<<(halvings+1) {
+		halvings++
 	}
-	for step > 0 && 4*n < 3*size<<step {
-		step--
+	for halvings > 0 && 4*targets < 3*size<<halvings {
+		halvings--
 	}
-	return step
+	return halvings
 }
 
 // Holds reports whether a host of a data centre holds a target of a group.
 func (x *Index) Holds(host, dataCentre string, g Group, target string) bool {
 	if g.DataCentre == dataCentre {
-		return in(x.near[g], host, target)
+		return contains(x.near[g], host, target)
 	}
-	return in(x.farStep(Group{g.Service, dataCentre}), host, target)
+	return contains(x.farHalvings(Group{g.Service, dataCentre}), host, target)
 }
 
-// CommonRank is a target's place in the order by which all hosts hold the same ones.
-func CommonRank(target string) uint64 { return Rank(common, target) }
+// CommonRank returns the rank of a target in the shared half of subsets, the same for all hosts.
+func CommonRank(target string) uint64 { return Rank(sharedChooser, target) }
 
-// common is the chooser of the part that all hosts have.
-const common = ""
+// sharedChooser is the chooser of the half of a subset that all hosts share.
+const sharedChooser = ""
 
-// farStep is that of a host whose data centre may have no target of the service.
-func (x *Index) farStep(g Group) int {
-	if _, known := x.counts[g]; known {
+// farHalvings returns the halvings of far targets for hosts whose data centre may have no target
+// of the service.
+func (x *Index) farHalvings(g Group) int {
+	if _, known := x.targetCounts[g]; known {
 		return x.far[g]
 	}
-	return step(0, x.total[g.Service], x.sizes.Far)
+	return updateHalvings(0, x.serviceTotals[g.Service], x.sizes.Far)
 }
--- a/core/subset/targets_test.go
+++ b/core/subset/targets_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetOf returns an index of n targets of a service in each of some data centres, and their names.
-func fleetOf(centres, n int) (*Index, map[Group][]string) {
+// newFleetIndex returns an index of n targets of a service in each of some data centres, and the
+// IDs of the targets.
+func newFleetIndex(centres, n int) (*Index, map[Group][]string) {
 	x := NewIndex(DefaultSizes())
 	groups := map[Group][]string{}
 	for c := range centres {
@@ -21,8 +22,9 @@
 	return x, groups
 }
 
-// held is what a host of dc0 holds, of its own data centre and of others.
-func held(x *Index, groups map[Group][]string, host string) (near, far map[string]bool) {
+// heldTargets returns the targets that a host of dc0 holds, of its own data centre and of
+// others.
+func heldTargets(x *Index, groups map[Group][]string, host string) (near, far map[string]bool) {
 	near, far = map[string]bool{}, map[string]bool{}
 	for g, ids := range groups {
 		for _, id := range ids {
@@ -38,34 +40,34 @@
 	return near, far
 }
 
-func TestAllOfAFewTargetsAreHeld(t *testing.T) {
+func TestHostHoldsAllTargetsOfASmallFleet(t *testing.T) {
 	for _, c := range []struct{ centres, n int }{{1, 100}, {4, 27}, {6, 18}, {3, 24}} {
-		x, groups := fleetOf(c.centres, c.n)
-		near, far := held(x, groups, "h")
+		x, groups := newFleetIndex(c.centres, c.n)
+		near, far := heldTargets(x, groups, "h")
 		require.Len(t, near, c.n)
 		require.Len(t, far, c.n*(c.centres-1))
 	}
 }
 
-// What a host holds is bounded, however many targets there are.
-func TestWhatAHostHoldsDoesNotGrowWithTheTargets(t *testing.T) {
+// The number of targets that a host holds is bounded, however many targets there are.
+func TestSubsetSizeIsBoundedForLargeFleets(t *testing.T) {
 	for _, n := range []int{128, 200, 400, 942, 2000, 5000} {
-		x, groups := fleetOf(6, n)
+		x, groups := newFleetIndex(6, n)
 		for h := range 20 {
-			near, far := held(x, groups, fmt.Sprintf("h%d", h))
+			near, far := heldTargets(x, groups, fmt.Sprintf("h%d", h))
 			require.InDelta(t, 96, len(near), 60, "%d targets", n)
 			require.InDelta(t, 96, len(far), 60, "%d targets", n)
 		}
 	}
 }
 
-// The hosts of a data centre together hold all of its targets, each of them several times.
-func TestAllTargetsAreHeldBySome(t *testing.T) {
+// The hosts of a data centre together hold all of its targets, on average several times each.
+func TestEveryTargetIsHeldBySomeHost(t *testing.T) {
 	const hosts = 144
-	x, groups := fleetOf(6, 942)
+	x, groups := newFleetIndex(6, 942)
 	holders := map[string]int{}
 	for h := range hosts {
-		near, _ := held(x, groups, fmt.Sprintf("h%d", h))
+		near, _ := heldTargets(x, groups, fmt.Sprintf("h%d", h))
 		for id := range near {
 			holders[id]++
 		}
@@ -73,12 +75,12 @@
 	require.Len(t, holders, 942)
 }
 
-// All hosts of a data centre hold the same half of their part.
-func TestHostsHaveTargetsInCommon(t *testing.T) {
-	x, groups := fleetOf(6, 942)
-	shared, _ := held(x, groups, "h0")
+// All hosts of a data centre hold the same half of their subsets.
+func TestHostsOfADataCentreShareHalfOfTheirSubset(t *testing.T) {
+	x, groups := newFleetIndex(6, 942)
+	shared, _ := heldTargets(x, groups, "h0")
 	for h := range 30 {
-		near, _ := held(x, groups, fmt.Sprintf("h%d", h))
+		near, _ := heldTargets(x, groups, fmt.Sprintf("h%d", h))
 		for id := range shared {
 			if !near[id] {
 				delete(shared, id)
@@ -88,49 +90,49 @@
 	require.Greater(t, len(shared), DefaultSizes().Near/3)
 }
 
-// A target that comes or goes changes nothing of the others, but where the number has doubled
-// or halved.
-func TestPartsChangeAsAWholeSeldom(t *testing.T) {
-	x, groups := fleetOf(6, 400)
+// A target that is added or removed changes nothing for the others, unless the number of targets
+// has doubled or halved.
+func TestHalvingsStayUntilTargetCountDoublesOrHalves(t *testing.T) {
+	x, groups := newFleetIndex(6, 400)
 	g := Group{"llm", "dc0"}
-	before, _ := held(x, groups, "h")
-	steps := x.Halvings("dc0")
+	before, _ := heldTargets(x, groups, "h")
+	halvings := x.Halvings("dc0")
 	for range 80 {
 		x.Remove(g)
-		require.Equal(t, steps, x.Halvings("dc0"))
+		require.Equal(t, halvings, x.Halvings("dc0"))
 	}
 	for range 80 {
 		x.Add(g)
-		require.Equal(t, steps, x.Halvings("dc0"))
+		require.Equal(t, halvings, x.Halvings("dc0"))
 	}
-	after, _ := held(x, groups, "h")
+	after, _ := heldTargets(x, groups, "h")
 	require.Equal(t, before, after)
 	for range 220 {
 		x.Remove(g)
 	}
-	fewer, _ := held(x, groups, "h")
-	require.Greater(t, len(fewer), len(after)*3/2, "of half as many about twice the share")
+	fewer, _ := heldTargets(x, groups, "h")
+	require.Greater(t, len(fewer), len(after)*3/2, "about twice the share of half as many targets")
 }
 
-// Targets that go up and down around a limit do not change parts each time.
-func TestStepsHaveSlack(t *testing.T) {
-	x, _ := fleetOf(1, 127)
+// A number of targets that oscillates around a limit must not change subsets each time.
+func TestHalvingsHaveHysteresis(t *testing.T) {
+	x, _ := newFleetIndex(1, 127)
 	g := Group{"llm", "dc0"}
-	whole := x.Halvings("dc0")
+	unhalved := x.Halvings("dc0")
 	x.Add(g)
-	parts := x.Halvings("dc0")
-	require.NotEqual(t, whole, parts, "128 are no longer held whole")
+	halved := x.Halvings("dc0")
+	require.NotEqual(t, unhalved, halved, "128 targets are no longer held whole")
 	for range 10 {
 		x.Remove(g)
-		require.Equal(t, parts, x.Halvings("dc0"))
+		require.Equal(t, halved, x.Halvings("dc0"))
 		x.Add(g)
-		require.Equal(t, parts, x.Halvings("dc0"))
+		require.Equal(t, halved, x.Halvings("dc0"))
 	}
 }
 
 // A host in a data centre without targets holds some of the others.
-func TestAHostWithoutTargetsAtHomeHoldsOthers(t *testing.T) {
-	x, groups := fleetOf(6, 942)
+func TestHostWithoutNearTargetsHoldsFarTargets(t *testing.T) {
+	x, groups := newFleetIndex(6, 942)
 	n := 0
 	for g, ids := range groups {
 		for _, id := range ids {
@@ -142,23 +144,23 @@
 	require.InDelta(t, 96, n, 60)
 }
 
-// As targets become more, a host's part loses some of those that it has and gains only new ones;
-// so it can make the part itself.
-func TestPartsOfMoreTargetsAreWithinThoseOfFewer(t *testing.T) {
-	x, groups := fleetOf(6, 100)
+// As the number of targets grows, a host's subset loses some of its targets and gains only new
+// ones; so the host can narrow the subset itself.
+func TestGrowingFleetNarrowsSubsets(t *testing.T) {
+	x, groups := newFleetIndex(6, 100)
 	before := x.Halvings("dc0")
-	small, _ := held(x, groups, "h")
+	small, _ := heldTargets(x, groups, "h")
 	for g := range groups {
 		for range 900 {
 			x.Add(g)
 		}
 	}
-	now := x.Halvings("dc0")
-	require.True(t, Shrunk(before, now))
-	require.False(t, Shrunk(now, before))
+	after := x.Halvings("dc0")
+	require.True(t, Shrunk(before, after))
+	require.False(t, Shrunk(after, before))
 	for id := range small {
 		g := Group{"llm", "dc0"}
-		require.Equal(t, x.Holds("h", "dc0", g, id), Holds(now, "h", "dc0", g, id))
+		require.Equal(t, x.Holds("h", "dc0", g, id), Holds(after, "h", "dc0", g, id))
 	}
-	require.True(t, Shrunk(nil, now), "of a service that is new a host has nothing")
+	require.True(t, Shrunk(nil, after), "a host holds no targets of a new service")
 }
