--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -8,50 +8,51 @@
 
 // Limits bound what is sent while targets have queues.
 type Limits struct {
-	// MaxNewProgramLoad is the load of a service's engines, over their places, from which on
-	// programs that have not begun are turned away; 0 turns none away.
+	// MaxNewProgramLoad is the load of a service's engines, relative to their capacity, from
+	// which programs that have not started are rejected; 0 rejects none.
 	MaxNewProgramLoad float64
-	// MinRetryDelay is the shortest time after which a program that was turned away comes
-	// back, and RetryJitter what is added at most: some turns' time, so that places have
-	// become free, and short against a program's aim.
+	// MinRetryDelay is the shortest time after which a rejected program retries, and RetryJitter
+	// the maximum that is added to it. They are as long as a few turns, so that capacity becomes
+	// free, and short against the latency objective of a program.
 	MinRetryDelay, RetryJitter time.Duration
 }
 
-// DefaultLimits returns the limits that hosts decide by.
+// DefaultLimits returns the limits that hosts use.
 func DefaultLimits() Limits {
 	return Limits{MaxNewProgramLoad: 1.1, MinRetryDelay: 400 * time.Millisecond, RetryJitter: 600 * time.Millisecond}
 }
 
-// Request is what the decision needs to know.
+// Request is a request that is ready to be sent.
 type Request struct {
 	balance.Query
-	// ProgramStarted reports that the program has had an answer before.
+	// ProgramStarted reports whether the program has received an answer before.
 	ProgramStarted bool
-	// Draw is uniform in [0, 1), the same for the same request.
+	// Draw is uniform in [0, 1) and the same for the same request.
 	Draw float64
 }
 
 // Action is what to do with a request.
 type Action uint8
 
-// The decisions.
+// The actions.
 const (
-	// Send it to the chosen target.
+	// Send sends the request to the chosen target.
 	Send Action = iota
-	// NoTarget: none can be chosen.
+	// NoTarget fails the request: no target is usable.
 	NoTarget
-	// Reject: the service is full.
+	// Reject rejects the request: the service is full.
 	Reject
 )
 
-// Decision is a decision and what decided it.
+// Decision is an action and the values that decided it.
 type Decision struct {
 	Action Action
-	// Choice is valid if the request is to be sent.
+	// Choice is valid if Action is Send.
 	Choice balance.Choice
-	// Load is that of the service, over its places, where it mattered.
+	// Load is the load of the service relative to its capacity; 0 if the request may not be
+	// rejected.
 	Load float64
-	// RetryDelay is when a request that was turned away may come back.
+	// RetryDelay is the delay after which a rejected request may be retried.
 	RetryDelay time.Duration
 }
 
@@ -61,37 +62,36 @@
 	limits   Limits
 }
 
-// New returns a dispatcher over the targets of a registry.
+// New returns a dispatcher for the targets of a registry.
 func New(r *balance.Registry, l Limits) *Dispatcher { return &Dispatcher{registry: r, limits: l} }
 
-// Decide decides about a request. A request that is sent must be noted at its
-// target by the caller.
+// Decide returns what to do with a request. The caller must record a request that is sent with
+// RecordSend of its target.
 func (d *Dispatcher) Decide(r Request, now time.Duration) Decision {
-	v := Decision{}
-	if d.mayWait(r) {
-		v.Load = d.registry.MeanLoad(r.Service, r.DataCentres, now)
+	decision := Decision{}
+	if d.mayReject(r) {
+		decision.Load = d.registry.MeanLoad(r.Service, r.DataCentres, now)
 	}
 	r.Query.Draw = r.Draw
-	c, ok := d.registry.Pick(r.Query, now)
+	choice, ok := d.registry.Pick(r.Query, now)
 	switch {
 	case !ok:
-		v.Action = NoTarget
-	case d.limits.MaxNewProgramLoad > 0 && v.Load >= d.limits.MaxNewProgramLoad:
-		v.Action, v.RetryDelay = Reject, d.comeBack(r.Draw)
+		decision.Action = NoTarget
+	case d.limits.MaxNewProgramLoad > 0 && decision.Load >= d.limits.MaxNewProgramLoad:
+		decision.Action, decision.RetryDelay = Reject, d.retryDelay(r.Draw)
 	default:
-		v.Choice = c
+		decision.Choice = choice
 	}
-	return v
+	return decision
 }
 
-// mayWait reports whether a request may be turned away: one to an engine whose
-// program has not begun.
-func (d *Dispatcher) mayWait(r Request) bool {
+// mayReject reports whether a request may be rejected: one for an engine, of a program that has
+// not started.
+func (d *Dispatcher) mayReject(r Request) bool {
 	return !r.ProgramStarted && r.PromptTokens > 0
 }
 
-// comeBack spreads callers that were turned away together, so that they do not return
-// together.
-func (d *Dispatcher) comeBack(draw float64) time.Duration {
+// retryDelay adds jitter, so that callers rejected together do not return together.
+func (d *Dispatcher) retryDelay(draw float64) time.Duration {
 	return d.limits.MinRetryDelay + time.Duration(draw*float64(d.limits.RetryJitter))
 }
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -13,8 +13,8 @@
 
 const now = time.Second
 
-// loaded returns a dispatcher before engines with these loads, of ten places each.
-func loaded(loads ...int) (*Dispatcher, *balance.Registry) {
+// newLoadedDispatcher returns a dispatcher for engines of capacity ten with these loads.
+func newLoadedDispatcher(loads ...int) (*Dispatcher, *balance.Registry) {
 	r := balance.NewRegistry("dc", balance.DefaultWeights())
 	for i, n := range loads {
 		id := fmt.Sprintf("t%d", i)
@@ -25,12 +25,12 @@
 	return New(r, DefaultLimits()), r
 }
 
-func first(draw float64) Request {
+func newProgramRequest(draw float64) Request {
 	return Request{Query: balance.Query{Service: "s", PromptTokens: 100}, Draw: draw}
 }
 
 func TestDecide(t *testing.T) {
-	underWay, plain := first(0), first(0)
+	underWay, plain := newProgramRequest(0), newProgramRequest(0)
 	underWay.ProgramStarted = true
 	plain.PromptTokens = 0
 	cases := []struct {
@@ -39,47 +39,47 @@
 		r     Request
 		want  Action
 	}{
-		{"idle", []int{0, 0}, first(0), Send},
-		{"one engine with a queue, one without", []int{14, 2}, first(0), Send},
-		{"full, without a queue to speak of", []int{10, 11}, first(0), Send},
-		{"queues everywhere", []int{13, 13}, first(0), Reject},
-		{"queues everywhere, a program under way", []int{13, 13}, underWay, Send},
-		{"queues everywhere, a plain call", []int{13, 13}, plain, Send},
-		{"nobody", nil, first(0), NoTarget},
+		{"idle", []int{0, 0}, newProgramRequest(0), Send},
+		{"one engine with a queue, one without", []int{14, 2}, newProgramRequest(0), Send},
+		{"full, with a short queue", []int{10, 11}, newProgramRequest(0), Send},
+		{"queues everywhere", []int{13, 13}, newProgramRequest(0), Reject},
+		{"queues everywhere, program under way", []int{13, 13}, underWay, Send},
+		{"queues everywhere, plain call", []int{13, 13}, plain, Send},
+		{"no target", nil, newProgramRequest(0), NoTarget},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d, _ := loaded(c.loads...)
+			d, _ := newLoadedDispatcher(c.loads...)
 			require.Equal(t, c.want, d.Decide(c.r, now).Action)
 		})
 	}
 }
 
-func TestCallersTurnedAwayComeBackSpread(t *testing.T) {
-	d, _ := loaded(30)
+func TestRetryDelaysOfRejectedProgramsAreJittered(t *testing.T) {
+	d, _ := newLoadedDispatcher(30)
 	l := DefaultLimits()
-	early, late := d.Decide(first(0), now).RetryDelay, d.Decide(first(0.999), now).RetryDelay
+	early, late := d.Decide(newProgramRequest(0), now).RetryDelay, d.Decide(newProgramRequest(0.999), now).RetryDelay
 	require.Equal(t, l.MinRetryDelay, early)
 	require.InDelta(t, float64(l.MinRetryDelay+l.RetryJitter), float64(late), float64(l.RetryJitter)/100)
 }
 
-// A host that turned everybody away hears no newer word of the load; the old one must
-// not keep it shut.
-func TestAnOldWordOfLoadOpensAgain(t *testing.T) {
-	d, _ := loaded(40, 40)
-	require.Equal(t, Reject, d.Decide(first(0), now).Action)
-	require.Equal(t, Send, d.Decide(first(0), now+4*time.Second).Action)
+// A host that rejected all programs receives no newer load report; the old report must not make
+// it reject for ever.
+func TestStaleLoadReportsStopRejectingPrograms(t *testing.T) {
+	d, _ := newLoadedDispatcher(40, 40)
+	require.Equal(t, Reject, d.Decide(newProgramRequest(0), now).Action)
+	require.Equal(t, Send, d.Decide(newProgramRequest(0), now+4*time.Second).Action)
 }
 
-func TestDrainingAndLostTargetsDoNotCount(t *testing.T) {
-	d, r := loaded(2, 30, 30)
+func TestDrainingAndUnreachableTargetsAreLeftOutOfTheMeanLoad(t *testing.T) {
+	d, r := newLoadedDispatcher(2, 30, 30)
 	lost, _ := r.Target("t1")
 	lost.Unreachable = true
 	r.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", DataCentre: "dc", Capacity: 10, Draining: true})
-	require.Equal(t, Send, d.Decide(first(0), now).Action)
+	require.Equal(t, Send, d.Decide(newProgramRequest(0), now).Action)
 }
 
-func TestWithoutALimitNobodyIsTurnedAway(t *testing.T) {
-	_, r := loaded(90)
-	require.Equal(t, Send, New(r, Limits{}).Decide(first(0), now).Action)
+func TestNoProgramIsRejectedWithoutALimit(t *testing.T) {
+	_, r := newLoadedDispatcher(90)
+	require.Equal(t, Send, New(r, Limits{}).Decide(newProgramRequest(0), now).Action)
 }
--- a/core/dispatch/doc.go
+++ b/core/dispatch/doc.go
@@ -1,15 +1,14 @@
-// Package dispatch decides what an entry host does with a request that is ready to
-// be sent: send it to a target now, or turn it away with a time to come back.
+// Package dispatch decides what an entry host does with a request that is ready to be sent: send
+// it to a target now, or reject it with a retry delay.
 //
-// Where a request goes is decided by core/balance. This package decides whether:
-// when every target of a service has a queue, work that is sent only makes all work
-// late. It turns away programs that have not begun, so that those under way end in
-// time.
+// Package core/balance decides where a request goes; this package decides whether it goes. When
+// every target of a service has a queue, sending more work only delays all work. So programs
+// that have not started are rejected, and those under way end in time.
 //
-// The load pattern that it answers is a flood: for some seconds more than the engines can
-// do. A limit below the places of a service's engines turns programs away in bursts that
-// could be served, one far above them lets the flood make all late.
+// The limit is for overload: a few seconds with more requests than the engines can serve. A
+// limit below the capacity of a service's engines rejects programs in bursts that could be
+// served; a limit far above it lets overload delay all programs.
 //
-// The package holds no requests and reads no clock; the caller passes the time and
-// reports what targets say to the Registry.
+// The package holds no requests and reads no clock; the caller passes the time and reports the
+// load of targets to the Registry.
 package dispatch
