--- a/core/balance/affinity.go
+++ b/core/balance/affinity.go
@@ -9,84 +9,87 @@
 )
 
 const (
-	// homeShare is the part of a data centre's targets that are homes of a prompt's
-	// first part, one at least. Entry hosts do not tell each other what engines have
-	// read; with homes they send a shared part to the same few engines without a
-	// word, near ones first.
-	homeShare = 0.25
-	// homePool is the targets that may be homes of a data centre of which hosts hold a part: of
-	// those that all its hosts hold. With a share of all targets, a fleet of them would read
-	// each part so often that hardly a prompt finds its part read.
-	homePool = 24
-	// homeTrust is how much of the part a home is taken to have.
-	homeTrust = 0.7
-	// homesKept bounds the first parts remembered.
-	homesKept = 1024
+	// affinityShare is the part of a data centre's targets, at least one, that are affinity
+	// targets of a prompt's first part. Entry hosts do not tell each other what engines have
+	// cached; with affinity targets they send a shared part to the same few engines without
+	// communication, near ones first.
+	affinityShare = 0.25
+	// maxAffinityPool bounds the targets of a data centre from which affinity targets are chosen
+	// if hosts hold subsets of them: the pool is among those that all its hosts hold. A share of
+	// all targets of a large fleet would prefill each part so often that hardly any prompt would
+	// find its part cached.
+	maxAffinityPool = 24
+	// affinityCachedShare is the part of the first part that an affinity target is assumed to
+	// have cached.
+	affinityCachedShare = 0.7
+	// maxAffinityParts bounds the first parts remembered.
+	maxAffinityParts = 1024
 )
 
-// homes returns the targets that are homes of a first part: in each data centre
-// those with the highest hash of part and target, so that few move when targets
-// come and go.
-func (r *Registry) homes(service, part string) map[string]bool {
-	if h, ok := r.homeOf[part]; ok {
-		return h
+// affinityTargets returns the affinity targets of a first part: in each data centre those with
+// the highest hash of part and target, so that few change when targets are added or removed.
+func (r *Registry) affinityTargets(service, part string) map[string]bool {
+	if chosen, ok := r.affinityByPart[part]; ok {
+		return chosen
 	}
-	if len(r.homeOf) >= homesKept {
-		clear(r.homeOf)
+	if len(r.affinityByPart) >= maxAffinityParts {
+		clear(r.affinityByPart)
 	}
-	list := r.pool(service)
-	slices.SortFunc(list, func(a, b *Target) int {
-		return cmp.Or(cmp.Compare(affinity(part, b.ID), affinity(part, a.ID)), cmp.Compare(a.ID, b.ID))
+	pool := r.affinityPool(service)
+	slices.SortFunc(pool, func(a, b *Target) int {
+		return cmp.Or(cmp.Compare(affinityHash(part, b.ID), affinityHash(part, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	places := map[string]int{}
-	for _, t := range list {
-		places[t.DataCentre]++
+	quotas := map[string]int{}
+	for _, t := range pool {
+		quotas[t.DataCentre]++
 	}
-	for dc, n := range places {
-		places[dc] = max(1, int(homeShare*float64(n)+0.5))
+	for dc, targets := range quotas {
+		quotas[dc] = max(1, int(affinityShare*float64(targets)+0.5))
 	}
-	h := map[string]bool{}
-	for _, t := range list {
-		if places[t.DataCentre] > 0 {
-			places[t.DataCentre]--
-			h[t.ID] = true
+	chosen := map[string]bool{}
+	for _, t := range pool {
+		if quotas[t.DataCentre] > 0 {
+			quotas[t.DataCentre]--
+			chosen[t.ID] = true
 		}
 	}
-	r.homeOf[part] = h
-	return h
+	r.affinityByPart[part] = chosen
+	return chosen
 }
 
-// SetHalvings notes by which steps the host holds parts of the targets; none where it holds all.
-func (r *Registry) SetHalvings(steps []subset.Halvings) {
-	if slices.Equal(r.steps, steps) {
+// SetHalvings sets the halvings by which the host holds subsets of the targets; empty if it
+// holds all.
+func (r *Registry) SetHalvings(halvings []subset.Halvings) {
+	if slices.Equal(r.halvings, halvings) {
 		return
 	}
-	r.steps = steps
-	clear(r.homeOf)
+	r.halvings = halvings
+	clear(r.affinityByPart)
 }
 
-// pool returns the targets that may be homes: all of a data centre that hosts hold whole, and
-// of others the first ones in an order that is the same at all hosts.
-func (r *Registry) pool(service string) []*Target {
-	list := slices.Clone(r.of(service).targets)
+// affinityPool returns the targets from which affinity targets are chosen: all targets of a data
+// centre that hosts hold whole, and of others the first ones in an order that is the same at all
+// hosts.
+func (r *Registry) affinityPool(service string) []*Target {
+	list := slices.Clone(r.serviceNamed(service).targets)
 	list = slices.DeleteFunc(list, func(t *Target) bool { return t.Draining || t.evacuated })
 	slices.SortFunc(list, func(a, b *Target) int {
 		return cmp.Or(cmp.Compare(subset.CommonRank(a.ID), subset.CommonRank(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	places := map[string]int{}
+	ranks := map[string]int{}
 	return slices.DeleteFunc(list, func(t *Target) bool {
-		places[t.DataCentre]++
-		whole := subset.HoldsAll(r.steps, r.dataCentre, subset.Group{Service: service, DataCentre: t.DataCentre})
-		return !whole && places[t.DataCentre] > homePool
+		ranks[t.DataCentre]++
+		holdsAll := subset.HoldsAll(r.halvings, r.dataCentre, subset.Group{Service: service, DataCentre: t.DataCentre})
+		return !holdsAll && ranks[t.DataCentre] > maxAffinityPool
 	})
 }
 
-func affinity(part, target string) uint64 {
+func affinityHash(part, target string) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(part))
 	f.Write([]byte(target))
 	x := f.Sum64()
-	x ^= x >> 31 // FNV mixes the last bytes badly
+	x ^= x >> 31 // FNV mixes the last bytes poorly
 	x *= 0x9e3779b97f4a7c15
 	return x ^ x>>29
 }
--- a/core/balance/affinity_test.go
+++ b/core/balance/affinity_test.go
@@ -9,8 +9,9 @@
 	"github.com/pistachioarch/pistachioarch/core/subset"
 )
 
-// partOfFleet is the registry of a host that holds its part of a fleet of engines.
-func partOfFleet(host string, centres, engines int) *Registry {
+// newSubsetRegistry returns the registry of a host in dc0 that holds its subset of a fleet, with
+// a number of engines in each data centre.
+func newSubsetRegistry(host string, centres, engines int) *Registry {
 	x := subset.NewIndex(subset.DefaultSizes())
 	r := NewRegistry("dc0", DefaultWeights())
 	for c := range centres {
@@ -31,10 +32,10 @@
 	return r
 }
 
-// homesAt is the homes of a part in a data centre.
-func homesAt(r *Registry, part, dataCentre string) map[string]bool {
+// affinityTargetsIn returns the affinity targets of a part in a data centre.
+func affinityTargetsIn(r *Registry, part, dataCentre string) map[string]bool {
 	at := map[string]bool{}
-	for id := range r.homes("llm", part) {
+	for id := range r.affinityTargets("llm", part) {
 		if r.targets[id].DataCentre == dataCentre {
 			at[id] = true
 		}
@@ -42,36 +43,37 @@
 	return at
 }
 
-// Hosts that hold different parts of a fleet agree on where a shared part is read, and the
-// engines that read it do not grow with the fleet.
-func TestHostsWithPartsOfAFleetAgreeOnHomes(t *testing.T) {
+// Hosts that hold different subsets of a fleet must prefill a shared part at the same engines,
+// and the number of these engines must not grow with the fleet.
+func TestHostsWithDifferentSubsetsAgreeOnAffinityTargets(t *testing.T) {
 	for _, engines := range []int{130, 400, 942, 2000} {
-		first := partOfFleet("h0", 6, engines)
+		first := newSubsetRegistry("h0", 6, engines)
 		for h := range 10 {
-			r := partOfFleet(fmt.Sprintf("h%d", h), 6, engines)
+			r := newSubsetRegistry(fmt.Sprintf("h%d", h), 6, engines)
 			for p := range 16 {
 				part := fmt.Sprintf("part%d", p)
-				homes := homesAt(r, part, "dc0")
-				require.Equal(t, homesAt(first, part, "dc0"), homes)
-				require.Len(t, homes, homePool/4, "%d engines", engines)
+				chosen := affinityTargetsIn(r, part, "dc0")
+				require.Equal(t, affinityTargetsIn(first, part, "dc0"), chosen)
+				require.Len(t, chosen, maxAffinityPool/4, "%d engines", engines)
 			}
 		}
 	}
 }
 
-// A few engines are homes as before: a quarter of those of a data centre.
-func TestAQuarterOfAFewEnginesAreHomes(t *testing.T) {
+// In a fleet that hosts hold whole, a quarter of the engines of each data centre are affinity
+// targets.
+func TestAQuarterOfASmallFleetAreAffinityTargets(t *testing.T) {
 	for _, engines := range []int{8, 24, 68, 100} {
-		r := partOfFleet("h", 2, engines)
-		require.Len(t, homesAt(r, "part", "dc0"), engines/4)
-		require.Len(t, homesAt(r, "part", "dc1"), engines/4)
+		r := newSubsetRegistry("h", 2, engines)
+		require.Len(t, affinityTargetsIn(r, "part", "dc0"), engines/4)
+		require.Len(t, affinityTargetsIn(r, "part", "dc1"), engines/4)
 	}
 }
 
-// Homes are chosen anew where a host begins to hold a part only.
-func TestHomesFollowTheParts(t *testing.T) {
-	r := partOfFleet("h", 2, 100)
-	require.Len(t, homesAt(r, "part", "dc0"), 25)
+// Affinity targets are computed again when a host starts to hold a subset.
+func TestAffinityTargetsFollowHalvings(t *testing.T) {
+	r := newSubsetRegistry("h", 2, 100)
+	require.Len(t, affinityTargetsIn(r, "part", "dc0"), 25)
 	r.SetHalvings([]subset.Halvings{{Service: "llm", Near: 1, Far: 1}})
-	require.Len(t, homesAt(r, "part", "dc0"), homePool/4)
+	require.Len(t, affinityTargetsIn(r, "part", "dc0"), maxAffinityPool/4)
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,11 +1,14 @@
-// Package balance decides which target serves a request.
+// Package balance chooses the target that serves a request.
 //
-// A Registry holds what one entry host knows of the targets: what the platform
-// lists, what their answers say of their load, how its own requests fared, and
-// which parts of prompts each model engine has read. Pick chooses by a cost that
-// weighs these; the caller of the package reports back with Sent, Heard and Done.
-// Where targets tell how long work takes at the moment, the cost is the predicted time of
-// the request and the prices of the choice as time; see slowdown and finishCost.
+// A Registry holds what one entry host knows about the targets: what the platform lists, the
+// load reports in their answers, the outcomes of the host's own requests, and which parts of
+// prompts each model engine has in its prefix cache. Pick chooses the target with the lowest
+// cost; the caller of the package reports sends, load reports and outcomes with RecordSend,
+// RecordLoadReport and RecordOutcome. Where targets report how long work takes at the moment,
+// the cost is the predicted time of the request plus penalties expressed as time; see
+// Target.slowdown and finishCost.
+//
+// Times are offsets on a monotonic clock that the caller provides.
 package balance
 
 import (
@@ -17,12 +20,12 @@
 	"github.com/pistachioarch/pistachioarch/core/subset"
 )
 
-// TargetInfo is what the platform lists of a target.
+// TargetInfo is what the platform lists about a target.
 type TargetInfo struct {
-	// ID names the target. One that starts again under its id has a later Born.
+	// ID names the target. A target that restarts under its ID has a later StartedAtMs.
 	ID string
-	// StartedAtMs is when the target started, in milliseconds since the Unix epoch by its own
-	// clock; 0 where targets do not say so.
+	// StartedAtMs is when the target started, in milliseconds since the Unix epoch by the
+	// target's own clock; 0 if targets do not report it.
 	StartedAtMs int64
 	Service     string
 	Address     string
@@ -30,7 +33,8 @@
 	Capacity    int
 	// Draining targets get no new requests.
 	Draining bool
-	// ColdFor is how much longer the target bears few requests after its start; 0 if it is warm.
+	// ColdFor is how much longer after its start the target accepts only a limited request rate;
+	// 0 if it is warm.
 	ColdFor time.Duration
 }
 
@@ -39,146 +43,148 @@
 	TargetInfo
 	service  *service
 	inFlight int
-	// reported is the target's own last word of its load, changed since by this
-	// host's own requests.
+	// reported is the last load report of the target, adjusted for this host's own sends and
+	// completions since then.
 	reported   request.Load
 	reportedAt time.Duration
 	hasReport  bool
 	breaker    sched.Breaker
-	// faults is the recent failures, fading; see fade.
-	faults   float64
-	faultsAt time.Duration
-	cache    prefixCache
-	pace     pace
-	events   recent // times of events, in nanoseconds
-	own      own
-	idle     idleConnections
-	told     told
-	cold     cold
+	// failures is the decayed count of recent failures as of failuresAt; see decayedFailures.
+	failures   float64
+	failuresAt time.Duration
+	cache      prefixCache
+	latency    relativeLatency
+	eventTimes decayingMean // durations of events, in nanoseconds
+	intrinsic  intrinsicSlowdown
+	idleConns  idleConns
+	exchange   exchangeState
+	cold       coldState
 	// evacuated is set while the data centre of the target is evacuated.
 	evacuated bool
-	// Unreachable targets are not picked; whoever set it probes them.
+	// Unreachable targets are not picked. The caller that sets it also probes the target.
 	Unreachable bool
 }
 
-// Limits of the breaker of a target: a target that fails some requests in a row is
-// left alone for less time than a restart takes, and is tried again often enough
-// that its places are not missed for longer than a burst lasts.
+// Breaker timeouts of a target: a target that fails several requests in a row is excluded for
+// the minimum, doubled on each further failure up to the maximum. The maximum is shorter than a
+// restart takes, and retries are frequent enough that the capacity of a recovered target is not
+// unused for longer than a burst lasts.
 const (
-	breakerBase = 250 * time.Millisecond
-	breakerMax  = 2 * time.Second
+	minBreakerTimeout = 250 * time.Millisecond
+	maxBreakerTimeout = 2 * time.Second
 )
 
-// Registry holds all targets. Not safe for concurrent use.
+// Registry holds all targets known to a host. It is not safe for concurrent use.
 type Registry struct {
-	dataCentre string
-	weights    Weights
-	targets    map[string]*Target
-	services   map[string]*service
-	homeOf     map[string]map[string]bool // by first part, targets
-	typical    map[string]float64         // nanoseconds by kind of work
-	sharing    sharing
-	evacuated  map[string]bool // data centres
-	// steps are of the parts that the host holds; see Hold.
-	steps []subset.Halvings
+	dataCentre     string
+	weights        Weights
+	targets        map[string]*Target
+	services       map[string]*service
+	affinityByPart map[string]map[string]bool // by first part of the prompt; sets of target IDs
+	typicalTimes   map[string]float64         // nanoseconds, by kind of work
+	peers          peerState
+	evacuated      map[string]bool // by data centre
+	// halvings says which subset of the targets the host holds; see SetHalvings.
+	halvings []subset.Halvings
 }
 
-// service is the targets of one service.
+// service holds the targets of one service and what they have in common.
 type service struct {
-	in      *Registry
-	targets []*Target
-	// paced is the lowest pace among them, as of pacedAt.
-	paced   float64
-	pacedAt time.Duration
-	// prompt is the running mean of prompts, in tokens.
-	prompt float64
-	speed  speed
-	// words is the mean of the loads that targets told, in places.
-	words     recent
-	slowdowns slowdowns
-	turns     turns
-	// sent is this host's sends by exchange with other hosts, hushed whether it hears too
-	// little by itself, heardAt when it last did not; see told.go.
-	sent    perExchange
-	hushed  bool
-	heardAt time.Duration
-	// coldStart is what the configuration declares of targets that have just started.
+	registry *Registry
+	targets  []*Target
+	// minLatency is the lowest relative latency of the targets as of minLatencyAt.
+	minLatency   float64
+	minLatencyAt time.Duration
+	// meanPromptTokens is the moving average of prompt lengths.
+	meanPromptTokens float64
+	eventTimes       eventTimeModel
+	// reportedLoads is the decaying mean of reported loads, relative to capacity.
+	reportedLoads decayingMean
+	slowdowns     slowdownStats
+	turns         turnStats
+	// sends counts this host's sends per exchange with other hosts. needsExchange is set while
+	// the host itself receives too few load reports; reportsSufficientAt is when it last
+	// received enough.
+	sends               sendCounter
+	needsExchange       bool
+	reportsSufficientAt time.Duration
+	// coldStart is what the configuration declares for targets that have just started.
 	coldStart ColdStart
 }
 
-// promptStep is the weight of one prompt in the mean.
-const promptStep = 0.02
+// promptGain is the weight of one prompt in meanPromptTokens.
+const promptGain = 0.02
 
-// asked notes the length of a prompt.
-func (s *service) asked(tokens int64) {
-	if s.prompt == 0 {
-		s.prompt = float64(tokens)
+// recordPrompt adds the length of a prompt to the moving average.
+func (s *service) recordPrompt(tokens int64) {
+	if s.meanPromptTokens == 0 {
+		s.meanPromptTokens = float64(tokens)
 	}
 	if tokens > 0 {
-		s.prompt += promptStep * (float64(tokens) - s.prompt)
+		s.meanPromptTokens += promptGain * (float64(tokens) - s.meanPromptTokens)
 	}
 }
 
-// NewRegistry returns an empty registry of a host in dataCentre.
+// NewRegistry returns an empty registry for a host in dataCentre.
 func NewRegistry(dataCentre string, w Weights) *Registry {
 	return &Registry{
 		dataCentre: dataCentre, weights: w, targets: map[string]*Target{}, services: map[string]*service{},
-		homeOf: map[string]map[string]bool{}, typical: map[string]float64{},
+		affinityByPart: map[string]map[string]bool{}, typicalTimes: map[string]float64{},
 	}
 }
 
-// of returns the targets of a service.
-func (r *Registry) of(name string) *service {
+// serviceNamed returns the service of that name and creates it if necessary.
+func (r *Registry) serviceNamed(name string) *service {
 	s := r.services[name]
 	if s == nil {
-		s = &service{in: r}
+		s = &service{registry: r}
 		r.services[name] = s
 	}
 	return s
 }
 
-// SetTarget adds or changes a target. renewed reports that the target has started again under
-// its id: it is a new one, of which nothing is known. What an earlier start said, and comes
-// late, is left out.
-func (r *Registry) SetTarget(l TargetInfo) (renewed bool) {
-	t := r.targets[l.ID]
+// SetTarget adds or updates a target. restarted reports that the target has restarted under its
+// ID; it is then treated as a new target without history. Late information about an earlier
+// incarnation is ignored.
+func (r *Registry) SetTarget(info TargetInfo) (restarted bool) {
+	t := r.targets[info.ID]
 	switch {
-	case t != nil && l.StartedAtMs < t.StartedAtMs:
+	case t != nil && info.StartedAtMs < t.StartedAtMs:
 		return false
-	case t != nil && l.StartedAtMs > t.StartedAtMs, t != nil && l.Service != t.Service:
-		r.Remove(l.ID)
-		t, renewed = nil, true
+	case t != nil && info.StartedAtMs > t.StartedAtMs, t != nil && info.Service != t.Service:
+		r.Remove(info.ID)
+		t, restarted = nil, true
 	}
 	if t == nil {
-		s := r.of(l.Service)
-		t = &Target{service: s, cache: newPrefixCache(), breaker: sched.Breaker{Base: breakerBase, Max: breakerMax}}
-		r.targets[l.ID] = t
+		s := r.serviceNamed(info.Service)
+		t = &Target{service: s, cache: newPrefixCache(), breaker: sched.Breaker{Base: minBreakerTimeout, Max: maxBreakerTimeout}}
+		r.targets[info.ID] = t
 		s.targets = append(s.targets, t)
-		r.sharing.listed = nil
-		clear(r.homeOf)
+		r.peers.targets = nil
+		clear(r.affinityByPart)
 	}
-	if t.Draining != l.Draining {
-		clear(r.homeOf)
+	if t.Draining != info.Draining {
+		clear(r.affinityByPart)
 	}
-	t.TargetInfo = l
-	t.evacuated = r.evacuated[l.DataCentre]
-	return renewed
+	t.TargetInfo = info
+	t.evacuated = r.evacuated[info.DataCentre]
+	return restarted
 }
 
-// Remove takes a target out that is gone.
+// Remove removes a target; unknown IDs are ignored.
 func (r *Registry) Remove(id string) {
 	t := r.targets[id]
 	if t == nil {
 		return
 	}
 	delete(r.targets, id)
-	r.sharing.listed = nil
-	clear(r.homeOf)
-	s := r.of(t.Service)
+	r.peers.targets = nil
+	clear(r.affinityByPart)
+	s := r.serviceNamed(t.Service)
 	s.targets = slices.DeleteFunc(s.targets, func(x *Target) bool { return x == t })
 }
 
-// RetainOnly removes all targets that are not in ids.
+// RetainOnly removes all targets whose IDs are not in ids.
 func (r *Registry) RetainOnly(ids map[string]bool) {
 	for id := range r.targets {
 		if !ids[id] {
@@ -187,22 +193,24 @@
 	}
 }
 
-// Target returns a target by id.
+// Target returns the target with this ID.
 func (r *Registry) Target(id string) (*Target, bool) {
 	t, ok := r.targets[id]
 	return t, ok
 }
 
-// TargetIncarnation returns a target if it has not started again since it was listed as born.
-func (r *Registry) TargetIncarnation(id string, born int64) (*Target, bool) {
+// TargetIncarnation returns the target with this ID if it is still the incarnation that started
+// at startedAtMs.
+func (r *Registry) TargetIncarnation(id string, startedAtMs int64) (*Target, bool) {
 	t, ok := r.targets[id]
-	if !ok || t.StartedAtMs != born {
+	if !ok || t.StartedAtMs != startedAtMs {
 		return nil, false
 	}
 	return t, true
 }
 
-// OthersInDataCentre returns the targets in the data centre of a target, without itself.
+// OthersInDataCentre returns the other targets in the data centre of a target, in no particular
+// order.
 func (r *Registry) OthersInDataCentre(id string) []TargetInfo {
 	t := r.targets[id]
 	if t == nil {
@@ -217,38 +225,39 @@
 	return list
 }
 
-// Size is the number of targets.
+// Size returns the number of targets.
 func (r *Registry) Size() int { return len(r.targets) }
 
-// RecordSend notes that a request goes to the target.
+// RecordSend records that a request with these prompt parts is sent to the target.
 func (t *Target) RecordSend(parts []request.Part, now time.Duration) {
 	t.inFlight++
-	t.noteSend(now)
-	t.idle.take(now)
-	t.spendCold(now)
+	t.recordSendTime(now)
+	t.idleConns.take(now)
+	t.useColdWindow(now)
 	t.reported.Running++
 	t.breaker.Sent()
 	t.cache.add(parts, now)
 }
 
-// MarkCached notes that the target has read these parts for another host.
+// MarkCached records that the target has prefilled these parts for another host.
 func (t *Target) MarkCached(parts []request.Part, now time.Duration) { t.cache.add(parts, now) }
 
-// CachedTokens is how many tokens of the beginning of a prompt the target is believed to have read.
-func (t *Target) CachedTokens(parts []request.Part) int64 { return t.cache.covered(parts) }
+// CachedTokens returns the length in tokens of the prompt prefix that the target is expected to
+// have in its prefix cache.
+func (t *Target) CachedTokens(parts []request.Part) int64 { return t.cache.cachedTokens(parts) }
 
 // Outcome is how a request at a target ended.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	// Served: the target answered.
+	// Served means that the target answered.
 	Served Outcome = iota
-	// Refused: the target is full.
+	// Refused means that the target is full.
 	Refused
-	// Failed: no proper answer came.
+	// Failed means that no valid answer arrived.
 	Failed
-	// Abandoned: the caller left; it says nothing of the target.
+	// Abandoned means that the caller disconnected; it says nothing about the target.
 	Abandoned
 )
 
@@ -257,126 +266,129 @@
 // String implements fmt.Stringer.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// RecordOutcome notes the end of a request.
+// RecordOutcome records the end of a request that was recorded with RecordSend.
 func (t *Target) RecordOutcome(o Outcome, now time.Duration) {
 	t.inFlight = max(0, t.inFlight-1)
 	t.reported.Running = max(0, t.reported.Running-1)
-	t.told.count(o)
+	t.exchange.countOutcome(o)
 	switch o {
 	case Served:
-		t.idle.put(now)
+		t.idleConns.put(now)
 		t.breaker.Success()
-		t.faults = t.fade(now) * faultKept
-		t.faultsAt = now
+		t.failures = t.decayedFailures(now) * failureRetention
+		t.failuresAt = now
 	case Refused:
-		t.idle.put(now)
+		t.idleConns.put(now)
 		t.breaker.Inconclusive()
 	case Failed:
 		t.breaker.Failure(now)
-		t.faults = t.fade(now) + 1
-		t.faultsAt = now
+		t.failures = t.decayedFailures(now) + 1
+		t.failuresAt = now
 	default:
 		t.breaker.Inconclusive()
 	}
 }
 
 const (
-	// faultHalfLife lets a target that failed be tried again after some seconds.
-	faultHalfLife = 3 * time.Second
-	// faultKept is what one success leaves of the failures before it: a target that
-	// fails one request in a hundred is not avoided, one that fails four in ten is.
-	faultKept = 0.8
-	// faultMost bounds the failures counted.
-	faultMost = 4
+	// failureHalfLife lets a failed target be retried after a few seconds.
+	failureHalfLife = 3 * time.Second
+	// failureRetention is the part of the failure count that remains after one success: a target
+	// that fails one request in a hundred is not avoided, one that fails four in ten is.
+	failureRetention = 0.8
+	// maxFailures bounds the failure count that enters the cost.
+	maxFailures = 4
 )
 
-// fade is the target's failures by now.
-func (t *Target) fade(now time.Duration) float64 {
-	if t.faults == 0 {
+// decayedFailures returns the failure count of the target, decayed to now.
+func (t *Target) decayedFailures(now time.Duration) float64 {
+	if t.failures == 0 {
 		return 0
 	}
-	return t.faults * fading(now-t.faultsAt, faultHalfLife)
+	return t.failures * decay(now-t.failuresAt, failureHalfLife)
 }
 
-// Query is what Pick needs to know of a request.
+// Query describes a request for Pick.
 type Query struct {
 	Service string
 	Parts   []request.Part
 	// PromptTokens is the length of the prompt; 0 for plain services.
 	PromptTokens int64
-	// WorkKind is the kind of work of a plain request, as for Took.
+	// WorkKind is the kind of work of a plain request, as passed to RecordDuration.
 	WorkKind string
-	// Draw is uniform in [0, 1), the same for the same request: it tells equal targets apart.
+	// Draw is uniform in [0, 1) and the same for the same request. It breaks ties between equal
+	// targets.
 	Draw float64
-	// Exclude lists targets that the request was at already.
+	// Exclude holds the IDs of targets that the request was already sent to.
 	Exclude map[string]bool
-	// Allowed lists the targets that may be chosen; empty: all.
+	// Allowed holds the IDs of the targets that may be chosen; if empty, all may.
 	Allowed map[string]bool
-	// DataCentres is the data centres whose targets may be chosen.
+	// DataCentres holds the data centres whose targets may be chosen.
 	DataCentres DataCentreSet
 }
 
-// DataCentreSet is a set of data centres; nil is all of them.
+// DataCentreSet is a set of data centres; nil contains all of them.
 type DataCentreSet map[string]bool
 
 func (c DataCentreSet) has(dataCentre string) bool { return c == nil || c[dataCentre] }
 
-// Choice is the target picked, and what decided.
+// Choice is the picked target and the values that decided the choice.
 type Choice struct {
 	*Target
-	// Load and Capacity are the target's estimated requests and its places.
+	// Load is the estimated number of requests at the target, Capacity the number it serves at
+	// once.
 	Load, Capacity int
-	// UncachedTokens is the part of the prompt, in tokens, that the target must read.
+	// UncachedTokens is the part of the prompt that the target must prefill.
 	UncachedTokens int64
-	// ReportAge is the age of the target's last word of its load; negative if none.
+	// ReportAge is the age of the target's last load report; negative if there is none.
 	ReportAge time.Duration
-	// Candidates is how many targets could have been picked.
+	// Candidates is the number of targets that could have been picked.
 	Candidates int
-	// Slowdown is how many times longer than usual work takes at the target, and Predicted
-	// the time of the request there; 0 where targets do not tell.
+	// Slowdown is how many times longer than usual work takes at the target, and Predicted the
+	// expected time of the request there; 0 if the targets of the service report no slowdown.
 	Slowdown  float64
 	Predicted time.Duration
-	// NearTarget is the best target of the own data centre, and NearPredicted the time there,
-	// where a target of another one was picked by predicted finish.
+	// NearTarget is the ID of the best target in the host's own data centre, and NearPredicted
+	// the expected time there. They are set if a target of another data centre was picked by
+	// predicted finish.
 	NearTarget    string
 	NearPredicted time.Duration
 }
 
-// Pick returns the best target for a request, if there is any.
+// Pick returns the target with the lowest cost for a request, or false if no target is usable.
 func (r *Registry) Pick(q Query, now time.Duration) (Choice, bool) {
 	var best, near *Target
 	var bestCost, nearCost float64
 	candidates := 0
-	s := r.of(q.Service)
-	v := r.view(s, q, now)
+	s := r.serviceNamed(q.Service)
+	sel := r.newSelection(s, q, now)
 	for _, t := range s.targets {
-		if q.Exclude[t.ID] || len(q.Allowed) > 0 && !q.Allowed[t.ID] || !q.DataCentres.has(t.DataCentre) || t.obstacle(now) != "" {
+		if q.Exclude[t.ID] || len(q.Allowed) > 0 && !q.Allowed[t.ID] || !q.DataCentres.has(t.DataCentre) || t.unusableReason(now) != "" {
 			continue
 		}
 		candidates++
-		cost := r.cost(t, &v)
+		cost := r.cost(t, &sel)
 		if best == nil || cost < bestCost {
 			best, bestCost = t, cost
 		}
-		if v.told && t.DataCentre == r.dataCentre && (near == nil || cost < nearCost) {
+		if sel.predictFinish && t.DataCentre == r.dataCentre && (near == nil || cost < nearCost) {
 			near, nearCost = t, cost
 		}
 	}
 	if best == nil {
 		return Choice{}, false
 	}
-	c := best.choice(best.missing(&v), now, candidates)
-	if v.told {
-		c.Slowdown, c.Predicted = best.slowdown(now), r.predict(best, &v)
+	choice := best.choice(best.uncachedTokens(&sel), now, candidates)
+	if sel.predictFinish {
+		choice.Slowdown, choice.Predicted = best.slowdown(now), r.predict(best, &sel)
 	}
 	if near != nil && near != best && best.DataCentre != r.dataCentre {
-		c.NearTarget, c.NearPredicted = near.ID, r.predict(near, &v)
+		choice.NearTarget, choice.NearPredicted = near.ID, r.predict(near, &sel)
 	}
-	return c, true
+	return choice, true
 }
 
-func (t *Target) choice(missing int64, now time.Duration, candidates int) Choice {
-	c := Choice{Target: t, Load: t.estimate(now), Capacity: t.Capacity, UncachedTokens: missing, ReportAge: -1, Candidates: candidates}
+func (t *Target) choice(uncached int64, now time.Duration, candidates int) Choice {
+	c := Choice{Target: t, Load: t.estimate(now), Capacity: t.Capacity, UncachedTokens: uncached, ReportAge: -1, Candidates: candidates}
 	if t.hasReport {
 		c.ReportAge = now - t.reportedAt
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -10,7 +10,7 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-func registryOf(n int) *Registry {
+func newTestRegistry(n int) *Registry {
 	r := NewRegistry("dc0", DefaultWeights())
 	for i := range n {
 		r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 10})
@@ -26,7 +26,7 @@
 	return c.ID
 }
 
-func prompt(parts ...string) Query {
+func promptQuery(parts ...string) Query {
 	q := Query{}
 	for _, p := range parts {
 		q.Parts = append(q.Parts, request.Part{ID: p, Tokens: 1000})
@@ -42,9 +42,9 @@
 	return x
 }
 
-func TestPickAvoidsWhatCannotServe(t *testing.T) {
-	r := registryOf(4)
-	require.Equal(t, "t0", pick(t, r, Query{}), "the own data centre where all are idle")
+func TestPickSkipsUnusableTargets(t *testing.T) {
+	r := newTestRegistry(4)
+	require.Equal(t, "t0", pick(t, r, Query{}), "near target if all are idle")
 	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, Draining: true})
 	target(t, r, "t1").Unreachable = true
 	require.Contains(t, []string{"t2", "t3"}, pick(t, r, Query{}))
@@ -55,8 +55,8 @@
 	require.Equal(t, 1, r.Size())
 }
 
-func TestPickTakesTheLeastLoaded(t *testing.T) {
-	r := registryOf(3)
+func TestPickChoosesTheLeastLoadedTarget(t *testing.T) {
+	r := newTestRegistry(3)
 	target(t, r, "t0").RecordLoadReport(request.Load{Running: 6, Places: 10}, 0)
 	target(t, r, "t1").RecordLoadReport(request.Load{Running: 3, Waiting: 1, Places: 10}, 0)
 	require.Equal(t, "t2", pick(t, r, Query{}))
@@ -66,92 +66,93 @@
 	require.Equal(t, "t1", pick(t, r, Query{}))
 }
 
-// Reading a prompt again costs all that runs at an engine more than a short queue
-// costs the request; a long queue costs more than the reading.
-func TestPickFollowsThePrefixUnlessItsTargetHasALongQueue(t *testing.T) {
-	r := registryOf(3)
-	q := prompt("shared", "session")
-	stream(r, 40*time.Millisecond, 44*time.Millisecond)
-	target(t, r, "t1").RecordSend(q.Parts, 0)
+// Prefilling a prompt again costs the requests running at an engine more than a short queue
+// costs this request; a long queue costs more than the prefill.
+func TestPickFollowsCachedPrefixUnlessItsTargetHasALongQueue(t *testing.T) {
+	r := newTestRegistry(3)
+	query := promptQuery("shared", "session")
+	recordLoadedEvents(r, 40*time.Millisecond, 44*time.Millisecond)
+	target(t, r, "t1").RecordSend(query.Parts, 0)
 	target(t, r, "t1").RecordOutcome(Served, 0)
-	require.Equal(t, "t1", pick(t, r, q))
+	require.Equal(t, "t1", pick(t, r, query))
 	target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 4, Places: 10}, 0)
-	require.Equal(t, "t1", pick(t, r, q))
+	require.Equal(t, "t1", pick(t, r, query))
 	target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 16, Places: 10}, 0)
-	require.NotEqual(t, "t1", pick(t, r, q))
+	require.NotEqual(t, "t1", pick(t, r, query))
 }
 
-// stream tells the registry of streams at loads from none to full, whose events took
+// recordLoadedEvents records events of streams at loads from 0 to 1, whose durations rise from
 // idle to full.
-func stream(r *Registry, idle, full time.Duration) {
+func recordLoadedEvents(r *Registry, idle, full time.Duration) {
 	for i := range 40 {
 		load := float64(i%5) / 4
 		r.RecordEvent("t0", load, idle+time.Duration(load*float64(full-idle)), 0)
 	}
 }
 
-// Engines of two deployments: a full one takes 1.1 times as long for a token, or four
-// times. The first is worth staying at for a prompt that it has, the second is not.
-func TestCostOfLoadFollowsWhatIsSeen(t *testing.T) {
-	for full, stays := range map[time.Duration]bool{44 * time.Millisecond: true, 160 * time.Millisecond: false} {
-		r := registryOf(3)
-		q := prompt("shared", "session")
-		stream(r, 40*time.Millisecond, full)
+// Engines of two deployments: at full load a token takes 1.1 times or four times as long as at
+// an idle engine. A turn stays at a full engine with its cached prompt in the first, and leaves
+// it in the second.
+func TestOccupancyCostFollowsObservedEventTimes(t *testing.T) {
+	for full, expectStay := range map[time.Duration]bool{44 * time.Millisecond: true, 160 * time.Millisecond: false} {
+		r := newTestRegistry(3)
+		q := promptQuery("shared", "session")
+		recordLoadedEvents(r, 40*time.Millisecond, full)
 		target(t, r, "t1").RecordSend(q.Parts, 0)
 		target(t, r, "t1").RecordOutcome(Served, 0)
 		target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Places: 10}, 0)
-		require.Equal(t, stays, pick(t, r, q) == "t1", "full %v", full)
+		require.Equal(t, expectStay, pick(t, r, q) == "t1", "full %v", full)
 	}
 }
 
-func TestCostOfLoadIsFoundFromStreams(t *testing.T) {
-	var s speed
-	require.InDelta(t, assumedBusy, s.busy(), 0)
+func TestEventTimeModelFitsLoadShare(t *testing.T) {
+	var s eventTimeModel
+	require.InDelta(t, defaultLoadShare, s.loadShare(), 0)
 	for range 60 {
 		s.observe(0.5, 40)
 	}
-	require.InDelta(t, assumedBusy, s.busy(), 0, "one load tells nothing of another")
+	require.InDelta(t, defaultLoadShare, s.loadShare(), 0, "observations at a single load give no fit")
 	for i := range 1000 {
 		load := float64(i%11) / 10
 		s.observe(load, 20+60*load)
 	}
-	require.InDelta(t, 0.75, s.busy(), 0.05)
+	require.InDelta(t, 0.75, s.loadShare(), 0.05)
 	require.InDelta(t, 50, s.expected(0.5), 5)
 	require.InDelta(t, s.expected(1), s.expected(3), 0, "a queue does not slow the batch")
 }
 
-// streams tells the registry of the events of streams at some engines, half loaded.
-func streams(r *Registry, events int, now time.Duration, took map[string]time.Duration) {
+// recordEvents records events of streams at some engines at half load, for each its duration.
+func recordEvents(r *Registry, events int, now time.Duration, durations map[string]time.Duration) {
 	for range events {
-		for id, d := range took {
+		for id, d := range durations {
 			r.RecordEvent(id, 0.5, d, now)
 		}
 	}
 }
 
-// One of three engines turns four times slower: it gets less from its next turn on, and
-// is tried again soon after its last event.
-func TestSlowEngineGetsLessAndIsTriedAgain(t *testing.T) {
-	r := registryOf(3)
+// One of three engines becomes four times slower: it is avoided from its next turn on, and
+// retried soon after its last event.
+func TestSlowEngineIsAvoidedThenRetried(t *testing.T) {
+	r := newTestRegistry(3)
 	usual, slow := 20*time.Millisecond, 80*time.Millisecond
 	picked := func(now time.Duration) string {
 		c, ok := r.Pick(Query{Service: "s", PromptTokens: 1000}, now)
 		require.True(t, ok)
 		return c.ID
 	}
-	streams(r, 100, time.Second, map[string]time.Duration{"t0": usual, "t1": usual, "t2": usual})
-	require.Equal(t, "t0", picked(time.Second), "the near one")
+	recordEvents(r, 100, time.Second, map[string]time.Duration{"t0": usual, "t1": usual, "t2": usual})
+	require.Equal(t, "t0", picked(time.Second), "near target")
 	turnedSlow := 4 * time.Second
-	streams(r, 10, turnedSlow, map[string]time.Duration{"t0": slow, "t1": usual, "t2": usual})
-	hear(r, 10, turnedSlow)
+	recordEvents(r, 10, turnedSlow, map[string]time.Duration{"t0": slow, "t1": usual, "t2": usual})
+	reportIdle(r, 10, turnedSlow)
 	require.NotEqual(t, "t0", picked(turnedSlow))
 	recovered := turnedSlow + 8*eventHalfLife
-	hear(r, 10, recovered)
+	reportIdle(r, 10, recovered)
 	require.Equal(t, "t0", picked(recovered))
 }
 
-// hear tells the registry n words of each target that it is idle.
-func hear(r *Registry, n int, now time.Duration) {
+// reportIdle records n load reports of each target that say it is idle.
+func reportIdle(r *Registry, n int, now time.Duration) {
 	for _, x := range r.targets {
 		for range n {
 			x.RecordLoadReport(request.Load{Places: x.Capacity}, now)
@@ -159,81 +160,81 @@
 	}
 }
 
-// A host that hears little of each target stays in its own data centre as long as there
-// is no long queue; one that hears enough takes the least loaded.
-func TestHostThatHearsLittleStaysNear(t *testing.T) {
-	for heard, stays := range map[int]bool{3: true, 40: false} {
-		r := registryOf(12)
-		for range heard {
+// A host that receives few load reports from each target stays in its own data centre as long as
+// there is no long queue; one that receives enough chooses the least loaded target.
+func TestHostWithFewLoadReportsStaysInItsDataCentre(t *testing.T) {
+	for reports, expectNear := range map[int]bool{3: true, 40: false} {
+		r := newTestRegistry(12)
+		for range reports {
 			target(t, r, "t5").RecordLoadReport(request.Load{Places: 10}, time.Second)
 		}
 		for range 9 {
 			target(t, r, "t0").RecordSend(nil, time.Second)
 		}
 		near := pick(t, r, Query{PromptTokens: 1000}) == "t0"
-		require.Equal(t, stays, near, "%d words", heard)
+		require.Equal(t, expectNear, near, "%d load reports", reports)
 		target(t, r, "t0").RecordLoadReport(request.Load{Running: 10, Waiting: 20, Places: 10}, time.Second)
 		require.NotEqual(t, "t0", pick(t, r, Query{PromptTokens: 1000}))
 	}
 }
 
-// A target that was heard long ago counts as loaded as those that are heard.
-func TestAnOldWordFadesToTheMeanOfTheService(t *testing.T) {
-	r := registryOf(3)
+// A target with an old load report counts as loaded as the targets with recent ones.
+func TestStaleLoadReportDecaysToServiceMean(t *testing.T) {
+	r := newTestRegistry(3)
 	old, now := target(t, r, "t0"), 10*time.Second
 	old.RecordLoadReport(request.Load{Running: 1, Places: 10}, 0)
 	for range 20 {
 		target(t, r, "t1").RecordLoadReport(request.Load{Running: 10, Waiting: 10, Places: 10}, now)
 	}
 	require.InDelta(t, 20, old.Load(now), 2)
-	require.Zero(t, target(t, r, "t2").Load(now), "one that was never heard is new")
+	require.Zero(t, target(t, r, "t2").Load(now), "a target without a load report is treated as new")
 	require.Zero(t, old.Load(now+10*time.Second))
 }
 
-// While prompts are read everywhere, events of sound engines take half as long again for
-// a while. That does not drive turns from the engine that has their prompt: reading them
-// elsewhere stalls the others in turn.
-func TestStalledEventsDoNotDriveTurnsFromTheirPrompts(t *testing.T) {
-	r := registryOf(3)
-	q := prompt("shared", "session")
+// While engines prefill prompts, the events of healthy engines take half as long again for some
+// time. This must not drive turns from the engine with their cached prompt: prefilling the
+// prompts elsewhere would stall the other engines in turn.
+func TestStalledEventsDoNotMoveTurnsFromCachedPrompts(t *testing.T) {
+	r := newTestRegistry(3)
+	q := promptQuery("shared", "session")
 	usual := 20 * time.Millisecond
-	streams(r, 100, 0, map[string]time.Duration{"t0": usual, "t1": usual, "t2": usual})
+	recordEvents(r, 100, 0, map[string]time.Duration{"t0": usual, "t1": usual, "t2": usual})
 	target(t, r, "t1").RecordSend(q.Parts, time.Second)
 	target(t, r, "t1").RecordOutcome(Served, time.Second)
-	streams(r, 10, time.Second, map[string]time.Duration{"t0": usual, "t1": 5 * usual / 2, "t2": usual})
-	hear(r, 10, time.Second)
+	recordEvents(r, 10, time.Second, map[string]time.Duration{"t0": usual, "t1": 5 * usual / 2, "t2": usual})
+	reportIdle(r, 10, time.Second)
 	require.Equal(t, "t1", pick(t, r, q))
 }
 
-func TestHostsAgreeOnTheHomesOfASharedPart(t *testing.T) {
-	a, b := registryOf(12), registryOf(12)
+func TestHostsAgreeOnAffinityTargetsOfASharedPart(t *testing.T) {
+	a, b := newTestRegistry(12), newTestRegistry(12)
 	for _, r := range []*Registry{a, b} {
 		for i := range 12 {
 			r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%3), Capacity: 10})
 		}
 	}
 	for i := range 20 {
-		q := prompt(fmt.Sprintf("shared%d", i), "session")
-		homes := a.homes("s", q.Parts[0].ID)
-		require.Equal(t, homes, b.homes("s", q.Parts[0].ID))
-		require.Len(t, homes, 3)
-		require.True(t, homes[pick(t, a, q)])
-		require.Equal(t, "dc0", target(t, a, pick(t, a, q)).DataCentre, "the near one")
+		q := promptQuery(fmt.Sprintf("shared%d", i), "session")
+		chosen := a.affinityTargets("s", q.Parts[0].ID)
+		require.Equal(t, chosen, b.affinityTargets("s", q.Parts[0].ID))
+		require.Len(t, chosen, 3)
+		require.True(t, chosen[pick(t, a, q)])
+		require.Equal(t, "dc0", target(t, a, pick(t, a, q)).DataCentre, "near target")
 	}
-	// Homes move only where a home is gone.
-	before := a.homes("s", "p")
+	// The affinity targets change only if one of them is removed.
+	before := a.affinityTargets("s", "p")
 	for i := range 12 {
 		id := fmt.Sprintf("t%d", i)
 		if !before[id] {
 			a.Remove(id)
-			require.Equal(t, before, a.homes("s", "p"))
+			require.Equal(t, before, a.affinityTargets("s", "p"))
 			return
 		}
 	}
 }
 
-func TestFailingTargetIsLeftAloneForAWhile(t *testing.T) {
-	r := registryOf(2)
+func TestBreakerExcludesFailingTargetUntilItsTimeout(t *testing.T) {
+	r := newTestRegistry(2)
 	for range 3 {
 		target(t, r, "t0").RecordSend(nil, 0)
 		target(t, r, "t0").RecordOutcome(Failed, time.Second)
@@ -241,13 +242,13 @@
 	only := Query{Service: "s", Exclude: map[string]bool{"t1": true}}
 	_, ok := r.Pick(only, time.Second)
 	require.False(t, ok)
-	c, ok := r.Pick(only, time.Second+breakerBase)
+	c, ok := r.Pick(only, time.Second+minBreakerTimeout)
 	require.True(t, ok)
 	require.Equal(t, "t0", c.ID)
 }
 
-func TestTargetThatFailsInPartIsAvoidedAndTriedAgain(t *testing.T) {
-	r := registryOf(2)
+func TestPartlyFailingTargetIsAvoidedThenRetried(t *testing.T) {
+	r := newTestRegistry(2)
 	for i := range 10 {
 		outcome := Served
 		if i%5 < 2 {
@@ -257,24 +258,24 @@
 		target(t, r, "t0").RecordOutcome(outcome, time.Second)
 	}
 	require.Equal(t, "t1", pick(t, r, Query{}))
-	c, ok := r.Pick(Query{Service: "s"}, time.Second+10*faultHalfLife)
+	c, ok := r.Pick(Query{Service: "s"}, time.Second+10*failureHalfLife)
 	require.True(t, ok)
 	require.Equal(t, "t0", c.ID)
 }
 
-func TestCacheForgetsTheLeastRecentlyUsed(t *testing.T) {
+func TestPrefixCacheEvictsLeastRecentlyUsedParts(t *testing.T) {
 	c := newPrefixCache()
-	for i := range cacheEntries + 10 {
+	for i := range maxCacheEntries + 10 {
 		c.add([]request.Part{{ID: fmt.Sprint(i), Tokens: 1}}, time.Duration(i))
 	}
-	require.LessOrEqual(t, len(c.used), cacheEntries)
-	require.Zero(t, c.covered([]request.Part{{ID: "0", Tokens: 1}}))
-	require.EqualValues(t, 1, c.covered([]request.Part{{ID: fmt.Sprint(cacheEntries + 9), Tokens: 1}}))
+	require.LessOrEqual(t, len(c.lastUsed), maxCacheEntries)
+	require.Zero(t, c.cachedTokens([]request.Part{{ID: "0", Tokens: 1}}))
+	require.EqualValues(t, 1, c.cachedTokens([]request.Part{{ID: fmt.Sprint(maxCacheEntries + 9), Tokens: 1}}))
 }
 
-// A target that is taken from the list and put back has forgotten the requests that
-// are still at it; their ends must not make it look emptier than empty.
-func TestEndsOfRequestsFromBeforeAReturnToTheListDoNotCount(t *testing.T) {
+// A target that is removed and listed again has no count of the requests that are still at it;
+// their outcomes must not make the count of its requests negative.
+func TestOutcomesOfRequestsSentBeforeRelistingDoNotLowerInFlight(t *testing.T) {
 	r := NewRegistry("dc", DefaultWeights())
 	listed := TargetInfo{ID: "a", Service: "s", Capacity: 4, DataCentre: "dc"}
 	r.SetTarget(listed)
@@ -288,9 +289,9 @@
 	require.Zero(t, r.targets["a"].inFlight)
 }
 
-// A target that starts again under its id is a new one: nothing of before counts, and what
-// an earlier start said is left out.
-func TestTargetThatStartsAgainIsNew(t *testing.T) {
+// A target that restarts under its ID is a new one: its earlier state does not count, and late
+// information about an earlier incarnation is ignored.
+func TestRestartedTargetStartsWithoutHistory(t *testing.T) {
 	r := NewRegistry("dc1", DefaultWeights())
 	first := TargetInfo{ID: "t1", StartedAtMs: 100, Service: "s", Address: "a:1", Capacity: 4}
 	require.False(t, r.SetTarget(first))
@@ -309,21 +310,21 @@
 	require.True(t, ok)
 	require.Zero(t, fresh.Load(0))
 	c, ok = r.Pick(Query{Service: "s", Parts: parts, PromptTokens: 500}, 0)
-	require.True(t, ok, "the failures of before do not count")
-	require.EqualValues(t, 500, c.UncachedTokens, "nor do the prompts that it had read")
+	require.True(t, ok, "failures of the earlier incarnation do not count")
+	require.EqualValues(t, 500, c.UncachedTokens, "prompts cached by the earlier incarnation do not count")
 	_, ok = r.TargetIncarnation("t1", 100)
 	require.False(t, ok)
 
-	require.False(t, r.SetTarget(first), "a late word of the earlier start")
+	require.False(t, r.SetTarget(first), "late information about the earlier incarnation")
 	got, _ := r.Target("t1")
 	require.Equal(t, "a:2", got.Address)
 }
 
-// A program's turn that an engine has broken off comes again through the same host, whose
-// history hosts say that this engine has read its prompt.
-func TestTurnsLeaveAnEngineThatBreaksThemOff(t *testing.T) {
-	r := registryOf(6)
-	q := prompt("shared", "a", "b", "c", "d")
+// A turn that failed at an engine returns through the same host, while history hosts report that
+// this engine has prefilled its prompt. The turn must not go back to the engine.
+func TestTurnsLeaveAnEngineThatFailsThem(t *testing.T) {
+	r := newTestRegistry(6)
+	q := promptQuery("shared", "a", "b", "c", "d")
 	q.Service = "s"
 	first, ok := r.Pick(q, 0)
 	require.True(t, ok)
@@ -341,5 +342,5 @@
 
 	next, ok = r.Pick(q, 10*time.Second)
 	require.True(t, ok)
-	require.Equal(t, first.ID, next.ID, "tried again once the failure is long ago")
+	require.Equal(t, first.ID, next.ID, "retried long after the failure")
 }
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// One exchange of a host: what it says, its report and reply, and what it takes of it.
+// BenchmarkExchange measures one load exchange of a host: its observations, the report, the
+// reply, and the update from it.
 func BenchmarkExchange(b *testing.B) {
 	for _, targets := range []int{30, 138, 3100} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -35,7 +36,7 @@
 			for i := range targets {
 				r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: fmt.Sprintf("dc%d", i%15), Capacity: 12})
 			}
-			board, teller := loads.NewBoard(1), loads.NewReporter(1)
+			board, reporter := loads.NewBoard(1), loads.NewReporter(1)
 			now := time.Duration(0)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -43,8 +44,8 @@
 				c, _ := r.Pick(Query{Service: "s"}, now)
 				c.RecordSend(nil, now)
 				c.RecordOutcome(Served, now)
-				teller.Note(r.Observations())
-				r.ApplyUpdate(teller.Take(board.Exchange(teller.Report(now), now), now), now)
+				reporter.Note(r.Observations())
+				r.ApplyUpdate(reporter.Take(board.Exchange(reporter.Report(now), now), now), now)
 			}
 		})
 	}
--- a/core/balance/breaker_test.go
+++ b/core/balance/breaker_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A target that failed is tried with one request. That request may end without a
-// verdict: its caller leaves, or the target is full. The target must be tried again.
-func TestATrialWithoutAVerdictIsRepeated(t *testing.T) {
+// A target that failed is tried with a single request. The trial may be inconclusive, because
+// its caller disconnects or the target is full; then the target must be tried again.
+func TestInconclusiveBreakerTrialIsRepeated(t *testing.T) {
 	for _, outcome := range []Outcome{Abandoned, Refused} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			r := NewRegistry("dc", DefaultWeights())
@@ -27,9 +27,9 @@
 				r.targets["a"].RecordOutcome(Failed, now)
 			}
 			require.False(t, pick(), "the breaker is open")
-			now += breakerMax
-			require.True(t, pick(), "one trial")
-			require.False(t, pick(), "one at a time")
+			now += maxBreakerTimeout
+			require.True(t, pick(), "first trial")
+			require.False(t, pick(), "one trial at a time")
 			r.targets["a"].RecordOutcome(outcome, now)
 			require.True(t, pick())
 		})
--- a/core/balance/coldstart.go
+++ b/core/balance/coldstart.go
@@ -6,102 +6,104 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-// Targets that have just started are cold: they bear only so many requests a second from all
-// hosts together, and crash well above that. The load that this answers is a crowd of hosts
-// that each see an empty target, when a whole data centre comes back or during a burst.
+// A target that has just started is cold: it accepts only a limited request rate from all hosts
+// together, and crashes well above that rate. Without coordination many hosts would each see an
+// empty target and overload it, when a whole data centre returns or during a burst.
 //
-// Only hosts of the target's own data centre send to it meanwhile, as they know how many they
-// are. Each has a window of its own in each period, at a phase drawn by host and target, and
-// may send one request in it; the period is so long that all windows together make up what
-// the target bears. A window that was not used is lost: hosts that saved up theirs could
-// send all at once.
+// Only hosts of the target's own data centre send to a cold target, since these hosts know their
+// number. Each host has one window per period, at a phase derived from host and target, and may
+// send one request in it. The period is as long as all hosts together need to send at the
+// declared rate. An unused window is lost: hosts that saved up windows could send all at once.
 
-// ColdStart is what the configuration declares of targets that have just started.
+// ColdStart is what the configuration declares for targets of a service that have just started.
 type ColdStart struct {
 	// Window is how long a target is cold after its start.
 	Window time.Duration
-	// Rate is the requests a second that a cold target bears from all hosts together;
-	// 0 if there is no bound.
+	// Rate is the number of requests per second that a cold target accepts from all hosts
+	// together; 0 if there is no bound.
 	Rate float64
 }
 
 const (
-	// coldWindow is for how much of its period a host may send: in any second the windows
-	// of one and a half seconds are open.
-	coldWindow = 500 * time.Millisecond
-	// hostsAssumed is how many hosts a data centre is taken to have until the exchange of
-	// loads has told: more than it has.
-	hostsAssumed = 150
-	// hostsTrust is how old the last exchange may be, and for how long there must have been
-	// some, for its number of hosts to be believed: hosts that begin to report together are
-	// counted one after the other.
-	hostsTrust = 1500 * time.Millisecond
+	// coldSendWindow is the part of its period in which a host may send. Any second overlaps the
+	// windows that begin within one and a half seconds, so at most one and a half times the
+	// declared rate is sent in it.
+	coldSendWindow = 500 * time.Millisecond
+	// defaultHostCount is the assumed number of hosts of a data centre until the load exchange
+	// reports it. It is more than a data centre has.
+	defaultHostCount = 150
+	// maxHostCountAge is the maximum age of the last load exchange for its host count to be
+	// used, and the minimum time for which there must have been exchanges: hosts that start to
+	// report together are counted one after the other.
+	maxHostCountAge = 1500 * time.Millisecond
 )
 
-// cold is what is known of a target's start.
-type cold struct {
+// coldState is the cold start of a target.
+type coldState struct {
 	// until is when the target is warm.
 	until time.Duration
-	// spent is the window in which this host last sent, counted from 1; 0 if it never did.
-	spent int64
+	// lastWindow is the window in which this host last sent, counted from 1; 0 if it has not
+	// sent.
+	lastWindow int64
 }
 
-// SetColdStart notes what the configuration says of a service's targets that have just started.
-func (r *Registry) SetColdStart(service string, c ColdStart) { r.of(service).coldStart = c }
+// SetColdStart sets the declared cold start of a service.
+func (r *Registry) SetColdStart(service string, c ColdStart) { r.serviceNamed(service).coldStart = c }
 
-// SetColdFor notes how much longer a target is cold by its own word; 0 if it is warm.
+// SetColdFor records how much longer the target reports to be cold; 0 if it is warm.
 func (r *Registry) SetColdFor(id string, left, now time.Duration) {
 	if t := r.targets[id]; t != nil {
 		t.cold.until = now + left
 	}
 }
 
-// isCold reports whether the target is cold and its service declares what it bears then.
+// isCold reports whether the target is cold and its service declares a rate for cold targets.
 func (t *Target) isCold(now time.Duration) bool {
 	return now < t.cold.until && t.service.coldStart.Rate > 0
 }
 
-// bears reports whether this host may send a request to the target now, as far as the
-// target's start is concerned.
-func (t *Target) bears(now time.Duration) bool {
+// admitsByColdStart reports whether the cold start of the target lets this host send a request
+// to it now.
+func (t *Target) admitsByColdStart(now time.Duration) bool {
 	if !t.isCold(now) {
 		return true
 	}
-	in := t.service.in
-	if t.DataCentre != in.dataCentre {
+	registry := t.service.registry
+	if t.DataCentre != registry.dataCentre {
 		return false
 	}
-	window, at := t.coldWindow(now)
-	return at < coldWindow && window != t.cold.spent
+	window, elapsed := t.coldWindowAt(now)
+	return elapsed < coldSendWindow && window != t.cold.lastWindow
 }
 
-// spendCold notes a request that goes to the target.
-func (t *Target) spendCold(now time.Duration) {
+// useColdWindow records that this host sends a request to the target in its current window.
+func (t *Target) useColdWindow(now time.Duration) {
 	if t.isCold(now) {
-		t.cold.spent, _ = t.coldWindow(now)
+		t.cold.lastWindow, _ = t.coldWindowAt(now)
 	}
 }
 
-// coldWindow is the number of this host's current window at the target, and the time since
+// coldWindowAt returns the number of this host's current window at the target and the time since
 // it began.
-func (t *Target) coldWindow(now time.Duration) (window int64, at time.Duration) {
-	s := &t.service.in.sharing
-	period := time.Duration(float64(s.hostsBy(now)) / t.service.coldStart.Rate * float64(time.Second))
+func (t *Target) coldWindowAt(now time.Duration) (window int64, elapsed time.Duration) {
+	peers := &t.service.registry.peers
+	period := time.Duration(float64(peers.hostCount(now)) / t.service.coldStart.Rate * float64(time.Second))
 	period = max(period, time.Millisecond)
-	phase := time.Duration(uniform(s.salt, uint64(loads.KeyOf(t.ID, t.StartedAtMs))) * float64(period))
-	since := now + phase
-	return int64(since/period) + 1, since % period
+	phase := time.Duration(uniform(peers.salt, uint64(loads.KeyOf(t.ID, t.StartedAtMs))) * float64(period))
+	shifted := now + phase
+	return int64(shifted/period) + 1, shifted % period
 }
 
-// hostsBy is the number of hosts of the data centre, this one included, or more.
-func (s *sharing) hostsBy(now time.Duration) int {
-	if !s.told || now-s.toldAt > hostsTrust || now-s.settledAt < hostsTrust {
-		return hostsAssumed
+// hostCount returns the number of hosts of the data centre including this one, or an upper
+// bound.
+func (s *peerState) hostCount(now time.Duration) int {
+	if !s.updated || now-s.updatedAt > maxHostCountAge || now-s.regularSince < maxHostCountAge {
+		return defaultHostCount
 	}
-	return s.hosts + 1
+	return s.otherHosts + 1
 }
 
-// anyCold reports whether some target of the service is cold.
+// anyCold reports whether a target of the service is cold.
 func (s *service) anyCold(now time.Duration) bool {
 	if s.coldStart.Rate == 0 {
 		return false
--- a/core/balance/coldstart_test.go
+++ b/core/balance/coldstart_test.go
@@ -11,38 +11,39 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-// bornePerSecond is what the cold targets of these tests bear.
-const bornePerSecond = 18
+// coldRate is the request rate that the cold targets of these tests accept, per second.
+const coldRate = 18
 
-// coldRegistry is of a host in dc0 before one cold and one warm target of its own data centre.
-func coldRegistry(salt uint64) *Registry {
+// newColdRegistry returns the registry of a host in dc0 with one cold and one warm target in its
+// own data centre.
+func newColdRegistry(salt uint64) *Registry {
 	r := NewRegistry("dc0", DefaultWeights())
 	r.SetSalt(salt)
-	r.SetColdStart("s", ColdStart{Window: 3 * time.Second, Rate: bornePerSecond})
+	r.SetColdStart("s", ColdStart{Window: 3 * time.Second, Rate: coldRate})
 	r.SetTarget(TargetInfo{ID: "cold", Service: "s", DataCentre: "dc0", Capacity: 10})
 	r.SetTarget(TargetInfo{ID: "warm", Service: "s", DataCentre: "dc0", Capacity: 10})
 	r.SetColdFor("cold", time.Hour, 0)
 	return r
 }
 
-// crowd is the times at which hosts send to a cold target that each of them asks for in
-// every step, while each is told of the number of others every 0.1 s.
-func crowd(hosts int, told bool, until time.Duration) []time.Duration {
+// coldSendTimes returns the times at which hosts send to a cold target. Each host tries to send
+// in every step, and with exchange it learns the number of other hosts every 0.1 s.
+func coldSendTimes(hosts int, exchange bool, duration time.Duration) []time.Duration {
 	const step = 10 * time.Millisecond
 	registries := make([]*Registry, hosts)
 	for i := range registries {
-		registries[i] = coldRegistry(uint64(7919*i + 1))
+		registries[i] = newColdRegistry(uint64(7919*i + 1))
 	}
 	var sent []time.Duration
-	for now := time.Duration(0); now < until; now += step {
+	for now := time.Duration(0); now < duration; now += step {
 		for _, r := range registries {
-			if told && now%(10*step) == 0 {
+			if exchange && now%(10*step) == 0 {
 				r.ApplyUpdate(loads.Learned{Fresh: true, Hosts: hosts - 1}, now)
 			}
-			x := r.targets["cold"]
-			if x.obstacle(now) == "" {
-				x.RecordSend(nil, now)
-				x.RecordOutcome(Served, now)
+			cold := r.targets["cold"]
+			if cold.unusableReason(now) == "" {
+				cold.RecordSend(nil, now)
+				cold.RecordOutcome(Served, now)
 				sent = append(sent, now)
 			}
 		}
@@ -50,8 +51,8 @@
 	return sent
 }
 
-// mostInASecond is the most of these times in any second.
-func mostInASecond(times []time.Duration) int {
+// maxPerSecond returns the largest number of these times in any second.
+func maxPerSecond(times []time.Duration) int {
 	most := 0
 	for i, at := range times {
 		j, _ := slices.BinarySearch(times, at+time.Second)
@@ -60,52 +61,52 @@
 	return most
 }
 
-// However many hosts see an empty target, together they send what it bears, by half more at
-// most; and they use it.
-func TestACrowdOfHostsKeepsToWhatAColdTargetBears(t *testing.T) {
+// However many hosts see an empty target, together they must send at most one and a half times
+// its declared rate, and must use at least half of it.
+func TestHostsTogetherStayWithinColdStartRate(t *testing.T) {
 	for _, hosts := range []int{1, 6, 24, 60, 144} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			sent := crowd(hosts, true, 20*time.Second)
-			require.LessOrEqual(t, mostInASecond(sent), bornePerSecond*3/2+5)
-			require.Greater(t, len(sent), 18*bornePerSecond/2)
+			sent := coldSendTimes(hosts, true, 20*time.Second)
+			require.LessOrEqual(t, maxPerSecond(sent), coldRate*3/2+5)
+			require.Greater(t, len(sent), 18*coldRate/2)
 		})
 	}
 }
 
-func TestHostsThatDoNotKnowHowManyTheyAreSendLess(t *testing.T) {
-	sent := crowd(24, false, 20*time.Second)
-	require.LessOrEqual(t, mostInASecond(sent), bornePerSecond)
+func TestColdStartRateHoldsWithUnknownHostCount(t *testing.T) {
+	sent := coldSendTimes(24, false, 20*time.Second)
+	require.LessOrEqual(t, maxPerSecond(sent), coldRate)
 	require.NotEmpty(t, sent)
 }
 
-func TestOnlyHostsOfTheOwnDataCentreSendToAColdTarget(t *testing.T) {
-	r := coldRegistry(1)
+func TestColdTargetOfAnotherDataCentreIsNotPicked(t *testing.T) {
+	r := newColdRegistry(1)
 	r.SetTarget(TargetInfo{ID: "far", Service: "s", DataCentre: "dc1", Capacity: 10})
 	r.SetColdFor("far", time.Second, 0)
 	far := target(t, r, "far")
 	for now := time.Duration(0); now < time.Second; now += 10 * time.Millisecond {
-		require.Equal(t, "cold", far.obstacle(now))
+		require.Equal(t, "cold", far.unusableReason(now))
 	}
-	require.Empty(t, far.obstacle(time.Second), "warm by its own time")
+	require.Empty(t, far.unusableReason(time.Second), "warm after its own cold start")
 }
 
-func TestATargetThatSaysItIsWarmIsWarm(t *testing.T) {
-	r := coldRegistry(1)
+func TestTargetReportedWarmIsUsable(t *testing.T) {
+	r := newColdRegistry(1)
 	r.SetColdFor("cold", 0, time.Second)
-	require.Empty(t, target(t, r, "cold").obstacle(time.Second))
+	require.Empty(t, target(t, r, "cold").unusableReason(time.Second))
 }
 
-func TestColdTargetsOfServicesWithoutABoundAreAsOthers(t *testing.T) {
-	r := coldRegistry(1)
+func TestColdTargetWithoutColdStartRateIsUsable(t *testing.T) {
+	r := newColdRegistry(1)
 	r.SetColdStart("s", ColdStart{Window: 3 * time.Second})
-	require.Empty(t, target(t, r, "cold").obstacle(0))
+	require.Empty(t, target(t, r, "cold").unusableReason(0))
 	require.False(t, r.NeedsLoadExchange(0))
 }
 
-// The number of hosts is known from the exchange of loads, which is off where it tells nothing
-// that hosts do not hear.
-func TestHostsExchangeLoadsWhileATargetIsCold(t *testing.T) {
-	r := coldRegistry(1)
+// The number of hosts is known only from the load exchange, which is off while hosts receive
+// enough load reports by themselves.
+func TestColdTargetRequiresLoadExchange(t *testing.T) {
+	r := newColdRegistry(1)
 	require.True(t, r.NeedsLoadExchange(0))
 	r.SetColdFor("cold", 0, time.Second)
 	require.False(t, r.NeedsLoadExchange(time.Second))
--- a/core/balance/evacuation.go
+++ b/core/balance/evacuation.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// SetEvacuated names the data centres whose targets get no new requests, in place of those named
-// before. Targets of a data centre that is not named any more serve again at once; as they
-// may have started anew unseen, they are taken to be cold.
+// SetEvacuated replaces the set of data centres whose targets get no new requests. Targets of a
+// data centre that leaves the set are usable at once; they are treated as cold, since they may
+// have restarted unnoticed.
 func (r *Registry) SetEvacuated(dataCentres map[string]bool, now time.Duration) {
 	r.evacuated = maps.Clone(dataCentres)
-	clear(r.homeOf)
+	clear(r.affinityByPart)
 	for _, t := range r.targets {
-		back := t.evacuated && !r.evacuated[t.DataCentre]
+		returned := t.evacuated && !r.evacuated[t.DataCentre]
 		t.evacuated = r.evacuated[t.DataCentre]
-		if back {
+		if returned {
 			t.cold.until = now + t.service.coldStart.Window
 		}
 	}
--- a/core/balance/eventtime.go
+++ b/core/balance/eventtime.go
@@ -2,71 +2,72 @@
 
 import "time"
 
-// speed is what a host has seen of the engines of a service: the time of an event, in
-// nanoseconds, by the load at which its stream was sent, in places. Some engines hardly
-// slow down until they are full, others take four times as long.
-type speed struct{ line }
+// eventTimeModel fits the time of a stream event of a service's engines, in nanoseconds, to the
+// load at which the stream was sent, relative to capacity. Some engines hardly slow down until
+// they are full, others take four times as long.
+type eventTimeModel struct{ regression }
 
-// Bounds of what the fit may say, and what is assumed until enough has been seen.
+// Bounds of the fit, and defaults until there are enough observations.
 const (
-	// loadSpread is the variance of loads that a fit needs.
-	loadSpread = 0.005
-	// The part of the time at full load that the load makes up.
-	assumedBusy         = 0.5
-	leastBusy, mostBusy = 0.1, 1
+	// minLoadVariance is the variance of loads that a fit needs.
+	minLoadVariance = 0.005
+	// The load share is the part of the event time at full load that is due to load.
+	defaultLoadShare           = 0.5
+	minLoadShare, maxLoadShare = 0.1, 1
 )
 
-// busy is the part of the time at full load that the load makes up.
-func (s *speed) busy() float64 {
-	idle, added, ok := s.fit(loadSpread)
-	if !ok || idle+added <= 0 {
-		return assumedBusy
+// loadShare returns the part of the event time at full load that is due to load.
+func (s *eventTimeModel) loadShare() float64 {
+	atIdle, added, ok := s.fit(minLoadVariance)
+	if !ok || atIdle+added <= 0 {
+		return defaultLoadShare
 	}
-	return min(mostBusy, max(leastBusy, added/(idle+added)))
+	return min(maxLoadShare, max(minLoadShare, added/(atIdle+added)))
 }
 
-// expected is the time of an event to expect at a load, 0 if nothing is known.
-func (s *speed) expected(load float64) float64 {
-	idle, added, ok := s.fit(loadSpread)
+// expected returns the expected time of an event at a load, in nanoseconds; 0 if nothing is
+// known.
+func (s *eventTimeModel) expected(load float64) float64 {
+	atIdle, added, ok := s.fit(minLoadVariance)
 	if !ok {
 		return s.mean()
 	}
-	return max(0, idle+added*min(load, 1))
+	return max(0, atIdle+added*min(load, 1))
 }
 
 const (
-	// eventHalfLife is how long a target's own event times count: about one turn, so
-	// that one that has turned slow or recovered is known as such with the next.
+	// eventHalfLife is the half-life of a target's own event times: about one turn, so that a
+	// target that has become slow or has recovered is recognized at the next turn.
 	eventHalfLife = 500 * time.Millisecond
-	// eventPrior is what the time to expect at the target's load counts against them,
-	// in observations: a turn's events outweigh it.
-	eventPrior = 4
-	// slowTolerance is the ratio to the time to expect up to which an engine counts as
-	// normal: prompts that it reads beside stall its events.
-	slowTolerance = 1.5
+	// eventPriorWeight is the weight of the expected event time at the target's load, in
+	// observations; the events of one turn outweigh it.
+	eventPriorWeight = 4
+	// eventTimeTolerance is the ratio to the expected event time up to which an engine counts as
+	// normal: prefill of other prompts stalls its events.
+	eventTimeTolerance = 1.5
 )
 
-// RecordEvent notes how long the target took for one event of a stream that was sent
-// to it at a load, in places.
-func (r *Registry) RecordEvent(target string, load float64, d time.Duration, now time.Duration) {
+// RecordEvent records how long the target took for one event of a stream that was sent to it at
+// a load, relative to capacity.
+func (r *Registry) RecordEvent(target string, load float64, duration time.Duration, now time.Duration) {
 	t := r.targets[target]
-	if t == nil || d <= 0 {
+	if t == nil || duration <= 0 {
 		return
 	}
-	if r.told(t.service, now) {
-		t.streamed(load, d, now)
+	if r.usesPredictedFinish(t.service, now) {
+		t.recordNormalizedEvent(load, duration, now)
 		return
 	}
-	t.service.speed.observe(min(load, 1), float64(d))
-	t.events.add(float64(d), now, eventHalfLife)
+	t.service.eventTimes.observe(min(load, 1), float64(duration))
+	t.eventTimes.add(float64(duration), now, eventHalfLife)
 }
 
-// excess is by how much the target's events take longer than is to be expected at its
-// load, over what is expected, as far as that counts.
-func (t *Target) excess(load float64, now time.Duration) float64 {
-	expected := t.service.speed.expected(load)
+// excessEventTime returns by how much the target's event times exceed the tolerance at its load,
+// relative to the expected time.
+func (t *Target) excessEventTime(load float64, now time.Duration) float64 {
+	expected := t.service.eventTimes.expected(load)
 	if expected <= 0 {
 		return 0
 	}
-	return max(0, t.events.by(now, eventHalfLife, expected, eventPrior)/expected-slowTolerance)
+	return max(0, t.eventTimes.mean(now, eventHalfLife, expected, eventPriorWeight)/expected-eventTimeTolerance)
 }
--- a/core/balance/exchange.go
+++ b/core/balance/exchange.go
@@ -10,81 +10,87 @@
 )
 
 const (
-	// hushedBelow and hushedUntil are the words a second of each target of a service, as
-	// parts of heardEnough, below which a host hears too little by itself and from which it
-	// hears enough again.
-	hushedBelow, hushedUntil = 0.4, 0.8
-	// hushedFor is how long it must have been so: a host that has just started, or whose
-	// callers have, hears little at first.
-	hushedFor = 3 * time.Second
-	// toldTrust is how long what other hosts have in flight counts in full after an exchange:
-	// one that is lost must not make all targets look empty. toldHalfLife halves it from then.
-	toldTrust    = 300 * time.Millisecond
-	toldHalfLife = 300 * time.Millisecond
-	// toldFault is what one failure that another host told of counts against one of this
-	// host's: a link of theirs may have failed, three hosts are right about the target.
-	toldFault = 0.4
-	// wordGain is by how much a word must be newer to replace one: ages come in steps, and a
-	// host's own word told back to it is no news.
-	wordGain = 20 * time.Millisecond
-	// sentKept is how many of the last sends to a target are remembered.
-	sentKept = 8
-	// exchangeStep is the weight of one interval in the mean sends of an interval.
-	exchangeStep = 0.2
+	// exchangeStartRatio and exchangeStopRatio bound the load reports per second from each
+	// target of a service, relative to sufficientReportRate: below the first a host receives too
+	// few by itself, above the second it receives enough again.
+	exchangeStartRatio, exchangeStopRatio = 0.4, 0.8
+	// exchangeStartDelay is how long the rate must have been too low: a host that has just
+	// started, or whose callers have, receives few reports at first.
+	exchangeStartDelay = 3 * time.Second
+	// peerTrustWindow is how long the in-flight counts of other hosts count in full after an
+	// exchange, so that one lost exchange does not make all targets look empty. After it they
+	// halve with each peerHalfLife.
+	peerTrustWindow = 300 * time.Millisecond
+	peerHalfLife    = 300 * time.Millisecond
+	// peerFailureWeight is the weight of a failure seen by another host relative to one of this
+	// host's: a single host's network link may have failed, but three hosts are right about the
+	// target.
+	peerFailureWeight = 0.4
+	// minReportAdvance is how much newer a load report must be to replace the present one: ages
+	// are transmitted in steps, and a host's own report sent back to it is not newer.
+	minReportAdvance = 20 * time.Millisecond
+	// maxSendTimes is the number of recent sends remembered per target.
+	maxSendTimes = 8
+	// sendsGain is the weight of one interval in the mean number of sends per interval.
+	sendsGain = 0.2
 )
 
-// sharing is what a registry knows of the exchange with other hosts.
-type sharing struct {
-	// salt sets this host's choices apart from those of others that know the same.
+// peerState is the state of the exchange with other hosts.
+type peerState struct {
+	// salt makes this host's random choices differ from those of hosts with the same
+	// information.
 	salt uint64
-	// toldAt is the last exchange, of that round; told is false without one.
-	toldAt time.Duration
-	told   bool
-	// settledAt is the first exchange of those that were answered one soon after the other.
-	settledAt time.Duration
-	round     uint64
-	hosts     int
-	// listed is the targets that can be told of, in order of id; nil if they changed since
-	// it was made. byKey is the same by key.
-	listed []*Target
-	byKey  map[loads.Key]*Target
+	// updatedAt is the time of the last update and exchanges the number of updates; updated is
+	// false before the first one.
+	updatedAt time.Duration
+	updated   bool
+	// regularSince is the first update of the present series without a long gap.
+	regularSince time.Duration
+	exchanges    uint64
+	otherHosts   int
+	// targets holds the targets that can be exchanged, in order of ID; nil after a change of the
+	// targets. byKey holds the same targets by key.
+	targets []*Target
+	byKey   map[loads.Key]*Target
 }
 
-// told is what other hosts say of a target, and what this one tells them.
-type told struct {
-	key     loads.Key
-	in      *Registry
-	others  int
-	word    loads.Word
-	hasWord bool
-	// failed and served count this host's requests.
+// exchangeState is what other hosts report about a target, and what this host reports to them.
+type exchangeState struct {
+	key            loads.Key
+	registry       *Registry
+	othersInFlight int
+	localReport    loads.Word
+	hasLocalReport bool
+	// failed and served count the outcomes of this host's requests.
 	failed, served uint32
-	// sends are the times of the last sends.
-	sends []time.Duration
+	// sendTimes holds the times of the most recent sends, the oldest first.
+	sendTimes []time.Duration
 }
 
-// perExchange is the sends to a service since the last exchange, their mean, and up to which
-// load, in places, the other hosts are expected to fill targets until the next.
-type perExchange struct {
-	now   int
-	mean  float64
-	level float64
+// sendCounter counts the sends to a service since the last exchange and their mean per interval.
+// fillLevel is the load, relative to capacity, to which the other hosts are expected to fill
+// targets until the next exchange.
+type sendCounter struct {
+	sinceExchange   int
+	meanPerInterval float64
+	fillLevel       float64
 }
 
-// SetSalt sets apart the choices of hosts that know the same, each with another salt.
-func (r *Registry) SetSalt(salt uint64) { r.sharing.salt = salt }
+// SetSalt sets the salt of the host's random choices. Hosts with the same information need
+// different salts to choose differently.
+func (r *Registry) SetSalt(salt uint64) { r.peers.salt = salt }
 
-// noteSend notes a send of this host.
-func (t *Target) noteSend(now time.Duration) {
-	t.service.sent.now++
-	if len(t.told.sends) == sentKept {
-		t.told.sends = slices.Delete(t.told.sends, 0, 1)
+// recordSendTime counts a send of this host and remembers its time.
+func (t *Target) recordSendTime(now time.Duration) {
+	t.service.sends.sinceExchange++
+	if len(t.exchange.sendTimes) == maxSendTimes {
+		t.exchange.sendTimes = slices.Delete(t.exchange.sendTimes, 0, 1)
 	}
-	t.told.sends = append(t.told.sends, now)
+	t.exchange.sendTimes = append(t.exchange.sendTimes, now)
 }
 
-// count counts the end of a request that says something of the target.
-func (x *told) count(o Outcome) {
+// countOutcome counts an outcome that says something about the target.
+func (x *exchangeState) countOutcome(o Outcome) {
 	switch o {
 	case Served:
 		x.served++
@@ -93,53 +99,53 @@
 	}
 }
 
-// list makes the list of targets that can be told of: those whose key no other one has.
-func (r *Registry) list() {
-	s := &r.sharing
-	if s.listed != nil {
+// indexTargets builds the list of targets that can be exchanged: those whose key is unique.
+func (r *Registry) indexTargets() {
+	peers := &r.peers
+	if peers.targets != nil {
 		return
 	}
-	s.listed, s.byKey = make([]*Target, 0, len(r.targets)), map[loads.Key]*Target{}
-	twice := map[loads.Key]bool{}
+	peers.targets, peers.byKey = make([]*Target, 0, len(r.targets)), map[loads.Key]*Target{}
+	duplicates := map[loads.Key]bool{}
 	for _, t := range r.targets {
-		t.told.key, t.told.in = loads.KeyOf(t.ID, t.StartedAtMs), r
-		if s.byKey[t.told.key] != nil {
-			twice[t.told.key] = true
+		t.exchange.key, t.exchange.registry = loads.KeyOf(t.ID, t.StartedAtMs), r
+		if peers.byKey[t.exchange.key] != nil {
+			duplicates[t.exchange.key] = true
 		}
-		s.byKey[t.told.key] = t
-		s.listed = append(s.listed, t)
+		peers.byKey[t.exchange.key] = t
+		peers.targets = append(peers.targets, t)
 	}
-	s.listed = slices.DeleteFunc(s.listed, func(t *Target) bool { return twice[t.told.key] })
-	slices.SortFunc(s.listed, func(a, b *Target) int { return cmp.Compare(a.ID, b.ID) })
-	for key := range twice {
-		delete(s.byKey, key)
+	peers.targets = slices.DeleteFunc(peers.targets, func(t *Target) bool { return duplicates[t.exchange.key] })
+	slices.SortFunc(peers.targets, func(a, b *Target) int { return cmp.Compare(a.ID, b.ID) })
+	for key := range duplicates {
+		delete(peers.byKey, key)
 	}
-	for _, x := range r.services {
-		x.shuffle(s.salt)
+	for _, svc := range r.services {
+		svc.shuffle(peers.salt)
 	}
 }
 
-// shuffle makes hosts take targets that cost the same in different orders.
+// shuffle orders the targets by host, so that hosts choose different ones of equal cost.
 func (s *service) shuffle(salt uint64) {
 	slices.SortFunc(s.targets, func(a, b *Target) int {
-		return cmp.Compare(uniform(salt, uint64(a.told.key)), uniform(salt, uint64(b.told.key)))
+		return cmp.Compare(uniform(salt, uint64(a.exchange.key)), uniform(salt, uint64(b.exchange.key)))
 	})
 }
 
-// Observations is what this host sees of all targets by itself.
+// Observations returns what this host itself has observed of each target, in order of ID.
 func (r *Registry) Observations() []loads.Own {
-	r.list()
-	all := make([]loads.Own, 0, len(r.sharing.listed))
-	for _, t := range r.sharing.listed {
-		x := &t.told
-		all = append(all, loads.Own{
-			Key: x.key, InFlight: t.inFlight, Failed: x.failed, Served: x.served, Word: x.word, HasWord: x.hasWord,
+	r.indexTargets()
+	list := make([]loads.Own, 0, len(r.peers.targets))
+	for _, t := range r.peers.targets {
+		state := &t.exchange
+		list = append(list, loads.Own{
+			Key: state.key, InFlight: t.inFlight, Failed: state.failed, Served: state.served, Word: state.localReport, HasWord: state.hasLocalReport,
 		})
 	}
-	return all
+	return list
 }
 
-// InFlight is this host's requests at all targets.
+// InFlight returns the number of this host's requests at all targets.
 func (r *Registry) InFlight() int {
 	n := 0
 	for _, t := range r.targets {
@@ -148,180 +154,184 @@
 	return n
 }
 
-// NeedsLoadExchange reports whether this host hears too little of the targets by itself: of some service
-// seldom, or its targets tell how much slower they are, which changes faster than a host hears,
-// or some of them are cold, of which hosts take a share each and must know how many they are.
+// NeedsLoadExchange reports whether this host needs load reports from other hosts. It does if it
+// receives few reports from the targets of a service; if targets report their slowdown, which
+// changes faster than one host receives reports; or if some targets are cold, since each host
+// takes a share of their rate and must know the number of hosts.
 func (r *Registry) NeedsLoadExchange(now time.Duration) bool {
-	hushed := false
+	needed := false
 	for _, s := range r.services {
-		hushed = s.hears(now) || s.anyCold(now) || hushed // each service notes it for itself
+		needed = s.updateNeedsExchange(now) || s.anyCold(now) || needed // each service updates its own state
 	}
-	return hushed
+	return needed
 }
 
-// hears notes and returns whether a host hears too little of a service. While it sends little,
-// nothing can be said of it.
-func (s *service) hears(now time.Duration) bool {
-	rate, enough := s.words.rate(now, wordHalfLife), heardEnough*float64(len(s.targets))
-	if rate < heardLeast || rate > hushedBelow*enough && !s.slowdownTold() {
-		s.heardAt = now
+// updateNeedsExchange updates and returns whether the host receives too few load reports from a
+// service. While the host sends few requests, the rate of reports is not significant.
+func (s *service) updateNeedsExchange(now time.Duration) bool {
+	rate, sufficient := s.reportedLoads.rate(now, reportHalfLife), sufficientReportRate*float64(len(s.targets))
+	if rate < minReportRate || rate > exchangeStartRatio*sufficient && !s.hasSlowdownReport() {
+		s.reportsSufficientAt = now
 	}
 	switch {
-	case rate >= heardLeast && s.slowdownTold(), now-s.heardAt > hushedFor:
-		s.hushed = true
-	case rate > hushedUntil*enough:
-		s.hushed = false
+	case rate >= minReportRate && s.hasSlowdownReport(), now-s.reportsSufficientAt > exchangeStartDelay:
+		s.needsExchange = true
+	case rate > exchangeStopRatio*sufficient:
+		s.needsExchange = false
 	}
-	return s.hushed
+	return s.needsExchange
 }
 
-// slowdownTold reports whether targets of the service tell their slowdown.
-func (s *service) slowdownTold() bool {
-	return slices.ContainsFunc(s.targets, func(t *Target) bool { return t.told.hasWord && t.told.word.Load.Slowdown > 0 })
+// hasSlowdownReport reports whether a target of the service has reported its slowdown to this
+// host.
+func (s *service) hasSlowdownReport() bool {
+	return slices.ContainsFunc(s.targets, func(t *Target) bool { return t.exchange.hasLocalReport && t.exchange.localReport.Load.Slowdown > 0 })
 }
 
-// ApplyUpdate takes what an exchange with other hosts brought.
-func (r *Registry) ApplyUpdate(l loads.Learned, now time.Duration) {
-	if !l.Fresh {
+// ApplyUpdate applies an update from the exchange with other hosts.
+func (r *Registry) ApplyUpdate(update loads.Learned, now time.Duration) {
+	if !update.Fresh {
 		return
 	}
-	r.list()
-	x := &r.sharing
-	if l.Reset {
+	r.indexTargets()
+	peers := &r.peers
+	if update.Reset {
 		for _, t := range r.targets {
-			t.told.others = 0
+			t.exchange.othersInFlight = 0
 		}
 	}
-	if !x.told || now-x.toldAt > hostsTrust {
-		x.settledAt = now
+	if !peers.updated || now-peers.updatedAt > maxHostCountAge {
+		peers.regularSince = now
 	}
-	x.told, x.toldAt, x.hosts = true, now, l.Hosts
-	x.round++
-	for _, line := range l.Told {
-		if t := x.byKey[line.Key]; t != nil {
-			t.take(line, now)
+	peers.updated, peers.updatedAt, peers.otherHosts = true, now, update.Hosts
+	peers.exchanges++
+	for _, targetUpdate := range update.Told {
+		if t := peers.byKey[targetUpdate.Key]; t != nil {
+			t.applyUpdate(targetUpdate, now)
 		}
 	}
 	for _, s := range r.services {
-		r.exchanged(s, now)
+		r.startInterval(s, now)
 	}
 }
 
-// UpdateAge is how long ago an exchange with other hosts was answered; negative if none was.
+// UpdateAge returns the time since the last update from other hosts; negative if there was none.
 func (r *Registry) UpdateAge(now time.Duration) time.Duration {
-	if !r.sharing.told {
+	if !r.peers.updated {
 		return -1
 	}
-	return now - r.sharing.toldAt
+	return now - r.peers.updatedAt
 }
 
-// take takes what other hosts say of the target.
-func (t *Target) take(line loads.Told, now time.Duration) {
-	t.told.others = line.Others
-	if line.HasWord && (!t.hasReport || line.Word.At > t.reportedAt+wordGain) {
-		t.reported, t.reportedAt, t.hasReport = line.Word.Load, line.Word.At, true
-		t.reported.Running += t.sentSince(line.Word.At)
+// applyUpdate applies what other hosts report about the target.
+func (t *Target) applyUpdate(update loads.Told, now time.Duration) {
+	t.exchange.othersInFlight = update.Others
+	if update.HasWord && (!t.hasReport || update.Word.At > t.reportedAt+minReportAdvance) {
+		t.reported, t.reportedAt, t.hasReport = update.Word.Load, update.Word.At, true
+		t.reported.Running += t.sentSince(update.Word.At)
 	}
-	if line.Failed == 0 && (line.Served == 0 || t.faults == 0) {
+	if update.Failed == 0 && (update.Served == 0 || t.failures == 0) {
 		return
 	}
-	// Their failures came between their successes: half of these follow each, on average.
-	kept := math.Pow(faultKept, toldFault*float64(line.Served)/2)
-	t.faults = min(faultMost, (t.fade(now)*kept+toldFault*float64(line.Failed))*kept)
-	t.faultsAt = now
+	// The failures of the other hosts occurred between their successes: on average half of the
+	// successes follow each failure.
+	retained := math.Pow(failureRetention, peerFailureWeight*float64(update.Served)/2)
+	t.failures = min(maxFailures, (t.decayedFailures(now)*retained+peerFailureWeight*float64(update.Failed))*retained)
+	t.failuresAt = now
 }
 
-// sentSince is how many of this host's requests were sent after an instant and may still be
-// at the target.
+// sentSince returns the number of this host's requests that were sent after an instant and may
+// still be at the target.
 func (t *Target) sentSince(at time.Duration) int {
 	n := 0
-	for _, sent := range t.told.sends {
-		if sent > at {
+	for _, sentAt := range t.exchange.sendTimes {
+		if sentAt > at {
 			n++
 		}
 	}
 	return min(n, t.inFlight)
 }
 
-// fresh reports whether what other hosts told counts, and how much.
-func (s *sharing) fresh(now time.Duration) float64 {
-	if !s.told {
+// trust returns the weight in [0, 1] of the in-flight counts of other hosts.
+func (s *peerState) trust(now time.Duration) float64 {
+	if !s.updated {
 		return 0
 	}
-	return fading(now-s.toldAt-toldTrust, toldHalfLife)
+	return decay(now-s.updatedAt-peerTrustWindow, peerHalfLife)
 }
 
-// together is the larger of an estimate and of the requests of all hosts, as far as these are
-// told: the target's word also counts requests from other data centres, but is as old as its
-// last answer.
-func (t *Target) together(alone int, now time.Duration) int {
-	if t.told.in == nil || t.told.others == 0 {
-		return alone
+// withOthersInFlight returns the larger of an estimate and the known in-flight requests of all
+// hosts. The target's own load report also counts requests from other data centres, but is as
+// old as its last answer.
+func (t *Target) withOthersInFlight(local int, now time.Duration) int {
+	if t.exchange.registry == nil || t.exchange.othersInFlight == 0 {
+		return local
 	}
-	others := t.told.in.sharing.fresh(now) * float64(t.told.others)
-	return max(alone, t.inFlight+int(math.Round(others)))
+	others := t.exchange.registry.peers.trust(now) * float64(t.exchange.othersInFlight)
+	return max(local, t.inFlight+int(math.Round(others)))
 }
 
-// spread adds to an estimate what other hosts are expected to have sent since: they fill the
-// targets below the level, and which of these a host takes is drawn, the emptiest most often.
-// Hosts that all know the same would else all choose what was the emptiest at their last
-// exchange. Turns go where their prompt was read, which sets the choices of hosts apart; moved by
-// a draw, they would be read again.
-func (t *Target) spread(load int, now time.Duration) int {
-	if t.told.in == nil || t.service.prompt > 0 {
+// withExpectedSends adds to an estimate the requests that other hosts are expected to have sent
+// since the last exchange. They fill the targets below the fill level. The amount is random, so
+// that a host may choose any of these targets, the emptiest most often. Otherwise hosts with the
+// same information would all choose the target that was emptiest at their last exchange.
+// Estimates for engines stay as they are: turns go where their prompt is cached, which already
+// makes the hosts' choices differ, and a random choice would prefill the prompts again.
+func (t *Target) withExpectedSends(load int, now time.Duration) int {
+	if t.exchange.registry == nil || t.service.meanPromptTokens > 0 {
 		return load
 	}
-	x := &t.told.in.sharing
-	room := t.service.sent.level*float64(t.Capacity) - float64(load)
-	if x.hosts == 0 || room <= 0 || now-x.toldAt > toldTrust+toldHalfLife {
+	peers := &t.exchange.registry.peers
+	free := t.service.sends.fillLevel*float64(t.Capacity) - float64(load)
+	if peers.otherHosts == 0 || free <= 0 || now-peers.updatedAt > peerTrustWindow+peerHalfLife {
 		return load
 	}
-	draw := uniform(x.salt, uint64(t.told.key), x.round, uint64(t.service.sent.now))
-	return load + int(math.Round(2*draw*room))
+	draw := uniform(peers.salt, uint64(t.exchange.key), peers.exchanges, uint64(t.service.sends.sinceExchange))
+	return load + int(math.Round(2*draw*free))
 }
 
-// exchanged begins the next interval of a service.
-func (r *Registry) exchanged(s *service, now time.Duration) {
-	p := &s.sent
-	p.mean += exchangeStep * (float64(p.now) - p.mean)
-	p.now = 0
-	if s.prompt > 0 {
-		return // see spread
+// startInterval starts the next exchange interval of a service.
+func (r *Registry) startInterval(s *service, now time.Duration) {
+	p := &s.sends
+	p.meanPerInterval += sendsGain * (float64(p.sinceExchange) - p.meanPerInterval)
+	p.sinceExchange = 0
+	if s.meanPromptTokens > 0 {
+		return // see withExpectedSends
 	}
-	p.level = r.level(s, p.mean*float64(r.sharing.hosts), now)
+	p.fillLevel = r.fillLevel(s, p.meanPerInterval*float64(r.peers.otherHosts), now)
 }
 
-// level is up to which load, in places, requests fill the targets from which this data centre
-// chooses first.
-func (r *Registry) level(s *service, requests float64, now time.Duration) float64 {
-	near := r.near(s, now)
-	slices.SortFunc(near, func(a, b filling) int { return cmp.Compare(a.load, b.load) })
-	held, places := requests, 0.0
-	for i, f := range near {
-		held += f.load * f.places
-		places += f.places
-		if level := held / places; i+1 == len(near) || level <= near[i+1].load {
+// fillLevel returns the load, relative to capacity, to which a number of requests fills the
+// preferred targets.
+func (r *Registry) fillLevel(s *service, requests float64, now time.Duration) float64 {
+	near := r.preferredTargets(s, now)
+	slices.SortFunc(near, func(a, b occupancy) int { return cmp.Compare(a.load, b.load) })
+	total, capacity := requests, 0.0
+	for i, o := range near {
+		total += o.load * o.capacity
+		capacity += o.capacity
+		if level := total / capacity; i+1 == len(near) || level <= near[i+1].load {
 			return level
 		}
 	}
 	return 0
 }
 
-// filling is a target's load, in places, and its places.
-type filling struct{ load, places float64 }
+// occupancy is the load of a target, relative to its capacity, and the capacity.
+type occupancy struct{ load, capacity float64 }
 
-// near is the targets that hosts of this data centre choose from first: its own, or all where
-// it has none.
-func (r *Registry) near(s *service, now time.Duration) []filling {
-	var near, all []filling
+// preferredTargets returns the usable targets that hosts of this data centre choose first: its
+// own, or all if it has none.
+func (r *Registry) preferredTargets(s *service, now time.Duration) []occupancy {
+	var near, all []occupancy
 	for _, t := range s.targets {
-		if t.obstacle(now) != "" {
+		if t.unusableReason(now) != "" {
 			continue
 		}
-		f := filling{t.perPlace(float64(t.estimate(now))), float64(max(1, t.Capacity))}
-		all = append(all, f)
+		o := occupancy{t.relativeLoad(float64(t.estimate(now))), float64(max(1, t.Capacity))}
+		all = append(all, o)
 		if t.DataCentre == r.dataCentre {
-			near = append(near, f)
+			near = append(near, o)
 		}
 	}
 	if len(near) == 0 {
@@ -330,7 +340,7 @@
 	return near
 }
 
-// uniform is a number in [0, 1) that its arguments decide.
+// uniform returns a number in [0, 1) that is a hash of its arguments.
 func uniform(values ...uint64) float64 {
 	x := uint64(0)
 	for _, v := range values {
--- a/core/balance/exchange_test.go
+++ b/core/balance/exchange_test.go
@@ -12,87 +12,87 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-func learned(told ...loads.Told) loads.Learned {
+func newUpdate(told ...loads.Told) loads.Learned {
 	return loads.Learned{Fresh: true, Hosts: 16, Told: told}
 }
 
-func keyOf(id string) loads.Key { return loads.KeyOf(id, 0) }
+func testKey(id string) loads.Key { return loads.KeyOf(id, 0) }
 
-func TestOthersRequestsCountUntilTheBoardIsSilent(t *testing.T) {
-	r := registryOf(2)
+func TestOthersInFlightDecaysWhenBoardIsSilent(t *testing.T) {
+	r := newTestRegistry(2)
 	x := target(t, r, "t0")
 	x.RecordSend(nil, 0)
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Others: 6}), 0)
-	require.Equal(t, 7, x.estimate(toldTrust))
-	require.Equal(t, 4, x.estimate(toldTrust+toldHalfLife))
-	require.Equal(t, 1, x.estimate(10*time.Second), "its own")
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Others: 6}), 0)
+	require.Equal(t, 7, x.estimate(peerTrustWindow))
+	require.Equal(t, 4, x.estimate(peerTrustWindow+peerHalfLife))
+	require.Equal(t, 1, x.estimate(10*time.Second), "this host's own request")
 	r.ApplyUpdate(loads.Learned{Fresh: true, Reset: true}, 10*time.Second)
-	require.Equal(t, 1, x.estimate(10*time.Second), "another board has told nothing yet")
+	require.Equal(t, 1, x.estimate(10*time.Second), "a new board has reported no requests yet")
 	r.ApplyUpdate(loads.Learned{Hosts: 16}, 20*time.Second)
-	require.Equal(t, 10*time.Second, r.UpdateAge(20*time.Second), "no answer")
+	require.Equal(t, 10*time.Second, r.UpdateAge(20*time.Second), "a reply that is not fresh is no update")
 }
 
-func TestANewerWordOfOthersReplacesTheOwn(t *testing.T) {
-	r := registryOf(1)
+func TestNewerLoadReportFromOthersReplacesLocalReport(t *testing.T) {
+	r := newTestRegistry(1)
 	x := target(t, r, "t0")
 	x.RecordLoadReport(request.Load{Running: 9, Places: 10}, time.Second)
-	word := loads.Word{Load: request.Load{Running: 2, Slowdown: 3}, At: 900 * time.Millisecond}
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
-	require.Equal(t, 9, x.reported.Running, "an older one")
-	word.At = 1050 * time.Millisecond
+	report := loads.Word{Load: request.Load{Running: 2, Slowdown: 3}, At: 900 * time.Millisecond}
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Word: report, HasWord: true}), 1100*time.Millisecond)
+	require.Equal(t, 9, x.reported.Running, "an older report")
+	report.At = 1050 * time.Millisecond
 	x.RecordSend(nil, 1080*time.Millisecond)
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Word: word, HasWord: true}), 1100*time.Millisecond)
-	require.Equal(t, request.Load{Running: 3, Slowdown: 3}, x.reported, "with what this host has sent since")
-	require.Equal(t, word.At, x.reportedAt)
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Word: report, HasWord: true}), 1100*time.Millisecond)
+	require.Equal(t, request.Load{Running: 3, Slowdown: 3}, x.reported, "includes what this host has sent since")
+	require.Equal(t, report.At, x.reportedAt)
 	require.Equal(t, 10, x.Capacity)
-	require.Equal(t, 9, r.Observations()[0].Word.Load.Running, "its own word is what it tells")
+	require.Equal(t, 9, r.Observations()[0].Word.Load.Running, "the host reports what it received itself")
 }
 
-func TestWhatIsToldOfAStartIsNotOfTheNext(t *testing.T) {
+func TestUpdateForAnEarlierIncarnationIsIgnored(t *testing.T) {
 	r := NewRegistry("dc0", DefaultWeights())
 	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, StartedAtMs: 1})
-	r.ApplyUpdate(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 5, Failed: 9}), 0)
+	r.ApplyUpdate(newUpdate(loads.Told{Key: loads.KeyOf("t0", 1), Others: 5, Failed: 9}), 0)
 	require.Equal(t, 5, target(t, r, "t0").estimate(0))
 	r.SetTarget(TargetInfo{ID: "t0", Service: "s", DataCentre: "dc0", Capacity: 10, StartedAtMs: 2})
-	r.ApplyUpdate(learned(loads.Told{Key: loads.KeyOf("t0", 1), Others: 7, Failed: 9}), 0)
+	r.ApplyUpdate(newUpdate(loads.Told{Key: loads.KeyOf("t0", 1), Others: 7, Failed: 9}), 0)
 	require.Zero(t, target(t, r, "t0").estimate(0))
-	require.Zero(t, target(t, r, "t0").faults)
+	require.Zero(t, target(t, r, "t0").failures)
 }
 
-// One failure that another host tells of weighs less than an own one, several count.
-func TestFailuresOfOthersCount(t *testing.T) {
-	r := registryOf(2)
-	own, other := target(t, r, "t1"), target(t, r, "t0")
-	own.RecordOutcome(Failed, 0)
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 1}), 0)
-	require.Less(t, other.fade(0), own.fade(0))
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 6}), 0)
-	require.Greater(t, other.fade(0), own.fade(0))
-	require.Equal(t, "t1", pick(t, r, Query{Allowed: map[string]bool{"t0": true, "t1": true}}), "far, and failed once")
+// One failure seen by another host weighs less than one of this host's; several count more.
+func TestFailuresSeenByOtherHostsCount(t *testing.T) {
+	r := newTestRegistry(2)
+	failedHere, failedElsewhere := target(t, r, "t1"), target(t, r, "t0")
+	failedHere.RecordOutcome(Failed, 0)
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Failed: 1}), 0)
+	require.Less(t, failedElsewhere.decayedFailures(0), failedHere.decayedFailures(0))
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Failed: 6}), 0)
+	require.Greater(t, failedElsewhere.decayedFailures(0), failedHere.decayedFailures(0))
+	require.Equal(t, "t1", pick(t, r, Query{Allowed: map[string]bool{"t0": true, "t1": true}}), "far target that failed once")
 	for range 20 {
-		r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Served: 5}), 0)
+		r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Served: 5}), 0)
 	}
-	require.Less(t, other.fade(0), 0.1, "it works again")
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Failed: 1000}), 0)
-	require.LessOrEqual(t, other.fade(0), float64(faultMost))
+	require.Less(t, failedElsewhere.decayedFailures(0), 0.1, "the target works again")
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Failed: 1000}), 0)
+	require.LessOrEqual(t, failedElsewhere.decayedFailures(0), float64(maxFailures))
 }
 
-// Targets of which two have the same key are not told of.
-func TestSharedKeysAreLeftOut(t *testing.T) {
-	r := registryOf(3)
+// Two targets with the same key cannot be told apart, so neither is exchanged.
+func TestTargetsWithCollidingKeysAreNotExchanged(t *testing.T) {
+	r := newTestRegistry(3)
 	require.Len(t, r.Observations(), 3)
-	r.sharing.listed = nil
+	r.peers.targets = nil
 	x := target(t, r, "t0")
-	r.targets["again"] = x // the same id and start
+	r.targets["again"] = x // same ID and start time, so the same key
 	require.Len(t, r.Observations(), 2)
-	r.ApplyUpdate(learned(loads.Told{Key: keyOf("t0"), Others: 5}), 0)
+	r.ApplyUpdate(newUpdate(loads.Told{Key: testKey("t0"), Others: 5}), 0)
 	require.Zero(t, x.estimate(0))
 }
 
-func TestHushedWithHysteresis(t *testing.T) {
-	r := registryOf(10)
+func TestNeedsLoadExchangeHasHysteresis(t *testing.T) {
+	r := newTestRegistry(10)
 	now := time.Duration(0)
-	hear := func(perTarget float64, l request.Load) {
+	recordReports := func(perTarget float64, l request.Load) {
 		for end := now + 10*time.Second; now < end; now += time.Duration(float64(time.Second) / (10 * perTarget)) {
 			for id := range r.targets {
 				target(t, r, id).RecordLoadReport(l, now)
@@ -102,33 +102,34 @@
 		}
 	}
 	require.False(t, r.NeedsLoadExchange(now))
-	hear(0.3, request.Load{})
+	recordReports(0.3, request.Load{})
 	require.True(t, r.NeedsLoadExchange(now))
-	hear(0.6, request.Load{})
-	require.True(t, r.NeedsLoadExchange(now), "not far enough above")
-	hear(3, request.Load{})
+	recordReports(0.6, request.Load{})
+	require.True(t, r.NeedsLoadExchange(now), "below the stop ratio")
+	recordReports(3, request.Load{})
 	require.False(t, r.NeedsLoadExchange(now))
-	hear(0.6, request.Load{})
-	require.False(t, r.NeedsLoadExchange(now), "not far enough below")
-	hear(3, request.Load{Slowdown: 1})
-	require.True(t, r.NeedsLoadExchange(now), "targets tell a slowdown")
+	recordReports(0.6, request.Load{})
+	require.False(t, r.NeedsLoadExchange(now), "above the start ratio")
+	recordReports(3, request.Load{Slowdown: 1})
+	require.True(t, r.NeedsLoadExchange(now), "targets report a slowdown")
 }
 
-// dataCentre is hosts that send to the same targets, each by its own registry.
-type dataCentre struct {
-	scene
-	rng     *rand.Rand
-	hosts   []*Registry
-	tellers []*loads.Reporter
-	board   *loads.Board
-	running map[string]int
-	failed  int
-	ends    []end
-	now     time.Duration
+// simulation simulates hosts of a data centre that send to the same targets, each with its own
+// registry.
+type simulation struct {
+	scenario
+	rng       *rand.Rand
+	hosts     []*Registry
+	reporters []*loads.Reporter
+	board     *loads.Board
+	running   map[string]int
+	failed    int
+	pending   []pendingRequest
+	now       time.Duration
 }
 
-// end is when a request ends.
-type end struct {
+// pendingRequest is a request in flight and when and how it ends.
+type pendingRequest struct {
 	at      time.Duration
 	host    int
 	id      string
@@ -136,81 +137,83 @@
 }
 
 const (
-	simExchange = 100 * time.Millisecond
-	simPlaces   = 6
-	simReset    = 2 * time.Millisecond
+	simExchangeInterval = 100 * time.Millisecond
+	simCapacity         = 6
+	simResetDelay       = 2 * time.Millisecond
 )
 
-// scene is a data centre whose targets are half full.
-type scene struct {
+// scenario describes a data centre whose targets are half full.
+type scenario struct {
 	hosts, targets int
-	// every is between two requests to the data centre, work how long one takes.
-	every, work time.Duration
-	// broken targets, the first ones, reset each connection.
-	broken int
+	// interval is the time between two requests to the data centre, workTime the mean time of
+	// one.
+	interval, workTime time.Duration
+	// brokenTargets is the number of targets, the first ones, that reset each connection.
+	brokenTargets int
 }
 
-func newDataCentre(s scene) *dataCentre {
+func newSimulation(s scenario) *simulation {
 	const seed = 1
-	d := &dataCentre{scene: s, rng: rand.New(rand.NewPCG(seed, 1)), board: loads.NewBoard(1), running: map[string]int{}}
+	d := &simulation{scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), board: loads.NewBoard(1), running: map[string]int{}}
 	for i := range s.hosts {
 		r := NewRegistry("dc", DefaultWeights())
 		r.SetSalt(d.rng.Uint64())
 		for k := range s.targets {
-			r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", k), Service: "s", DataCentre: "dc", Capacity: simPlaces})
+			r.SetTarget(TargetInfo{ID: fmt.Sprintf("t%d", k), Service: "s", DataCentre: "dc", Capacity: simCapacity})
 		}
 		d.hosts = append(d.hosts, r)
-		d.tellers = append(d.tellers, loads.NewReporter(uint64(i)+1))
+		d.reporters = append(d.reporters, loads.NewReporter(uint64(i)+1))
 	}
 	return d
 }
 
-// play returns the mean over time of the busiest target's requests over the mean target's.
-func (d *dataCentre) play(shared, spread bool) float64 {
+// run returns the mean over time of the busiest target's requests divided by those of the mean
+// target.
+func (d *simulation) run(exchange, spread bool) float64 {
 	sum, samples := 0.0, 0
-	for d.now = 0; d.now < 20*time.Second; d.now += d.every {
-		d.finish()
-		d.send()
+	for d.now = 0; d.now < 20*time.Second; d.now += d.interval {
+		d.finishRequests()
+		d.sendRequest()
 		for i, r := range d.hosts {
-			if shared && (d.now+time.Duration(i)*d.every)%simExchange < d.every {
-				d.exchange(i, r, spread)
+			if exchange && (d.now+time.Duration(i)*d.interval)%simExchangeInterval < d.interval {
+				d.exchangeLoads(i, r, spread)
 			}
 		}
 		if d.now > 2*time.Second {
-			sum += d.unevenness()
+			sum += d.maxOverMean()
 			samples++
 		}
 	}
 	return sum / float64(samples)
 }
 
-func (d *dataCentre) exchange(i int, r *Registry, spread bool) {
-	d.tellers[i].Note(r.Observations())
-	l := d.tellers[i].Take(d.board.Exchange(d.tellers[i].Report(d.now), d.now), d.now)
+func (d *simulation) exchangeLoads(i int, r *Registry, spread bool) {
+	d.reporters[i].Note(r.Observations())
+	l := d.reporters[i].Take(d.board.Exchange(d.reporters[i].Report(d.now), d.now), d.now)
 	if !spread {
 		l.Hosts = 0
 	}
 	r.ApplyUpdate(l, d.now)
 }
 
-func (d *dataCentre) send() {
+func (d *simulation) sendRequest() {
 	i := d.rng.IntN(len(d.hosts))
 	c, _ := d.hosts[i].Pick(Query{Service: "s"}, d.now)
 	c.RecordSend(nil, d.now)
 	d.running[c.ID]++
-	e := end{d.now + time.Duration(d.rng.ExpFloat64()*float64(d.work)), i, c.ID, Served}
-	for k := range d.broken {
+	e := pendingRequest{d.now + time.Duration(d.rng.ExpFloat64()*float64(d.workTime)), i, c.ID, Served}
+	for k := range d.brokenTargets {
 		if c.ID == fmt.Sprintf("t%d", k) {
-			e.at, e.outcome = d.now+simReset, Failed
+			e.at, e.outcome = d.now+simResetDelay, Failed
 			d.failed++
 		}
 	}
-	d.ends = append(d.ends, e)
+	d.pending = append(d.pending, e)
 }
 
-func (d *dataCentre) finish() {
-	var left []end
-	for _, e := range d.ends {
+func (d *simulation) finishRequests() {
+	var left []pendingRequest
+	for _, e := range d.pending {
 		if e.at > d.now {
 			left = append(left, e)
 			continue
@@ -221,12 +224,12 @@
 		if e.outcome == Failed {
 			continue
 		}
-		t.RecordLoadReport(request.Load{Running: d.running[e.id], Places: simPlaces}, d.now)
+		t.RecordLoadReport(request.Load{Running: d.running[e.id], Places: simCapacity}, d.now)
 	}
-	d.ends = left
+	d.pending = left
 }
 
-func (d *dataCentre) unevenness() float64 {
+func (d *simulation) maxOverMean() float64 {
 	most, sum := 0, 0
 	for _, n := range d.running {
 		most, sum = max(most, n), sum+n
@@ -234,32 +237,33 @@
 	return float64(most) * float64(d.targets) / float64(max(1, sum))
 }
 
-// Hosts that know the same do not all choose the same target.
-func TestSharingSpreadsLoad(t *testing.T) {
-	for _, s := range []scene{
+// Hosts with the same information must not all choose the same target.
+func TestLoadExchangeSpreadsLoad(t *testing.T) {
+	for _, s := range []scenario{
 		{17, 27, 8 * time.Millisecond, 640 * time.Millisecond, 0},
 		{40, 27, 8 * time.Millisecond, 640 * time.Millisecond, 0},
 		{40, 40, 8 * time.Millisecond, 960 * time.Millisecond, 0},
 	} {
-		alone := newDataCentre(s).play(false, false)
-		herd := newDataCentre(s).play(true, false)
-		spread := newDataCentre(s).play(true, true)
-		t.Logf("%d hosts, %d targets, busiest over mean: alone %.2f, told %.2f, told and spread %.2f", s.hosts, s.targets, alone, herd, spread)
-		require.Less(t, spread, 0.85*alone)
-		require.Less(t, spread, 0.85*herd)
+		isolated := newSimulation(s).run(false, false)
+		shared := newSimulation(s).run(true, false)
+		spread := newSimulation(s).run(true, true)
+		t.Logf("%d hosts, %d targets, busiest over mean: isolated %.2f, exchange %.2f, exchange and spread %.2f", s.hosts, s.targets, isolated, shared, spread)
+		require.Less(t, spread, 0.85*isolated)
+		require.Less(t, spread, 0.85*shared)
 	}
 }
 
-// Hosts find targets that reset connections together, not each by itself.
-func TestBrokenTargetsAreFoundTogether(t *testing.T) {
-	for _, s := range []scene{
+// Hosts that exchange loads find targets that reset connections together, not each by its own
+// failed requests.
+func TestLoadExchangeHalvesFailuresAtBrokenTargets(t *testing.T) {
+	for _, s := range []scenario{
 		{17, 27, 4 * time.Millisecond, 320 * time.Millisecond, 3},
 		{40, 27, 4 * time.Millisecond, 320 * time.Millisecond, 3},
 	} {
-		alone, told := newDataCentre(s), newDataCentre(s)
-		alone.play(false, false)
-		told.play(true, true)
-		t.Logf("%d hosts: failed alone %d, told %d", s.hosts, alone.failed, told.failed)
-		require.Less(t, told.failed, alone.failed/2)
+		isolated, shared := newSimulation(s), newSimulation(s)
+		isolated.run(false, false)
+		shared.run(true, true)
+		t.Logf("%d hosts: failed isolated %d, with exchange %d", s.hosts, isolated.failed, shared.failed)
+		require.Less(t, shared.failed, isolated.failed/2)
 	}
 }
--- a/core/balance/idleconns.go
+++ b/core/balance/idleconns.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// idleKept is how long an idle connection is taken to live: targets keep theirs
-	// for ten seconds and more.
-	idleKept = 8 * time.Second
-	// idleMost bounds the idle connections counted of one target.
-	idleMost = 8
+	// idleConnTimeout is the assumed lifetime of an idle connection: targets keep theirs for ten
+	// seconds or longer.
+	idleConnTimeout = 8 * time.Second
+	// maxIdleConns bounds the idle connections counted per target.
+	maxIdleConns = 8
 )
 
-// idleConnections estimates the idle connections to a target by the requests that
-// began and ended there.
-type idleConnections struct {
-	n    int
-	last time.Duration // when the newest fell idle
+// idleConns estimates the number of idle connections to a target from the requests that started
+// and ended there.
+type idleConns struct {
+	n          int
+	lastIdleAt time.Duration // when the newest connection became idle
 }
 
-func (c *idleConnections) any(now time.Duration) bool { return c.n > 0 && now-c.last < idleKept }
+func (c *idleConns) available(now time.Duration) bool {
+	return c.n > 0 && now-c.lastIdleAt < idleConnTimeout
+}
 
-func (c *idleConnections) take(now time.Duration) {
-	if !c.any(now) {
+func (c *idleConns) take(now time.Duration) {
+	if !c.available(now) {
 		c.n = 0
 		return
 	}
 	c.n--
 }
 
-func (c *idleConnections) put(now time.Duration) {
-	if !c.any(now) {
+func (c *idleConns) put(now time.Duration) {
+	if !c.available(now) {
 		c.n = 0
 	}
-	c.n, c.last = min(idleMost, c.n+1), now
+	c.n, c.lastIdleAt = min(maxIdleConns, c.n+1), now
 }
--- a/core/balance/latency.go
+++ b/core/balance/latency.go
@@ -5,87 +5,87 @@
 	"time"
 )
 
-// Pace of plain targets: how long one takes for a kind of work against what all targets
-// of the service take for it. It answers targets that turn slow under a burst. Engines
-// are judged by the times of their events instead, see speed: a ratio that multiplies the
-// cost of load would make turns flee from engines that read prompts, and the reading again
-// elsewhere would spread it.
+// Relative latency of plain targets: the time that a target takes for a kind of work relative to
+// the mean of all targets of the service. It detects targets that become slow under a burst.
+// Engines are compared by the times of their events instead, see eventTimeModel: a factor on the
+// cost of load would drive turns away from engines that are prefilling prompts, and prefilling
+// the prompts again elsewhere would spread the slowdown.
 const (
-	// paceStep is the weight of one observation of a target: work of one kind varies by
-	// as much as its mean, so it takes some to make a verdict.
-	paceStep = 0.06
-	// typicalStep is the weight of one observation in the mean over all targets.
-	typicalStep = 0.02
-	// paceMost bounds a ratio, so that one stalled answer is not remembered for long.
-	paceMost = 8
-	// paceHalfLife lets a target that was slow be tried again.
-	paceHalfLife = 3 * time.Second
-	// paceTolerance is the ratio to the fastest up to which a target counts as normal:
-	// targets of one service differ by some tenths, a full one is slower, and the
-	// fastest of many owes some of it to luck. Below it bytes cross data centres for
-	// nothing.
-	paceTolerance = 2
-	// pacesEvery bounds how often the fastest target of a service is looked for.
-	pacesEvery = 100 * time.Millisecond
+	// latencyGain is the weight of one observation of a target. Work of one kind varies by as
+	// much as its mean, so a verdict needs several observations.
+	latencyGain = 0.06
+	// typicalGain is the weight of one observation in the mean over all targets.
+	typicalGain = 0.02
+	// maxLatencyRatio bounds a ratio, so that one stalled answer does not count for long.
+	maxLatencyRatio = 8
+	// latencyHalfLife lets a slow target be retried.
+	latencyHalfLife = 3 * time.Second
+	// latencyTolerance is the ratio to the fastest target up to which a target counts as normal:
+	// targets of one service differ by some tenths, a full target is slower, and the fastest of
+	// many is partly so by chance. With a lower tolerance requests cross data centres for no
+	// gain.
+	latencyTolerance = 2
+	// minLatencyRefreshInterval bounds how often the lowest ratio of a service is computed.
+	minLatencyRefreshInterval = 100 * time.Millisecond
 )
 
-// pace is the running mean of one target's ratios.
-type pace struct {
+// relativeLatency is the moving average of the latency ratios of one target.
+type relativeLatency struct {
 	ratio float64
 	at    time.Duration
 	known bool
 }
 
-// by is the ratio, faded towards 1 since the last observation.
-func (p *pace) by(now time.Duration) float64 {
+// decayed returns the ratio, decayed towards 1 since the last observation.
+func (p *relativeLatency) decayed(now time.Duration) float64 {
 	if !p.known {
 		return 1
 	}
-	return 1 + (p.ratio-1)*fading(now-p.at, paceHalfLife)
+	return 1 + (p.ratio-1)*decay(now-p.at, latencyHalfLife)
 }
 
-func (p *pace) observe(ratio float64, now time.Duration) {
-	ratio = min(paceMost, max(1/float64(paceMost), ratio))
-	p.ratio = p.by(now) + paceStep*(ratio-p.by(now))
+func (p *relativeLatency) observe(ratio float64, now time.Duration) {
+	ratio = min(maxLatencyRatio, max(1/float64(maxLatencyRatio), ratio))
+	p.ratio = p.decayed(now) + latencyGain*(ratio-p.decayed(now))
 	p.at, p.known = now, true
 }
 
-// RecordDuration notes how long the target took for a piece of work; only times of the same
-// kind of work are compared.
-func (r *Registry) RecordDuration(target, work string, d time.Duration, now time.Duration) {
+// RecordDuration records how long the target took for a request; only durations of the same kind
+// of work are compared.
+func (r *Registry) RecordDuration(target, workKind string, duration time.Duration, now time.Duration) {
 	t := r.targets[target]
-	if t == nil || d <= 0 {
+	if t == nil || duration <= 0 {
 		return
 	}
-	if r.told(t.service, now) {
-		r.took(t, work, d, now)
+	if r.usesPredictedFinish(t.service, now) {
+		r.recordNormalizedDuration(t, workKind, duration, now)
 		return
 	}
-	typical, known := r.typical[work]
+	typical, known := r.typicalTimes[workKind]
 	if !known {
-		typical = float64(d)
+		typical = float64(duration)
 	}
-	t.pace.observe(float64(d)/typical, now)
-	r.typical[work] = typical + typicalStep*(min(float64(d), paceMost*typical)-typical)
+	t.latency.observe(float64(duration)/typical, now)
+	r.typicalTimes[workKind] = typical + typicalGain*(min(float64(duration), maxLatencyRatio*typical)-typical)
 }
 
-// fastest is the lowest ratio among the targets of a service.
-func (s *service) fastest(now time.Duration) float64 {
-	if s.pacedAt > 0 && now-s.pacedAt < pacesEvery {
-		return s.paced
+// minLatencyRatio returns the lowest ratio of the targets of a service.
+func (s *service) minLatencyRatio(now time.Duration) float64 {
+	if s.minLatencyAt > 0 && now-s.minLatencyAt < minLatencyRefreshInterval {
+		return s.minLatency
 	}
-	s.pacedAt, s.paced = now, math.Inf(1)
+	s.minLatencyAt, s.minLatency = now, math.Inf(1)
 	for _, t := range s.targets {
-		s.paced = min(s.paced, t.pace.by(now))
+		s.minLatency = min(s.minLatency, t.latency.decayed(now))
 	}
-	return s.paced
+	return s.minLatency
 }
 
-// slowness is how many times slower than the fastest the target is; 1 if it is not
-// clearly slower.
-func (t *Target) slowness(fastest float64, now time.Duration) float64 {
-	ratio := t.pace.by(now) / fastest
-	if ratio < paceTolerance {
+// relativeSlowness returns how many times slower than the fastest target the target is, or 1 if
+// the ratio is below the tolerance.
+func (t *Target) relativeSlowness(fastest float64, now time.Duration) float64 {
+	ratio := t.latency.decayed(now) / fastest
+	if ratio < latencyTolerance {
 		return 1
 	}
 	return ratio
--- a/core/balance/latency_test.go
+++ b/core/balance/latency_test.go
@@ -11,23 +11,23 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-// observe tells the registry of n answers of each target, one after the other.
-func observe(r *Registry, n int, now time.Duration, took map[string]time.Duration) {
+// recordDurations records n answers of each target, in turn.
+func recordDurations(r *Registry, n int, now time.Duration, durations map[string]time.Duration) {
 	for range n {
-		for _, id := range slices.Sorted(maps.Keys(took)) {
-			r.RecordDuration(id, "work", took[id], now)
+		for _, id := range slices.Sorted(maps.Keys(durations)) {
+			r.RecordDuration(id, "work", durations[id], now)
 		}
 	}
 }
 
-// Two of four targets turn seven times slower while all places of the fast ones are
-// nearly taken: the slow ones are left out although they are emptier.
-func TestSlowTargetsGetLess(t *testing.T) {
-	r := registryOf(4)
+// Two of four targets become seven times slower while the fast ones are nearly full: the slow
+// ones are avoided although they have fewer requests.
+func TestSlowPlainTargetsAreAvoidedUntilOthersQueue(t *testing.T) {
+	r := newTestRegistry(4)
 	now := time.Second
 	fast, slow := 30*time.Millisecond, 210*time.Millisecond
-	observe(r, 20, now, map[string]time.Duration{"t0": fast, "t1": fast, "t2": fast, "t3": fast})
-	observe(r, 20, now, map[string]time.Duration{"t0": slow, "t1": slow, "t2": fast, "t3": fast})
+	recordDurations(r, 20, now, map[string]time.Duration{"t0": fast, "t1": fast, "t2": fast, "t3": fast})
+	recordDurations(r, 20, now, map[string]time.Duration{"t0": slow, "t1": slow, "t2": fast, "t3": fast})
 	target(t, r, "t2").RecordLoadReport(request.Load{Running: 8, Places: 10}, now)
 	target(t, r, "t3").RecordLoadReport(request.Load{Running: 9, Places: 10}, now)
 	require.Equal(t, "t2", pick(t, r, Query{}))
@@ -37,31 +37,31 @@
 	require.Contains(t, []string{"t0", "t1"}, pick(t, r, Query{}))
 }
 
-func TestSlowTargetIsTriedAgain(t *testing.T) {
-	r := registryOf(2)
-	observe(r, 20, time.Second, map[string]time.Duration{"t0": 210 * time.Millisecond, "t1": 30 * time.Millisecond})
+func TestSlowPlainTargetIsRetriedAfterDecay(t *testing.T) {
+	r := newTestRegistry(2)
+	recordDurations(r, 20, time.Second, map[string]time.Duration{"t0": 210 * time.Millisecond, "t1": 30 * time.Millisecond})
 	for range 4 {
 		target(t, r, "t1").RecordSend(nil, time.Second)
 	}
 	require.Equal(t, "t1", pick(t, r, Query{}))
-	c, ok := r.Pick(Query{Service: "s"}, time.Second+5*paceHalfLife)
+	c, ok := r.Pick(Query{Service: "s"}, time.Second+5*latencyHalfLife)
 	require.True(t, ok)
 	require.Equal(t, "t0", c.ID)
 }
 
-// Targets of one service differ by some tenths; that does not move requests.
-func TestUsualDifferencesOfPaceDoNotCount(t *testing.T) {
-	r := registryOf(2)
-	observe(r, 40, time.Second, map[string]time.Duration{"t0": 40 * time.Millisecond, "t1": 30 * time.Millisecond})
-	require.Equal(t, "t0", pick(t, r, Query{}), "the near one")
+// Targets of one service differ by some tenths; that must not move requests.
+func TestSmallLatencyDifferencesAreTolerated(t *testing.T) {
+	r := newTestRegistry(2)
+	recordDurations(r, 40, time.Second, map[string]time.Duration{"t0": 40 * time.Millisecond, "t1": 30 * time.Millisecond})
+	require.Equal(t, "t0", pick(t, r, Query{}), "near target")
 }
 
-func TestPaceComparesOnlyTheSameKindOfWork(t *testing.T) {
-	r := registryOf(2)
+func TestLatencyIsComparedPerKindOfWork(t *testing.T) {
+	r := newTestRegistry(2)
 	for range 40 {
 		r.RecordDuration("t0", "long", 200*time.Millisecond, time.Second)
 		r.RecordDuration("t1", "short", 10*time.Millisecond, time.Second)
 	}
-	require.Equal(t, "t0", pick(t, r, Query{}), "the near one")
+	require.Equal(t, "t0", pick(t, r, Query{}), "near target")
 	r.RecordDuration("gone", "long", time.Second, time.Second)
 }
--- a/core/balance/load.go
+++ b/core/balance/load.go
@@ -8,66 +8,70 @@
 )
 
 const (
-	// wordTrust is how long a target's word of its load counts in full: some turns.
-	wordTrust = time.Second
-	// wordHalfLife halves it from then on.
-	wordHalfLife = time.Second
-	// emptyWords is what a service of which nothing is heard counts as empty, in words:
-	// a host that turned everybody away hears nothing, and must open again.
-	emptyWords = 0.75
+	// reportTrustWindow is how long a load report counts in full: a few turns.
+	reportTrustWindow = time.Second
+	// reportHalfLife is the half-life of a load report after that.
+	reportHalfLife = time.Second
+	// emptyPriorWeight is the weight, in load reports, of the prior that a service is empty. A
+	// host that has rejected all requests receives no reports and must accept requests again.
+	emptyPriorWeight = 0.75
 )
 
-// RecordLoadReport takes the load that an answer reports.
+// RecordLoadReport records the load report of an answer from the target.
 func (t *Target) RecordLoadReport(load request.Load, now time.Duration) {
 	t.reported, t.reportedAt, t.hasReport = load, now, true
-	t.told.word, t.told.hasWord = loads.Word{Load: load, At: now}, true
+	t.exchange.localReport, t.exchange.hasLocalReport = loads.Word{Load: load, At: now}, true
 	if load.Places > 0 {
 		t.Capacity = load.Places
 	}
-	t.service.words.add(t.perPlace(float64(load.Running+load.Waiting)), now, wordHalfLife)
+	t.service.reportedLoads.add(t.relativeLoad(float64(load.Running+load.Waiting)), now, reportHalfLife)
 }
 
-// perPlace is a number of requests over the target's places.
-func (t *Target) perPlace(requests float64) float64 {
+// relativeLoad returns a number of requests relative to the capacity of the target.
+func (t *Target) relativeLoad(requests float64) float64 {
 	return requests / float64(max(1, t.Capacity))
 }
 
-// Load is the estimate of the requests at the target by which targets are compared: hosts that
-// know the same differ in it, so that they do not all choose the same.
-func (t *Target) Load(now time.Duration) int { return t.spread(t.estimate(now), now) }
+// Load returns the estimated number of requests at the target that is used to compare targets.
+// Hosts with the same information get different estimates, so that they do not all choose the
+// same target.
+func (t *Target) Load(now time.Duration) int { return t.withExpectedSends(t.estimate(now), now) }
 
-// estimate is the requests at the target, by what all hosts know as far as they tell each other.
+// estimate returns the number of requests at the target, from the information that hosts share.
 func (t *Target) estimate(now time.Duration) int {
-	return t.together(t.estimateAlone(now), now)
+	return t.withOthersInFlight(t.localEstimate(now), now)
 }
 
-// estimateAlone is the larger of the target's own count and this host's; one that was never
-// heard is taken to be new and empty.
-// A target's own word fades to the mean of the words of its service. Hosts that are many
-// hear a target once in seconds; one that counted as empty then, although all that were
-// heard were full, would draw what the engines cannot do, and nobody would be turned away.
-func (t *Target) estimateAlone(now time.Duration) int {
+// localEstimate returns the larger of the target's load report and this host's own count of
+// requests there. A target that has never reported is treated as new and empty.
+//
+// An old load report decays to the mean of the reports of its service. Among many hosts, each
+// receives a report from a target once in several seconds. If the target then counted as empty
+// although all that reported were full, it would attract more than the engines can serve, and no
+// program would be rejected.
+func (t *Target) localEstimate(now time.Duration) int {
 	if !t.hasReport {
 		return t.inFlight
 	}
-	told := float64(t.reported.Running + t.reported.Waiting)
-	if age := now - t.reportedAt; age > wordTrust {
-		kept := fading(age-wordTrust, wordHalfLife)
-		mean := t.service.words.by(now, wordHalfLife, 0, emptyWords) * float64(t.Capacity)
-		told = kept*told + (1-kept)*mean
+	reported := float64(t.reported.Running + t.reported.Waiting)
+	if age := now - t.reportedAt; age > reportTrustWindow {
+		retained := decay(age-reportTrustWindow, reportHalfLife)
+		mean := t.service.reportedLoads.mean(now, reportHalfLife, 0, emptyPriorWeight) * float64(t.Capacity)
+		reported = retained*reported + (1-retained)*mean
 	}
-	return max(t.inFlight, int(told))
+	return max(t.inFlight, int(reported))
 }
 
-// MeanLoad is the load of a service in some data centres over its places.
-func (r *Registry) MeanLoad(name string, in DataCentreSet, now time.Duration) float64 {
-	load, places := 0, 0
-	for _, t := range r.of(name).targets {
-		if t.Draining || t.Unreachable || t.evacuated || !in.has(t.DataCentre) {
+// MeanLoad returns the load of a service in some data centres, relative to their capacity.
+// Draining, unreachable and evacuated targets are left out.
+func (r *Registry) MeanLoad(name string, dataCentres DataCentreSet, now time.Duration) float64 {
+	load, capacity := 0, 0
+	for _, t := range r.serviceNamed(name).targets {
+		if t.Draining || t.Unreachable || t.evacuated || !dataCentres.has(t.DataCentre) {
 			continue
 		}
 		load += t.estimate(now)
-		places += t.Capacity
+		capacity += t.Capacity
 	}
-	return float64(load) / float64(max(1, places))
+	return float64(load) / float64(max(1, capacity))
 }
--- a/core/balance/plaintime.go
+++ b/core/balance/plaintime.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// plainTime is the expected time of a plain request at the target, in nanoseconds. Work on
-// a free place takes no longer because another place is busy.
-func (t *Target) plainTime(v *view, load float64) float64 {
-	return v.work * t.own.factor(v.now) * t.slowdown(v.now) * (1 + t.queued(load))
+// plainTime returns the expected time of a plain request at the target, in nanoseconds. Requests
+// below the target's capacity do not slow each other down.
+func (t *Target) plainTime(sel *selection, load float64) float64 {
+	return sel.workTime * t.intrinsic.factor(sel.now) * t.slowdown(sel.now) * (1 + t.waitShare(load))
 }
 
-// workOf is how long a kind of plain work usually takes, in nanoseconds.
-func (r *Registry) workOf(kind string) float64 {
-	return cmp.Or(r.typical[kind], float64(assumedWork))
+// typicalTime returns the usual time of a kind of plain work, in nanoseconds.
+func (r *Registry) typicalTime(kind string) float64 {
+	return cmp.Or(r.typicalTimes[kind], float64(defaultWorkTime))
 }
 
-// took notes the time of a plain request at a target that tells its slowdown, as if the
-// target were as usual.
-func (r *Registry) took(t *Target, work string, d, now time.Duration) {
-	usual := float64(d) / t.slowdown(now)
-	typical, known := r.typical[work]
+// recordNormalizedDuration records the duration of a plain request at a target that reports its
+// slowdown, divided by that slowdown.
+func (r *Registry) recordNormalizedDuration(t *Target, workKind string, duration, now time.Duration) {
+	normalized := float64(duration) / t.slowdown(now)
+	typical, known := r.typicalTimes[workKind]
 	if !known {
-		typical = usual
+		typical = normalized
 	}
 	if t.reported.Waiting == 0 {
-		t.own.observe(usual/typical, now)
+		t.intrinsic.observe(normalized/typical, now)
 	}
-	r.typical[work] = typical + typicalStep*(min(usual, paceMost*typical)-typical)
+	r.typicalTimes[workKind] = typical + typicalGain*(min(normalized, maxLatencyRatio*typical)-typical)
 }
--- a/core/balance/predict.go
+++ b/core/balance/predict.go
@@ -5,101 +5,103 @@
 	"time"
 )
 
-// Choice by predicted finish, for services whose targets tell their slowdown: how long the
-// request is expected to take at each target, and what it costs others beside. Services whose
-// targets do not tell are served by the cost of their load.
+// Choice by predicted finish, for services whose targets report their slowdown: the expected
+// time of the request at each target plus the delay it causes to others. Services whose targets
+// report none are chosen by the cost of their load.
 
-// Prices that are not time of the request itself, as the time for which they are worth paying.
+// Penalties for costs other than the time of the request itself, as the time for which they are
+// worth paying.
 const (
-	// crossTime is what must be gained by sending a request to another data centre: the
-	// way, and bytes that are dear. It is more than the wait in a short queue, so that only
-	// what finds no room at home leaves.
-	crossTime = 100 * time.Millisecond
-	// crossTokenTime is what each token of a prompt adds, so that first turns and
-	// small prompts leave before long ones do. A prompt read elsewhere is read there next
-	// time as well, unless it comes home: with this it does as soon as there is room.
-	crossTokenTime = 5 * time.Microsecond
-	// connectTime is what must be gained by opening a connection.
-	connectTime = 40 * time.Millisecond
-	// assumedWork is how long a plain request takes until some have been seen.
-	assumedWork = 100 * time.Millisecond
-	// assumedEvent is the same for an event of a stream.
-	assumedEvent = 40 * time.Millisecond
+	// crossDataCentreTime is the time that must be saved by sending a request to another data
+	// centre, for the latency and the price of the bytes. It is more than the wait in a short
+	// queue, so that only requests that find no capacity in their own data centre leave it.
+	crossDataCentreTime = 100 * time.Millisecond
+	// crossDataCentreTokenTime is added for each token of a prompt, so that first turns and
+	// small prompts leave before long ones do. A prompt prefilled in another data centre is also
+	// prefilled there at the next turn unless it returns; with this penalty it returns as soon
+	// as there is free capacity.
+	crossDataCentreTokenTime = 5 * time.Microsecond
+	// newConnectionTime is the time that must be saved by opening a connection.
+	newConnectionTime = 40 * time.Millisecond
+	// defaultWorkTime is the time of a plain request until some have been observed.
+	defaultWorkTime = 100 * time.Millisecond
+	// defaultEventTime is the time of an event of a stream until some have been observed.
+	defaultEventTime = 40 * time.Millisecond
 )
 
 const (
-	// busyHint is what a plain target whose places are nearly taken costs more, as a part
-	// of the work: words of load are late, so it may be full by now.
-	busyHint = 0.3
-	// scatter is the part of the work by which equal targets differ, by the request, so
-	// that hosts that know the same do not all choose the same one.
-	scatter = 0.1
+	// occupancyPenalty is the extra cost of a plain target that is nearly full, as a part of the
+	// work: load reports are delayed, so the target may be full by now.
+	occupancyPenalty = 0.3
+	// tieBreakShare is the part of the work by which the costs of equal targets differ per
+	// request, so that hosts with the same information do not all choose the same target.
+	tieBreakShare = 0.1
 )
 
-// predict is the time after which the request is expected to be done at the target.
-func (r *Registry) predict(t *Target, v *view) time.Duration {
-	load := t.perPlace(float64(t.Load(v.now)))
-	if v.q.PromptTokens == 0 {
-		return time.Duration(t.plainTime(v, load))
+// predict returns the time after which the request is expected to be done at the target.
+func (r *Registry) predict(t *Target, sel *selection) time.Duration {
+	load := t.relativeLoad(float64(t.Load(sel.now)))
+	if sel.query.PromptTokens == 0 {
+		return time.Duration(t.plainTime(sel, load))
 	}
-	return time.Duration(t.turnTime(v, load))
+	return time.Duration(t.turnTime(sel, load))
 }
 
-// finishCost is the predicted time of the request at the target and the prices of
-// the choice, in nanoseconds.
-func (r *Registry) finishCost(t *Target, v *view) float64 {
-	load := t.perPlace(float64(t.Load(v.now)))
-	cost := v.work * (r.weights.Failure*min(faultMost, t.fade(v.now)) + scatter*t.lot(v))
-	if v.q.PromptTokens == 0 {
-		cost += t.plainTime(v, load) + v.work*busyHint*min(1, load)
+// finishCost returns the predicted time of the request at the target plus penalties, in
+// nanoseconds.
+func (r *Registry) finishCost(t *Target, sel *selection) float64 {
+	load := t.relativeLoad(float64(t.Load(sel.now)))
+	cost := sel.workTime * (r.weights.Failure*min(maxFailures, t.decayedFailures(sel.now)) + tieBreakShare*t.tieBreak(sel))
+	if sel.query.PromptTokens == 0 {
+		cost += t.plainTime(sel, load) + sel.workTime*occupancyPenalty*min(1, load)
 	} else {
-		cost += t.turnCost(v, load)
+		cost += t.turnCost(sel, load)
 	}
 	if t.DataCentre != r.dataCentre {
-		cost += float64(crossTime) + float64(v.q.PromptTokens)*float64(crossTokenTime)
+		cost += float64(crossDataCentreTime) + float64(sel.query.PromptTokens)*float64(crossDataCentreTokenTime)
 	}
-	if !t.idle.any(v.now) {
-		cost += float64(connectTime)
+	if !t.idleConns.available(sel.now) {
+		cost += float64(newConnectionTime)
 	}
 	return cost
 }
 
-// lot is a number in [0, 1) by request and target.
-func (t *Target) lot(v *view) float64 {
+// tieBreak returns a number in [0, 1) that is a hash of request and target.
+func (t *Target) tieBreak(sel *selection) float64 {
 	f := fnv.New64a()
-	_, _ = f.Write([]byte(t.ID)) // a hash takes all
-	x := f.Sum64() ^ uint64(v.q.Draw*(1<<52))
+	_, _ = f.Write([]byte(t.ID)) // Write to a hash never fails
+	x := f.Sum64() ^ uint64(sel.query.Draw*(1<<52))
 	x *= 0x9e3779b97f4a7c15
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
 	return float64(x>>11) / (1 << 53)
 }
 
-// queued is how many requests must end before one more gets a place, over the places:
-// about the part of a request's time that it waits.
-func (t *Target) queued(load float64) float64 { return max(0, load-1+t.perPlace(1)) }
+// waitShare returns how many requests must end before one more can start, relative to capacity.
+// This is approximately the part of a request's time that it waits.
+func (t *Target) waitShare(load float64) float64 { return max(0, load-1+t.relativeLoad(1)) }
 
-// own is how many times slower than the mean of its service a target is by itself, whatever
-// its slowdown: an engine on a lesser processor stays so.
-type own struct{ recent }
+// intrinsicSlowdown is how many times slower than the mean of its service a target is regardless
+// of its reported slowdown; an engine on a slower processor stays so.
+type intrinsicSlowdown struct{ decayingMean }
 
 const (
-	// ownHalfLife is long, since what it holds does not change by itself, and short enough
-	// to try a target again that was slow by a fault.
-	ownHalfLife = 10 * time.Second
-	// ownPrior is what a usual target counts, in observations.
-	ownPrior = 4
-	// ownMost bounds one observation.
-	ownMost = 4
+	// intrinsicHalfLife is long, since the cause does not change by itself, and short enough to
+	// retry a target that was slow because of a fault.
+	intrinsicHalfLife = 10 * time.Second
+	// intrinsicPriorWeight is the weight of the prior factor 1, in observations.
+	intrinsicPriorWeight = 4
+	// maxIntrinsicRatio bounds one observation.
+	maxIntrinsicRatio = 4
 )
 
-func (o *own) observe(ratio float64, now time.Duration) {
-	o.add(min(ownMost, max(1/float64(ownMost), ratio)), now, ownHalfLife)
+func (o *intrinsicSlowdown) observe(ratio float64, now time.Duration) {
+	o.add(min(maxIntrinsicRatio, max(1/float64(maxIntrinsicRatio), ratio)), now, intrinsicHalfLife)
 }
 
-func (o *own) factor(now time.Duration) float64 {
+func (o *intrinsicSlowdown) factor(now time.Duration) float64 {
 	if o.weight == 0 {
 		return 1
 	}
-	return o.by(now, ownHalfLife, 1, ownPrior)
+	return o.mean(now, intrinsicHalfLife, 1, intrinsicPriorWeight)
 }
--- a/core/balance/regression.go
+++ b/core/balance/regression.go
@@ -1,49 +1,50 @@
 package balance
 
-// line is a running linear fit of y over x.
-type line struct {
-	n, x, y, xx, xy float64
+// regression is a linear least-squares fit of y over x with exponential forgetting.
+type regression struct {
+	weight, sumX, sumY, sumXX, sumXY float64
 }
 
 const (
-	// lineKept is what one observation leaves of those before: some thousand count,
-	// the events of a hundred streams. With two hundred the fit followed a burst.
-	lineKept = 0.999
-	// lineLeast observations make a fit.
-	lineLeast = 20
+	// regressionRetention is the weight that earlier observations keep at each observation.
+	// About a thousand observations count, the events of a hundred streams; with two hundred the
+	// fit followed a burst.
+	regressionRetention = 0.999
+	// minRegressionWeight is the weight of observations that a fit needs.
+	minRegressionWeight = 20
 )
 
-// observe takes one observation.
-func (l *line) observe(x, y float64) {
-	for _, v := range []*float64{&l.n, &l.x, &l.y, &l.xx, &l.xy} {
-		*v *= lineKept
+// observe adds an observation.
+func (l *regression) observe(x, y float64) {
+	for _, v := range []*float64{&l.weight, &l.sumX, &l.sumY, &l.sumXX, &l.sumXY} {
+		*v *= regressionRetention
 	}
-	l.n++
-	l.x += x
-	l.y += y
-	l.xx += x * x
-	l.xy += x * y
+	l.weight++
+	l.sumX += x
+	l.sumY += y
+	l.sumXX += x * x
+	l.sumXY += x * y
 }
 
-// fit returns y at 0 and what one unit of x adds. It needs some observations whose x
-// differ by more than a variance of spread.
-func (l *line) fit(spread float64) (at0, slope float64, ok bool) {
-	if l.n < lineLeast {
+// fit returns y at 0 and the increase of y per unit of x. It needs enough observations whose x
+// have at least a variance of minVariance.
+func (l *regression) fit(minVariance float64) (at0, slope float64, ok bool) {
+	if l.weight < minRegressionWeight {
 		return 0, 0, false
 	}
-	mx, my := l.x/l.n, l.y/l.n
-	variance := l.xx/l.n - mx*mx
-	if variance < spread {
+	meanX, meanY := l.sumX/l.weight, l.sumY/l.weight
+	variance := l.sumXX/l.weight - meanX*meanX
+	if variance < minVariance {
 		return 0, 0, false
 	}
-	slope = (l.xy/l.n - mx*my) / variance
-	return my - slope*mx, slope, true
+	slope = (l.sumXY/l.weight - meanX*meanY) / variance
+	return meanY - slope*meanX, slope, true
 }
 
-// mean returns the mean of y, 0 without observations.
-func (l *line) mean() float64 {
-	if l.n == 0 {
+// mean returns the mean of y, or 0 without observations.
+func (l *regression) mean() float64 {
+	if l.weight == 0 {
 		return 0
 	}
-	return l.y / l.n
+	return l.sumY / l.weight
 }
--- a/core/balance/slowdown.go
+++ b/core/balance/slowdown.go
@@ -5,89 +5,91 @@
 	"time"
 )
 
-// Slowdown of targets that share their hosts with others: how many times longer work takes
-// there at the moment, as the targets' own words tell. A word is worth something for as long
-// as the target stays as it was; after that a target counts as the mean of its service.
+// Slowdown of targets that share their hosts with others: how many times longer than usual work
+// takes there at the moment, from the targets' own load reports. A report is useful as long as
+// the target stays in the same state; after that the target counts as the mean of its service.
 const (
-	// slowPhase is how long a target stays slow, and slowShare the part of targets that are
-	// slow at a time, where a word changes many times in some seconds.
-	slowPhase = 600 * time.Millisecond
-	slowShare = 0.15
-	// meanHalfLife is of a target's word in the mean of its service, which changes slowly.
-	meanHalfLife = 4 * time.Second
-	// meanPrior is what a usual target counts in the mean, in words.
-	meanPrior = 0.5
-	// slowdownsEvery bounds how often the mean of a service is worked out.
-	slowdownsEvery = 100 * time.Millisecond
-	// slowdownMost bounds a word, so that one that is out of all measure does not weigh
-	// more than a target that must be left.
-	slowdownMost = 16
+	// slowPhaseDuration is how long a target stays slow, and slowShare the part of targets that
+	// are slow at a time, in a fleet whose slowdowns change many times in a few seconds.
+	slowPhaseDuration = 600 * time.Millisecond
+	slowShare         = 0.15
+	// slowdownMeanHalfLife is the half-life of a report in the mean of its service, which
+	// changes slowly.
+	slowdownMeanHalfLife = 4 * time.Second
+	// slowdownPriorWeight is the weight of the prior slowdown 1 in the mean, in reports.
+	slowdownPriorWeight = 0.5
+	// slowdownRefreshInterval bounds how often the mean of a service is computed.
+	slowdownRefreshInterval = 100 * time.Millisecond
+	// maxSlowdown bounds a reported slowdown, so that an extreme report weighs no more than a
+	// target that must be avoided.
+	maxSlowdown = 16
 )
 
-// slowdownHalfLife halves what a word says beyond the mean. A target that turns slow and
-// usual by chance forgets its state at the sum of both rates, that is within the time of
-// its slow phases times the part of usual ones.
+// slowdownHalfLife returns the half-life of the difference between a report and the mean. The
+// state of a target that changes randomly between slow and usual is forgotten at the sum of both
+// rates, that is, with a time constant of the slow phase times the share of usual targets.
 func slowdownHalfLife() time.Duration {
-	memory := (1 - slowShare) * slowPhase.Seconds()
+	memory := (1 - slowShare) * slowPhaseDuration.Seconds()
 	return time.Duration(math.Ln2 * memory * float64(time.Second))
 }
 
-// slowdowns is what is known of all targets of a service together.
-type slowdowns struct {
-	// told is set while some target's last word has its slowdown, mean is that of a target of
-	// which nothing is known.
-	told bool
-	mean float64
-	at   time.Duration
+// slowdownStats summarizes the slowdowns of all targets of a service.
+type slowdownStats struct {
+	// reported is set if the last load report of some target has a slowdown; mean is the
+	// expected slowdown of a target without a report.
+	reported bool
+	mean     float64
+	at       time.Duration
 }
 
-// slow returns the slowdowns of a service by now.
-func (s *service) slow(now time.Duration) *slowdowns {
+// currentSlowdowns returns the slowdown statistics of the service, refreshed if they are old.
+func (s *service) currentSlowdowns(now time.Duration) *slowdownStats {
 	d := &s.slowdowns
-	if d.mean > 0 && now-d.at < slowdownsEvery {
+	if d.mean > 0 && now-d.at < slowdownRefreshInterval {
 		return d
 	}
-	d.at, d.told = now, false
-	sum, weight := meanPrior, meanPrior
+	d.at, d.reported = now, false
+	sum, weight := slowdownPriorWeight, slowdownPriorWeight
 	for _, t := range s.targets {
-		if !t.tells() {
+		if !t.reportsSlowdown() {
 			continue
 		}
-		d.told = true
-		w := fading(now-t.reportedAt, meanHalfLife)
-		sum += w * t.saidSlowdown()
-		weight += w
+		d.reported = true
+		weightOfReport := decay(now-t.reportedAt, slowdownMeanHalfLife)
+		sum += weightOfReport * t.reportedSlowdown()
+		weight += weightOfReport
 	}
 	d.mean = sum / weight
 	return d
 }
 
-// tells reports whether the target's last word has its slowdown.
-func (t *Target) tells() bool { return t.hasReport && t.reported.Slowdown > 0 }
+// reportsSlowdown reports whether the target's last load report has its slowdown.
+func (t *Target) reportsSlowdown() bool { return t.hasReport && t.reported.Slowdown > 0 }
 
-func (t *Target) saidSlowdown() float64 { return min(slowdownMost, t.reported.Slowdown) }
+func (t *Target) reportedSlowdown() float64 { return min(maxSlowdown, t.reported.Slowdown) }
 
-// slowdown is how many times longer than usual work is expected to take at the target now:
-// its word, fading with its age towards the mean of its service; 1 where none tell.
+// slowdown returns how many times longer than usual work is expected to take at the target now:
+// its report, decayed with its age towards the mean of its service; 1 if no target of the
+// service reports a slowdown.
 func (t *Target) slowdown(now time.Duration) float64 {
-	d := t.service.slow(now)
+	stats := t.service.currentSlowdowns(now)
 	switch {
-	case !d.told:
+	case !stats.reported:
 		return 1
-	case !t.tells():
-		return d.mean
+	case !t.reportsSlowdown():
+		return stats.mean
 	}
-	kept := fading(now-t.reportedAt, slowdownHalfLife())
-	return d.mean + kept*(t.saidSlowdown()-d.mean)
+	retained := decay(now-t.reportedAt, slowdownHalfLife())
+	return stats.mean + retained*(t.reportedSlowdown()-stats.mean)
 }
 
-// ReportsSlowdown reports whether targets of a service tell how long work takes at the moment,
-// so that requests go by predicted finish.
+// ReportsSlowdown reports whether targets of a service report their slowdown, so that requests
+// are routed by predicted finish.
 func (r *Registry) ReportsSlowdown(name string, now time.Duration) bool {
 	s := r.services[name]
-	return s != nil && r.told(s, now)
+	return s != nil && r.usesPredictedFinish(s, now)
 }
 
-func (r *Registry) told(s *service, now time.Duration) bool {
-	return r.weights.PredictedFinish && s.slow(now).told
+func (r *Registry) usesPredictedFinish(svc *service, now time.Duration) bool {
+	return r.weights.PredictedFinish && svc.currentSlowdowns(now).reported
 }
--- a/core/balance/state.go
+++ b/core/balance/state.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// State is what a Registry knows of one target, for operators.
+// State is what a Registry knows about one target, for operators.
 type State struct {
 	Target     string `json:"target"`
 	Service    string `json:"service"`
 	DataCentre string `json:"data_centre"`
 	Draining   bool   `json:"draining"`
-	// Usable is false while the target is not picked; Why says what keeps it out.
+	// Usable is false while the target is not picked; UnusableReason is the reason.
 	Usable         bool   `json:"usable"`
 	UnusableReason string `json:"why,omitempty"`
-	// InFlight counts this host's own requests; Load is the estimate of all.
+	// InFlight is the number of this host's own requests; Load is the estimate for all hosts.
 	InFlight int `json:"in_flight"`
 	Load     int `json:"load"`
-	// OthersInFlight is the requests of other hosts in flight, as told last.
+	// OthersInFlight is the number of in-flight requests of other hosts as of the last exchange.
 	OthersInFlight int `json:"others"`
 	Capacity       int `json:"places"`
-	// ReportAgeMs is the age of the target's own word of its load; -1 if none.
+	// ReportAgeMs is the age of the target's last load report; -1 if there is none.
 	ReportAgeMs int64 `json:"report_age_ms"`
-	// Failures is the recent failures, fading.
+	// Failures is the decayed count of recent failures.
 	Failures float64 `json:"faults"`
-	// CachedParts is the number of prompt parts that it is believed to have read.
+	// CachedParts is the number of prompt parts expected in the target's prefix cache.
 	CachedParts int `json:"cached_parts"`
-	// Slowness is how many times slower than the fastest target of the service it is.
+	// Slowness is how many times slower than the fastest target of the service the target is.
 	Slowness float64 `json:"slowness"`
-	// Slowdown is how many times longer than usual work takes there now, by the target's
-	// word; 0 where targets of the service do not tell. Own is how many times slower it is
-	// than others by itself.
+	// Slowdown is how many times longer than usual work takes there now according to load
+	// reports; 0 if targets of the service report none. IntrinsicSlowdown is how many times
+	// slower than others the target is regardless of that.
 	Slowdown          float64 `json:"slowdown,omitempty"`
 	IntrinsicSlowdown float64 `json:"own,omitempty"`
 }
 
-// State returns what is known of all targets, in order of service and id.
+// State returns the state of all targets, in order of service and ID.
 func (r *Registry) State(now time.Duration) []State {
 	list := make([]State, 0, len(r.targets))
 	for _, t := range r.targets {
@@ -50,13 +50,13 @@
 
 func (t *Target) state(r *Registry, now time.Duration) State {
 	s := State{
-		Target: t.ID, Service: t.Service, DataCentre: t.DataCentre, Draining: t.Draining, UnusableReason: t.obstacle(now),
-		Slowness: r.slowness(t, r.of(t.Service).fastest(now), now),
-		InFlight: t.inFlight, Load: t.estimate(now), Capacity: t.Capacity, ReportAgeMs: -1, Failures: t.fade(now), OthersInFlight: t.told.others, CachedParts: len(t.cache.used),
+		Target: t.ID, Service: t.Service, DataCentre: t.DataCentre, Draining: t.Draining, UnusableReason: t.unusableReason(now),
+		Slowness: r.slowness(t, r.serviceNamed(t.Service).minLatencyRatio(now), now),
+		InFlight: t.inFlight, Load: t.estimate(now), Capacity: t.Capacity, ReportAgeMs: -1, Failures: t.decayedFailures(now), OthersInFlight: t.exchange.othersInFlight, CachedParts: len(t.cache.lastUsed),
 	}
 	s.Usable = s.UnusableReason == ""
-	if r.told(t.service, now) {
-		s.Slowdown, s.IntrinsicSlowdown = t.slowdown(now), t.own.factor(now)
+	if r.usesPredictedFinish(t.service, now) {
+		s.Slowdown, s.IntrinsicSlowdown = t.slowdown(now), t.intrinsic.factor(now)
 	}
 	if t.hasReport {
 		s.ReportAgeMs = (now - t.reportedAt).Milliseconds()
@@ -64,8 +64,8 @@
 	return s
 }
 
-// obstacle is what keeps the target from being picked; empty if nothing does.
-func (t *Target) obstacle(now time.Duration) string {
+// unusableReason returns why the target must not be picked, or "" if it is usable.
+func (t *Target) unusableReason(now time.Duration) string {
 	switch {
 	case t.Draining:
 		return "draining"
@@ -75,7 +75,7 @@
 		return "evacuated"
 	case t.breaker.Open(now):
 		return "failing"
-	case !t.bears(now):
+	case !t.admitsByColdStart(now):
 		return "cold"
 	}
 	return ""
--- a/core/balance/turntime.go
+++ b/core/balance/turntime.go
@@ -5,95 +5,98 @@
 	"time"
 )
 
-// turns is what a host has seen of the turns of a service whose engines tell their slowdown,
-// as if engines were as usual: the time to the first event by the tokens read, in thousands,
-// and how many events a turn has.
-type turns struct {
-	reading line
-	begun   float64
-	events  float64
+// turnStats holds what a host has observed of the turns of a service whose engines report their
+// slowdown, normalized to an engine at its usual speed: the time to the first event as a
+// function of the uncached tokens, in thousands, and the number of events per turn.
+type turnStats struct {
+	prefillTime regression
+	started     float64
+	events      float64
 }
 
 const (
-	// readSpread is the variance of the tokens read, in thousands, that a fit needs.
-	readSpread = 0.05
-	// readLeast and readMost bound the time for a thousand tokens: chance among first
-	// events must not make a prompt that has been read worthless, nor bind turns to it.
-	readLeast, readMost = 2 * time.Millisecond, 100 * time.Millisecond
-	// assumedRead is the time for a thousand tokens until it is known.
-	assumedRead = 15 * time.Millisecond
-	// assumedEvents is of a turn of which nothing is known.
-	assumedEvents = 4
-	// knownTurns is what assumedEvents counts, in turns.
-	knownTurns = 10
-	// readPrice is the weight of the time to read: what is read displaces other prompts in
-	// the engine's memory, which will be read again.
-	readPrice = 3
-	// lasting is the part of a slowdown that counts against an engine.
-	lasting = 0.25
+	// minPrefillVariance is the variance of the uncached tokens, in thousands, that a fit needs.
+	minPrefillVariance = 0.05
+	// minPrefillTime and maxPrefillTime bound the prefill time of a thousand tokens: random variation
+	// of first events must neither make a cached prompt worthless nor bind turns to it.
+	minPrefillTime, maxPrefillTime = 2 * time.Millisecond, 100 * time.Millisecond
+	// defaultPrefillTime is the prefill time of a thousand tokens until it is known.
+	defaultPrefillTime = 15 * time.Millisecond
+	// defaultEventsPerTurn is the number of events of a turn until it is known.
+	defaultEventsPerTurn = 4
+	// eventsPriorTurns is the weight of defaultEventsPerTurn, in turns.
+	eventsPriorTurns = 10
+	// prefillTimeWeight is the weight of the prefill time in the cost: a prefilled prompt displaces
+	// others in the memory of the engine, which will be prefilled again.
+	prefillTimeWeight = 3
+	// turnSlowdownWeight is the part of a slowdown that counts against an engine.
+	turnSlowdownWeight = 0.25
 )
 
-// RecordFirstEvent notes the first event of a stream for which the target had to read missing tokens.
-func (r *Registry) RecordFirstEvent(target string, load float64, missing int64, d, now time.Duration) {
+// RecordFirstEvent records the delay of the first event of a stream that was sent at a load,
+// relative to capacity, and for which the target had to prefill a number of uncached tokens.
+func (r *Registry) RecordFirstEvent(target string, load float64, uncached int64, delay, now time.Duration) {
 	t := r.targets[target]
-	if t == nil || d <= 0 || !r.told(t.service, now) {
+	if t == nil || delay <= 0 || !r.usesPredictedFinish(t.service, now) {
 		return
 	}
-	n := &t.service.turns
-	n.begun = n.begun*lineKept + 1
-	n.events = n.events*lineKept + 1
-	if t.queued(load) > 0 {
+	stats := &t.service.turns
+	stats.started = stats.started*regressionRetention + 1
+	stats.events = stats.events*regressionRetention + 1
+	if t.waitShare(load) > 0 {
 		return
 	}
-	n.reading.observe(float64(missing)/1000, float64(d)/(t.slowdown(now)*t.own.factor(now)))
+	stats.prefillTime.observe(float64(uncached)/1000, float64(delay)/(t.slowdown(now)*t.intrinsic.factor(now)))
 }
 
-// read is the time to read a number of tokens, in nanoseconds.
-func (n *turns) read(tokens int64) float64 {
-	_, each, ok := n.reading.fit(readSpread)
+// timeToPrefill returns the time to prefill a number of tokens, in nanoseconds.
+func (n *turnStats) timeToPrefill(tokens int64) float64 {
+	_, perThousand, ok := n.prefillTime.fit(minPrefillVariance)
 	if !ok {
-		each = float64(assumedRead)
+		perThousand = float64(defaultPrefillTime)
 	}
-	return float64(tokens) / 1000 * min(float64(readMost), max(float64(readLeast), each))
+	return float64(tokens) / 1000 * min(float64(maxPrefillTime), max(float64(minPrefillTime), perThousand))
 }
 
-// perTurn is how many events a turn is expected to have.
-func (n *turns) perTurn() float64 {
-	return (n.events + assumedEvents*knownTurns) / (n.begun + knownTurns)
+// eventsPerTurn returns the expected number of events of a turn.
+func (n *turnStats) eventsPerTurn() float64 {
+	return (n.events + defaultEventsPerTurn*eventsPriorTurns) / (n.started + eventsPriorTurns)
 }
 
-// streamed notes one event of an engine that tells its slowdown.
-func (t *Target) streamed(load float64, d, now time.Duration) {
-	usual := float64(d) / t.slowdown(now)
-	s := t.service
-	if expected := s.speed.expected(load); expected > 0 {
-		t.own.observe(usual/expected, now)
+// recordNormalizedEvent records the duration of one event of an engine that reports its
+// slowdown, divided by that slowdown.
+func (t *Target) recordNormalizedEvent(load float64, duration, now time.Duration) {
+	normalized := float64(duration) / t.slowdown(now)
+	svc := t.service
+	if expected := svc.eventTimes.expected(load); expected > 0 {
+		t.intrinsic.observe(normalized/expected, now)
 	}
-	s.speed.observe(min(load, 1), usual)
-	s.turns.events++
+	svc.eventTimes.observe(min(load, 1), normalized)
+	svc.turns.events++
 }
 
-// eventsTime is the time of a turn's events at a load, at an engine as usual.
-func (s *service) eventsTime(load float64) float64 {
-	return s.turns.perTurn() * cmp.Or(s.speed.expected(load), float64(assumedEvent))
+// turnEventsTime returns the time of a turn's events at a load on an engine at its usual speed,
+// in nanoseconds.
+func (s *service) turnEventsTime(load float64) float64 {
+	return s.turns.eventsPerTurn() * cmp.Or(s.eventTimes.expected(load), float64(defaultEventTime))
 }
 
-// turnTime is the expected time of a turn at the engine, in nanoseconds: reading what it has
-// not read, its events, and the wait for a place.
-func (t *Target) turnTime(v *view, load float64) float64 {
-	events := v.service.eventsTime(load)
-	work := v.service.turns.read(t.missing(v)) + events*(1+t.queued(load))
-	return work * t.own.factor(v.now) * t.slowdown(v.now)
+// turnTime returns the expected time of a turn at the engine, in nanoseconds: prefill of the
+// uncached tokens, events, and the wait in the queue.
+func (t *Target) turnTime(sel *selection, load float64) float64 {
+	eventsTime := sel.service.turnEventsTime(load)
+	total := sel.service.turns.timeToPrefill(t.uncachedTokens(sel)) + eventsTime*(1+t.waitShare(load))
+	return total * t.intrinsic.factor(sel.now) * t.slowdown(sel.now)
 }
 
-// turnCost is the time of a turn at the engine as the choice weighs it, with what it costs
-// others, in nanoseconds. A turn that leaves the engine that has its prompt makes another
-// one read it, now and at each next turn: so reading weighs more than its time, and a
-// slowdown that will soon be over less.
-func (t *Target) turnCost(v *view, load float64) float64 {
-	read, slowdown := v.service.turns.read(t.missing(v)), t.slowdown(v.now)
-	work := readPrice*read + v.service.eventsTime(load)*(1+t.queued(load))
-	running := min(1, load) * float64(t.Capacity)
-	stalls := read * running * slowdown
-	return (work*(1+lasting*(slowdown-1)) + stalls) * t.own.factor(v.now)
+// turnCost returns the cost of a turn at the engine, in nanoseconds: its time and the delay that
+// it causes to others. A turn that leaves the engine with its cached prompt must be prefilled at
+// another engine, now and perhaps at each later turn. So prefill weighs more than its time, and
+// a slowdown that will soon be over weighs less.
+func (t *Target) turnCost(sel *selection, load float64) float64 {
+	prefillTime, slowdown := sel.service.turns.timeToPrefill(t.uncachedTokens(sel)), t.slowdown(sel.now)
+	total := prefillTimeWeight*prefillTime + sel.service.turnEventsTime(load)*(1+t.waitShare(load))
+	runningRequests := min(1, load) * float64(t.Capacity)
+	stallTime := prefillTime * runningRequests * slowdown
+	return (total*(1+turnSlowdownWeight*(slowdown-1)) + stallTime) * t.intrinsic.factor(sel.now)
 }
