--- /dev/null
+++ b/core/balance/affinity.go
@@ -0,0 +1,95 @@
+package balance
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+
+	"github.com/pistachioarch/pistachioarch/core/subset"
+)
+
+const (
+	// affinityShare is the part of a data centre's targets, at least one, that are affinity
+	// targets of a prompt's first part. Entry hosts do not tell each other what engines have
+	// cached; with affinity targets they send a shared part to the same few engines without
+	// communication, near ones first.
+	affinityShare = 0.25
+	// maxAffinityPool bounds the targets of a data centre from which affinity targets are chosen
+	// if hosts hold subsets of them: the pool is among those that all its hosts hold. A share of
+	// all targets of a large fleet would prefill each part so often that hardly any prompt would
+	// find its part cached.
+	maxAffinityPool = 24
+	// affinityCachedShare is the part of the first part that an affinity target is assumed to
+	// have cached.
+	affinityCachedShare = 0.7
+	// maxAffinityParts bounds the first parts remembered.
+	maxAffinityParts = 1024
+)
+
+// affinityTargets returns the affinity targets of a first part: in each data centre those with
+// the highest hash of part and target, so that few change when targets are added or removed.
+func (r *Registry) affinityTargets(service, part string) map[string]bool {
+	if chosen, ok := r.affinityByPart[part]; ok {
+		return chosen
+	}
+	if len(r.affinityByPart) >= maxAffinityParts {
+		clear(r.affinityByPart)
+	}
+	pool := r.affinityPool(service)
+	slices.SortFunc(pool, func(a, b *Target) int {
+		return cmp.Or(cmp.Compare(affinityHash(part, b.ID), affinityHash(part, a.ID)), cmp.Compare(a.ID, b.ID))
+	})
+	quotas := map[string]int{}
+	for _, t := range pool {
+		quotas[t.DataCentre]++
+	}
+	for dc, targets := range quotas {
+		quotas[dc] = max(1, int(affinityShare*float64(targets)+0.5))
+	}
+	chosen := map[string]bool{}
+	for _, t := range pool {
+		if quotas[t.DataCentre] > 0 {
+			quotas[t.DataCentre]--
+			chosen[t.ID] = true
+		}
+	}
+	r.affinityByPart[part] = chosen
+	return chosen
+}
+
+// SetHalvings sets the halvings by which the host holds subsets of the targets; empty if it
+// holds all.
+func (r *Registry) SetHalvings(halvings []subset.Halvings) {
+	if slices.Equal(r.halvings, halvings) {
+		return
+	}
+	r.halvings = halvings
+	clear(r.affinityByPart)
+}
+
+// affinityPool returns the targets from which affinity targets are chosen: all targets of a data
+// centre that hosts hold whole, and of others the first ones in an order that is the same at all
+// hosts.
+func (r *Registry) affinityPool(service string) []*Target {
+	list := slices.Clone(r.serviceNamed(service).targets)
+	list = slices.DeleteFunc(list, func(t *Target) bool { return t.Draining || t.evacuated })
+	slices.SortFunc(list, func(a, b *Target) int {
+		return cmp.Or(cmp.Compare(subset.CommonRank(a.ID), subset.CommonRank(b.ID)), cmp.Compare(a.ID, b.ID))
+	})
+	ranks := map[string]int{}
+	return slices.DeleteFunc(list, func(t *Target) bool {
+		ranks[t.DataCentre]++
+		holdsAll := subset.HoldsAll(r.halvings, r.dataCentre, subset.Group{Service: service, DataCentre: t.DataCentre})
+		return !holdsAll && ranks[t.DataCentre] > maxAffinityPool
+	})
+}
+
+func affinityHash(part, target string) uint64 {
+	f := fnv.New64a()
+	f.Write([]byte(part))
+	f.Write([]byte(target))
+	x := f.Sum64()
+	x ^= x >> 31 // FNV mixes the last bytes poorly
+	x *= 0x9e3779b97f4a7c15
+	return x ^ x>>29
+}
