--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger is the state of a history host: what each program has spent of
-// its budget, and its finished turns.
+// Package ledger holds the state of a history host: each program's budget
+// reservations and settlements, and its finished turns.
 //
-// A ledger is a set of records that merge: a settlement outweighs the
-// reservation of the same turn, a turn is immutable. Records may be applied in
-// any order and more than once, so that replicas agree once they have the same
-// records, however those reached them.
+// A ledger is a set of mergeable records: a settlement supersedes the
+// reservation of the same turn, and a turn is immutable. Records may be applied
+// in any order and more than once, so that replicas agree once they have the
+// same records, however these reached them.
 package ledger
 
 import (
@@ -16,64 +16,66 @@
 	"github.com/pistachioarch/pistachioarch/core/historypb"
 )
 
+// spending is the budget use of one turn.
 type spending struct {
 	tokens  int64
 	settled bool
-	// ran is where the turn ran, nil if that is not known.
-	ran *historypb.Ran
+	// run says which target ran the turn's prompt, nil if that is not known.
+	run *historypb.Ran
 }
 
+// program is the state of one program.
 type program struct {
-	slot    uint32
-	expires int64 // ms since the Unix epoch
-	spent   map[string]spending
-	turns   map[string]bool // the program's finished turns, and chains that it took over
+	slot      uint32
+	expiresMs int64               // in ms since the Unix epoch
+	spendings map[string]spending // by turn ID
+	turnIDs   map[string]bool     // the program's finished turns, and those of chains that it took over
 }
 
-// Ledger is the state of all slots that a member holds. Not safe for concurrent use.
+// Ledger holds the records of all slots of a member. It is not safe for concurrent use.
 type Ledger struct {
-	programs map[string]*program
-	slots    map[uint32]map[string]*program
-	turns    map[string]*entry
-	bytes    int64
+	programs  map[string]*program
+	slots     map[uint32]map[string]*program
+	turns     map[string]*turnEntry
+	turnBytes int64
 }
 
-// entry is a turn and the number of programs that keep it.
-type entry struct {
-	turn *historypb.Turn
-	refs int
+// turnEntry is a turn and the number of programs that refer to it.
+type turnEntry struct {
+	turn     *historypb.Turn
+	refCount int
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{programs: map[string]*program{}, slots: map[uint32]map[string]*program{}, turns: map[string]*entry{}}
+	return &Ledger{programs: map[string]*program{}, slots: map[uint32]map[string]*program{}, turns: map[string]*turnEntry{}}
 }
 
-// Apply merges one record.
+// Apply merges one record. It keeps a reference to a turn in the record.
 func (l *Ledger) Apply(r *historypb.Record) {
 	p := l.programs[r.Program]
 	if p == nil {
-		p = l.add(r.Program, r.Slot)
+		p = l.addProgram(r.Program, r.Slot)
 	}
-	p.expires = max(p.expires, r.ExpiresMs)
+	p.expiresMs = max(p.expiresMs, r.ExpiresMs)
 	switch c := r.Change.(type) {
 	case *historypb.Record_Reserve:
-		if _, known := p.spent[c.Reserve.Turn]; !known {
-			p.spent[c.Reserve.Turn] = spending{tokens: c.Reserve.Tokens}
+		if _, known := p.spendings[c.Reserve.Turn]; !known {
+			p.spendings[c.Reserve.Turn] = spending{tokens: c.Reserve.Tokens}
 		}
 	case *historypb.Record_Settle:
-		ran := c.Settle.Ran
-		if ran == nil {
-			ran = p.spent[c.Settle.Turn].ran // a brief settlement tells less than a whole one
+		run := c.Settle.Ran
+		if run == nil {
+			run = p.spendings[c.Settle.Turn].run // brief settlements omit the run
 		}
-		p.spent[c.Settle.Turn] = spending{tokens: c.Settle.Tokens, settled: true, ran: ran}
+		p.spendings[c.Settle.Turn] = spending{tokens: c.Settle.Tokens, settled: true, run: run}
 	case *historypb.Record_Turn:
-		l.keep(p, c.Turn)
+		l.retainTurn(p, c.Turn)
 	}
 }
 
-func (l *Ledger) add(name string, slot uint32) *program {
-	p := &program{slot: slot, spent: map[string]spending{}, turns: map[string]bool{}}
+func (l *Ledger) addProgram(name string, slot uint32) *program {
+	p := &program{slot: slot, spendings: map[string]spending{}, turnIDs: map[string]bool{}}
 	l.programs[name] = p
 	if l.slots[slot] == nil {
 		l.slots[slot] = map[string]*program{}
@@ -82,69 +84,72 @@
 	return p
 }
 
-func (l *Ledger) keep(p *program, t *historypb.Turn) {
-	if p.turns[t.Turn] {
+// retainTurn adds a turn to a program, and to the ledger if no program has it yet.
+func (l *Ledger) retainTurn(p *program, t *historypb.Turn) {
+	if p.turnIDs[t.Turn] {
 		return
 	}
-	p.turns[t.Turn] = true
+	p.turnIDs[t.Turn] = true
 	e := l.turns[t.Turn]
 	if e == nil {
-		e = &entry{turn: t}
+		e = &turnEntry{turn: t}
 		l.turns[t.Turn] = e
-		l.bytes += int64(len(t.Content))
+		l.turnBytes += int64(len(t.Content))
 	}
-	e.refs++
+	e.refCount++
 }
 
-func (l *Ledger) release(turn string) {
+// releaseTurn drops one reference to a turn, and the turn with its last reference.
+func (l *Ledger) releaseTurn(turn string) {
 	e := l.turns[turn]
-	e.refs--
-	if e.refs == 0 {
-		l.bytes -= int64(len(e.turn.Content))
+	e.refCount--
+	if e.refCount == 0 {
+		l.turnBytes -= int64(len(e.turn.Content))
 		delete(l.turns, turn)
 	}
 }
 
-// Bytes is the size of all turns kept.
-func (l *Ledger) TurnBytes() int64 { return l.bytes }
+// TurnBytes returns the size of the contents of all turns, in bytes.
+func (l *Ledger) TurnBytes() int64 { return l.turnBytes }
 
-// Programs is the number of programs known.
+// ProgramCount returns the number of programs in the ledger.
 func (l *Ledger) ProgramCount() int { return len(l.programs) }
 
-// Spending returns what the program has reserved and used, turn by turn.
+// Spending returns the tokens that the program has reserved and used, one entry for each
+// turn, in no order; nil if the program is not known.
 func (l *Ledger) Spending(name string) []*historypb.Spending {
 	p := l.programs[name]
 	if p == nil {
 		return nil
 	}
-	list := make([]*historypb.Spending, 0, len(p.spent))
-	for turn, s := range p.spent {
+	list := make([]*historypb.Spending, 0, len(p.spendings))
+	for turn, s := range p.spendings {
 		list = append(list, &historypb.Spending{Turn: turn, Tokens: s.tokens, Settled: s.settled})
 	}
 	return list
 }
 
-// Ran returns the targets that have read prompts of the program which ended with one of
-// the parts, each with the longest of these.
+// LongestRuns returns the targets that have run prompts of the program which ended with
+// one of the parts, each with its longest such prompt, in no order.
 func (l *Ledger) LongestRuns(name string, parts []string) []*historypb.Ran {
 	p := l.programs[name]
 	if p == nil || len(parts) == 0 {
 		return nil
 	}
 	longest := map[string]*historypb.Ran{} // by target
-	for _, s := range p.spent {
-		if s.ran == nil || !slices.Contains(parts, s.ran.Part) {
+	for _, s := range p.spendings {
+		if s.run == nil || !slices.Contains(parts, s.run.Part) {
 			continue
 		}
-		if old := longest[s.ran.Target]; old == nil || old.Prompt < s.ran.Prompt {
-			longest[s.ran.Target] = s.ran
+		if known := longest[s.run.Target]; known == nil || known.Prompt < s.run.Prompt {
+			longest[s.run.Target] = s.run
 		}
 	}
 	return slices.Collect(maps.Values(longest))
 }
 
-// Chain returns the turn and those before it, newest first, as far as they are
-// here.
+// Chain returns a turn and its predecessors, newest first, up to the first one that is
+// missing from the ledger.
 func (l *Ledger) Chain(turn string) []*historypb.Turn {
 	var chain []*historypb.Turn
 	for turn != "" {
@@ -158,8 +163,8 @@
 	return chain
 }
 
-// Records returns all records of the programs, in their order, up to about limit
-// bytes, and whether programs are left over.
+// RecordPage returns all records of the programs, in the order of names, and whether
+// programs are left over. It stops after the program with which the page reaches limit bytes.
 func (l *Ledger) RecordPage(names []string, limit int) (page []*historypb.Record, more bool) {
 	size := 0
 	for i, name := range names {
@@ -174,8 +179,9 @@
 	return page, false
 }
 
-// namesAfter returns the slot's programs whose names follow after, in order.
-func (l *Ledger) namesAfter(slot uint32, after string) []string {
+// programNamesAfter returns the names of the slot's programs that are greater than after, in
+// ascending order.
+func (l *Ledger) programNamesAfter(slot uint32, after string) []string {
 	var names []string
 	for name := range l.slots[slot] {
 		if name > after {
@@ -186,45 +192,45 @@
 	return names
 }
 
-// Program returns all records of a program.
+// ProgramRecords returns all records of a program, in no order; nil if it is not known.
 func (l *Ledger) ProgramRecords(name string) []*historypb.Record {
 	p := l.programs[name]
 	if p == nil {
 		return nil
 	}
-	return l.programRecords(name, p)
+	return l.recordsOf(name, p)
 }
 
-func (l *Ledger) programRecords(name string, p *program) []*historypb.Record {
-	list := make([]*historypb.Record, 0, len(p.spent)+len(p.turns))
-	for turn, s := range p.spent {
-		r := &historypb.Record{Slot: p.slot, Program: name, ExpiresMs: p.expires}
+func (l *Ledger) recordsOf(name string, p *program) []*historypb.Record {
+	list := make([]*historypb.Record, 0, len(p.spendings)+len(p.turnIDs))
+	for turn, s := range p.spendings {
+		r := &historypb.Record{Slot: p.slot, Program: name, ExpiresMs: p.expiresMs}
 		if s.settled {
-			r.Change = &historypb.Record_Settle{Settle: &historypb.Settle{Turn: turn, Tokens: s.tokens, Ran: s.ran}}
+			r.Change = &historypb.Record_Settle{Settle: &historypb.Settle{Turn: turn, Tokens: s.tokens, Ran: s.run}}
 		} else {
 			r.Change = &historypb.Record_Reserve{Reserve: &historypb.Reserve{Turn: turn, Tokens: s.tokens}}
 		}
 		list = append(list, r)
 	}
-	for id := range p.turns {
+	for id := range p.turnIDs {
 		list = append(list, &historypb.Record{
-			Slot: p.slot, Program: name, ExpiresMs: p.expires,
+			Slot: p.slot, Program: name, ExpiresMs: p.expiresMs,
 			Change: &historypb.Record_Turn{Turn: l.turns[id].turn},
 		})
 	}
 	return list
 }
 
-// Expire drops the programs whose time is over. A turn lives as long as any
-// program that keeps it.
+// Expire removes the programs whose expiry is not after nowMs, in ms since the Unix epoch,
+// and returns their number. A turn is removed with the last program that refers to it.
 func (l *Ledger) Expire(nowMs int64) int {
 	dropped := 0
 	for name, p := range l.programs {
-		if p.expires > nowMs {
+		if p.expiresMs > nowMs {
 			continue
 		}
-		for id := range p.turns {
-			l.release(id)
+		for id := range p.turnIDs {
+			l.releaseTurn(id)
 		}
 		delete(l.programs, name)
 		delete(l.slots[p.slot], name)
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -19,13 +19,13 @@
 	return &historypb.Record{Program: program, ExpiresMs: 1000, Change: &historypb.Record_Settle{Settle: &historypb.Settle{Turn: turn, Tokens: tokens}}}
 }
 
-func finished(program, turn, previous string) *historypb.Record {
+func finishedTurn(program, turn, previous string) *historypb.Record {
 	return &historypb.Record{Program: program, ExpiresMs: 1000, Change: &historypb.Record_Turn{
 		Turn: &historypb.Turn{Turn: turn, Previous: previous, Content: []byte(turn + " ")},
 	}}
 }
 
-func ids(chain []*historypb.Turn) []string {
+func turnIDs(chain []*historypb.Turn) []string {
 	var list []string
 	for _, t := range chain {
 		list = append(list, t.Turn)
@@ -41,7 +41,7 @@
 
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	records := []*historypb.Record{
-		reserve("p", "a", 50), settle("p", "a", 12), reserve("p", "b", 50), finished("p", "a", ""), finished("p", "c", "a"),
+		reserve("p", "a", 50), settle("p", "a", 12), reserve("p", "b", 50), finishedTurn("p", "a", ""), finishedTurn("p", "c", "a"),
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -52,122 +52,122 @@
 			}
 		}
 		require.EqualValues(t, 62, usage(l, "p").TokensExcluding("x"))
-		require.Equal(t, []string{"c", "a"}, ids(l.Chain("c")))
+		require.Equal(t, []string{"c", "a"}, turnIDs(l.Chain("c")))
 		require.EqualValues(t, 4, l.TurnBytes())
 	}
 }
 
-func TestChainStopsAtWhatIsMissing(t *testing.T) {
+func TestChainStopsAtMissingTurn(t *testing.T) {
 	l := New()
-	l.Apply(finished("p", "b", "a"))
-	l.Apply(finished("p", "c", "b"))
-	require.Equal(t, []string{"c", "b"}, ids(l.Chain("c")), "a is missing here")
+	l.Apply(finishedTurn("p", "b", "a"))
+	l.Apply(finishedTurn("p", "c", "b"))
+	require.Equal(t, []string{"c", "b"}, turnIDs(l.Chain("c")), "turn a is missing")
 	require.Empty(t, l.Chain("x"))
 }
 
-func TestATurnLivesAsLongAsAnyProgramKeepsIt(t *testing.T) {
+func TestTurnExpiresWithItsLastProgram(t *testing.T) {
 	l := New()
-	l.Apply(finished("old", "a", ""))
-	copied := finished("new", "a", "")
+	l.Apply(finishedTurn("old", "a", ""))
+	copied := finishedTurn("new", "a", "")
 	copied.ExpiresMs = 90_000
 	l.Apply(copied)
 	require.Equal(t, 1, l.Expire(50_000))
-	require.Equal(t, []string{"a"}, ids(l.Chain("a")))
+	require.Equal(t, []string{"a"}, turnIDs(l.Chain("a")))
 	require.Equal(t, 1, l.Expire(100_000))
 	require.Empty(t, l.Chain("a"))
 	require.Zero(t, l.TurnBytes())
 }
 
-func TestPagesHoldEverythingOnce(t *testing.T) {
+func TestRecordPagesCoverEveryProgram(t *testing.T) {
 	l := New()
 	var names []string
 	for i := range 50 {
 		p := fmt.Sprintf("p%02d", i)
 		l.Apply(reserve(p, "t"+p, 10))
-		l.Apply(finished(p, "t"+p, ""))
+		l.Apply(finishedTurn(p, "t"+p, ""))
 		names = append(names, p)
 	}
-	copyOf := New()
+	copied := New()
 	for more := true; more; {
 		var page []*historypb.Record
 		page, more = l.RecordPage(names, 200)
 		for _, r := range page {
-			copyOf.Apply(r)
+			copied.Apply(r)
 		}
 		last := page[len(page)-1].Program
 		names = names[slices.Index(names, last)+1:]
 	}
-	require.Equal(t, 50, copyOf.ProgramCount())
-	require.Equal(t, l.TurnBytes(), copyOf.TurnBytes())
+	require.Equal(t, 50, copied.ProgramCount())
+	require.Equal(t, l.TurnBytes(), copied.TurnBytes())
 }
 
-// raceTurn is one of several turns that start at once.
-type raceTurn struct {
-	id       string
-	placed   int // replicas that have the reservation
-	order    []int
-	read     int
-	seen     Usage
-	admitted bool
-	over     bool
+// concurrentTurn is one of several turns that start at the same time.
+type concurrentTurn struct {
+	id            string
+	reservedCount int // replicas that have the reservation
+	replicaOrder  []int
+	readCount     int
+	usage         Usage
+	admitted      bool
+	decided       bool
 }
 
-// TestBudgetHoldsInEveryRace plays turns that start at once: each reserves at two
-// of three replicas, then reads two. However their steps interleave, what is
-// admitted together stays within the budget.
-func TestBudgetHoldsInEveryRace(t *testing.T) {
-	const most, budget, turns, quorum = 10, 30, 6, 2
+// Turns that start at the same time each reserve at two of three replicas, then read from
+// two. However these steps interleave, the admitted turns together must stay within the
+// budget.
+func TestConcurrentTurnsStayWithinBudget(t *testing.T) {
+	const maxTokens, budget, turnCount, quorum = 10, 30, 6, 2
 	for seed := range uint64(20_000) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		replicas := []*Ledger{New(), New(), New()}
-		racing := make([]*raceTurn, turns)
-		for i := range racing {
-			racing[i] = &raceTurn{id: fmt.Sprintf("t%d", i), order: rng.Perm(3)}
+		turns := make([]*concurrentTurn, turnCount)
+		for i := range turns {
+			turns[i] = &concurrentTurn{id: fmt.Sprintf("t%d", i), replicaOrder: rng.Perm(3)}
 		}
-		for left := turns; left > 0; {
-			x := racing[rng.IntN(turns)]
+		for undecided := turnCount; undecided > 0; {
+			turn := turns[rng.IntN(turnCount)]
 			switch {
-			case x.over:
-			case x.placed < quorum:
-				replicas[x.order[x.placed]].Apply(reserve("p", x.id, most))
-				x.placed++
-				if x.placed == quorum {
-					x.order = rng.Perm(3)
+			case turn.decided:
+			case turn.reservedCount < quorum:
+				replicas[turn.replicaOrder[turn.reservedCount]].Apply(reserve("p", turn.id, maxTokens))
+				turn.reservedCount++
+				if turn.reservedCount == quorum {
+					turn.replicaOrder = rng.Perm(3)
 				}
-			case x.read < quorum:
-				x.seen.Merge(replicas[x.order[x.read]].Spending("p"))
-				x.read++
+			case turn.readCount < quorum:
+				turn.usage.Merge(replicas[turn.replicaOrder[turn.readCount]].Spending("p"))
+				turn.readCount++
 			default:
-				x.admitted = x.seen.Allows(x.id, most, budget)
-				x.over = true
-				left--
+				turn.admitted = turn.usage.Allows(turn.id, maxTokens, budget)
+				turn.decided = true
+				undecided--
 			}
 		}
 		total := 0
-		for _, x := range racing {
-			if x.admitted {
-				total += most
+		for _, turn := range turns {
+			if turn.admitted {
+				total += maxTokens
 			}
 		}
 		require.LessOrEqual(t, total, budget, "seed %d", seed)
 	}
 }
 
-func TestDigestsAreEqualExactlyIfTheRecordsAre(t *testing.T) {
+func TestDigestsDifferExactlyWhenRecordsDo(t *testing.T) {
 	records := []*historypb.Record{
-		reserve("p", "a", 50), settle("p", "a", 12), reserve("p", "b", 50), finished("p", "a", ""), finished("p", "c", "a"),
+		reserve("p", "a", 50), settle("p", "a", 12), reserve("p", "b", 50), finishedTurn("p", "a", ""), finishedTurn("p", "c", "a"),
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	whole := New()
+	complete := New()
 	for _, r := range records {
-		whole.Apply(r)
+		complete.Apply(r)
 	}
 	for range 100 {
 		l := New()
 		for _, i := range rng.Perm(len(records)) {
 			l.Apply(records[i])
 		}
-		require.Equal(t, whole.Digest("p"), l.Digest("p"))
+		require.Equal(t, complete.Digest("p"), l.Digest("p"))
 	}
 	for _, missing := range []int{1, 2, 3, 4} {
 		l := New()
@@ -176,7 +176,7 @@
 				l.Apply(r)
 			}
 		}
-		require.NotEqual(t, whole.Digest("p"), l.Digest("p"), "without record %d", missing)
+		require.NotEqual(t, complete.Digest("p"), l.Digest("p"), "without record %d", missing)
 	}
 	later := New()
 	for _, r := range records {
@@ -185,11 +185,11 @@
 	extended := settle("p", "a", 12)
 	extended.ExpiresMs = 9000
 	later.Apply(extended)
-	require.NotEqual(t, whole.Digest("p"), later.Digest("p"), "kept for longer")
-	require.Zero(t, whole.Digest("other"))
+	require.NotEqual(t, complete.Digest("p"), later.Digest("p"), "later expiry")
+	require.Zero(t, complete.Digest("other"))
 }
 
-func TestPagesOfDigestsNameEveryProgramOnce(t *testing.T) {
+func TestDigestPagesListEveryProgramOnce(t *testing.T) {
 	l := New()
 	for i := range 25 {
 		l.Apply(reserve(fmt.Sprintf("p%02d", i), "t", 10))
@@ -206,41 +206,41 @@
 	require.Len(t, seen, 25)
 }
 
-// Of each target the longest prompt is told, and only of prompts that ended with a part
-// asked for; a copy of the records tells the same.
-func TestRanTellsWhichTargetsHaveReadAPart(t *testing.T) {
+// LongestRuns returns the longest prompt of each target, only among prompts that ended with
+// a requested part; a ledger with a copy of the records returns the same.
+func TestLongestRunsReturnsLongestPromptPerTarget(t *testing.T) {
 	l := New()
-	ran := func(turn, target, part string, prompt int64) {
+	applyRun := func(turn, target, part string, prompt int64) {
 		l.Apply(&historypb.Record{Program: "p", Change: &historypb.Record_Settle{Settle: &historypb.Settle{
 			Turn: turn, Ran: &historypb.Ran{Target: target, Part: part, Prompt: prompt},
 		}}})
 	}
-	ran("1", "a", "own", 100)
-	ran("2", "b", "own", 300)
-	ran("3", "a", "own", 200)
-	ran("4", "c", "other", 900)
+	applyRun("1", "a", "own", 100)
+	applyRun("2", "b", "own", 300)
+	applyRun("3", "a", "own", 200)
+	applyRun("4", "c", "other", 900)
 	l.Apply(settle("p", "5", 3))
 	copied := New()
 	for _, r := range l.ProgramRecords("p") {
 		copied.Apply(r)
 	}
-	for _, x := range []*Ledger{l, copied} {
+	for _, ledger := range []*Ledger{l, copied} {
 		got := map[string]int64{}
-		for _, r := range x.LongestRuns("p", []string{"unknown", "own"}) {
+		for _, r := range ledger.LongestRuns("p", []string{"unknown", "own"}) {
 			got[r.Target] = r.Prompt
 		}
 		require.Equal(t, map[string]int64{"a": 200, "b": 300}, got)
-		require.Empty(t, x.LongestRuns("p", nil))
-		require.Empty(t, x.LongestRuns("q", []string{"own"}))
+		require.Empty(t, ledger.LongestRuns("p", nil))
+		require.Empty(t, ledger.LongestRuns("q", []string{"own"}))
 	}
 }
 
-// A settlement that does not say where the turn ran may come after one that does.
-func TestABriefSettlementForgetsNothing(t *testing.T) {
+// A settlement without the run of a turn may arrive after one with it, and must not remove it.
+func TestSettlementWithoutRunKeepsEarlierRun(t *testing.T) {
 	l := New()
-	whole := settle("p", "a", 12)
-	whole.GetSettle().Ran = &historypb.Ran{Target: "t", Part: "x", Prompt: 7}
-	l.Apply(whole)
+	withRun := settle("p", "a", 12)
+	withRun.GetSettle().Ran = &historypb.Ran{Target: "t", Part: "x", Prompt: 7}
+	l.Apply(withRun)
 	l.Apply(settle("p", "a", 12))
 	require.Len(t, l.LongestRuns("p", []string{"x"}), 1)
 }
