--- a/core/held/account.go
+++ b/core/held/account.go
@@ -6,274 +6,278 @@
 	"time"
 )
 
-// Kind is what held bytes are for.
+// Kind is the purpose of held bytes.
 type Kind int
 
 // The kinds of held bytes.
 const (
-	// Body is what was read of a caller's request. It is kept for further sends.
+	// Body is the part of a caller's request that was read. It is held for further sends.
 	Body Kind = iota
-	// Prompt is a prompt rebuilt from earlier turns, and these while it is built.
+	// Prompt is a prompt that is rebuilt from earlier turns, and these turns meanwhile.
 	Prompt
-	// Answer is what was read of a target's plain answer and not yet taken by its caller.
+	// Answer is the part of a target's plain answer that was read and not yet sent to the caller.
 	Answer
-	// Events is what was read of a stream and not yet taken by its caller.
+	// Events is the part of a target's event stream that was read and not yet sent to the caller.
 	Events
-	// Record is what was handed out of a turn and is kept until the turn is written down.
+	// Record is the part of a turn that was sent to the caller, held until the turn is recorded.
 	Record
-	kinds
+	kindCount
 )
 
-var names = [kinds]string{"body", "prompt", "answer", "events", "record"}
+var kindNames = [kindCount]string{"body", "prompt", "answer", "events", "record"}
 
-// String returns the kind's name in metrics and dumps.
-func (k Kind) String() string { return names[k] }
+// String returns the kind's name in metrics and state dumps.
+func (k Kind) String() string { return kindNames[k] }
 
 // Kinds lists all kinds.
 func Kinds() []Kind { return []Kind{Body, Prompt, Answer, Events, Record} }
 
-// sent reports whether bytes of the kind exist only because an engine was at work, whose
-// answer would be lost with them.
-func (k Kind) sent() bool { return k >= Answer }
+// existsAfterSend reports whether bytes of the kind come from an engine's work, whose answer
+// would be lost with them.
+func (k Kind) existsAfterSend() bool { return k >= Answer }
 
 const (
-	// FloorBytes is the least that a request is charged.
+	// MinRequestBytes is the smallest number of bytes that a request is charged.
 	MinRequestBytes = 96 << 10
-	// runtimeBytes is the part of the floor for buffers of two connections and stacks of
-	// four goroutines; it adds to what a request holds.
-	runtimeBytes = 32 << 10
-	// memoryForRequests and memoryForAnswers are the parts of the memory limit up to which
-	// requests, and with them answers, may be held. The rest is the runtime's and the heap's
-	// garbage.
-	memoryForRequests = 0.4
-	memoryForAnswers  = 0.45
-	// requestDescriptors is what one request needs: the caller's connection, and one
-	// to a target, twice while one is being replaced.
-	requestDescriptors = 3
-	// leastRequests is always allowed.
-	leastRequests = 16
-	// unbounded is a bound that is never reached.
-	unbounded = 1 << 60
+	// runtimeOverheadBytes is charged in addition to the bytes that a request holds, for the
+	// buffers of two connections and the stacks of four goroutines. MinRequestBytes includes it.
+	runtimeOverheadBytes = 32 << 10
+	// requestMemoryShare and answerMemoryShare are the fractions of the memory limit that may be
+	// held for requests, and for requests and answers together. The rest is left to the runtime
+	// and to garbage on the heap.
+	requestMemoryShare = 0.4
+	answerMemoryShare  = 0.45
+	// descriptorsPerRequest counts the caller's connection and a connection to a target, two of
+	// them while one is being replaced.
+	descriptorsPerRequest = 3
+	// minRequests is the number of requests that is allowed whatever the limits.
+	minRequests = 16
+	// unboundedBytes is a bound that is never reached.
+	unboundedBytes = 1 << 60
 )
 
-// stalledAfter is for how long nothing moved until a caller counts as slow: many round
-// trips, and time for a caller that is busy for a moment.
-const stalledAfter = 500 * time.Millisecond
+// stallTimeout is the time without progress after which a caller counts as slow. It allows for
+// many round trips, and for a caller that is busy for a moment.
+const stallTimeout = 500 * time.Millisecond
 
-// Account is what a host holds. It is not safe for concurrent use.
+// Account accounts for the bytes that a host holds. It is not safe for concurrent use, and
+// neither are its request accounts.
 type Account struct {
-	limit        int
-	lower, upper int64
-	charged      int64
-	by           [kinds]int64
-	holders      map[*RequestAccount]struct{}
-	enters       uint64
+	maxRequests                         int
+	requestBoundBytes, answerBoundBytes int64
+	chargedBytes                        int64
+	heldByKind                          [kindCount]int64
+	requests                            map[*RequestAccount]struct{}
+	admissions                          uint64
 }
 
-// New returns an account with the bounds that follow from a host's limits; a limit of 0
-// does not bind.
+// New returns an account with the bounds that follow from a host's memory limit in bytes and its
+// limit of file descriptors. A limit of 0 means none.
 func New(memoryBytes int64, descriptors int) *Account {
-	a := &Account{limit: 1 << 30, lower: unbounded, upper: unbounded, holders: map[*RequestAccount]struct{}{}}
+	a := &Account{maxRequests: 1 << 30, requestBoundBytes: unboundedBytes, answerBoundBytes: unboundedBytes, requests: map[*RequestAccount]struct{}{}}
 	if memoryBytes > 0 {
-		a.lower = max(leastRequests*MinRequestBytes, int64(memoryForRequests*float64(memoryBytes)))
-		a.upper = max(a.lower, int64(memoryForAnswers*float64(memoryBytes)))
-		a.limit = min(a.limit, int(a.lower/MinRequestBytes))
+		a.requestBoundBytes = max(minRequests*MinRequestBytes, int64(requestMemoryShare*float64(memoryBytes)))
+		a.answerBoundBytes = max(a.requestBoundBytes, int64(answerMemoryShare*float64(memoryBytes)))
+		a.maxRequests = min(a.maxRequests, int(a.requestBoundBytes/MinRequestBytes))
 	}
 	if descriptors > 0 {
-		a.limit = min(a.limit, descriptors/requestDescriptors)
+		a.maxRequests = min(a.maxRequests, descriptors/descriptorsPerRequest)
 	}
-	a.limit = max(leastRequests, a.limit)
+	a.maxRequests = max(minRequests, a.maxRequests)
 	return a
 }
 
-// Holder is what one request holds.
+// RequestAccount accounts for the bytes that one request holds.
 type RequestAccount struct {
-	account *Account
-	order   uint64
-	by      [kinds]int64
-	bytes   int64
-	// waiting is since when the request has waited for its caller without anything moving.
-	waiting time.Duration
-	waits   bool
-	// ended is set once the holder was named to end.
-	ended bool
+	account    *Account
+	sequence   uint64
+	heldByKind [kindCount]int64
+	heldBytes  int64
+	// waitingSince is the time of the last progress while the request waits for its caller.
+	waitingSince time.Duration
+	isWaiting    bool
+	// isEvicted is set once SelectEvictions has chosen the request.
+	isEvicted bool
 }
 
-// Enter admits a request, or reports that there is no room for it.
+// Admit adds a request charged with MinRequestBytes, or returns false if there is no room for it.
 func (a *Account) Admit() (*RequestAccount, bool) {
-	if len(a.holders) >= a.limit || a.charged+MinRequestBytes > a.lower {
+	if len(a.requests) >= a.maxRequests || a.chargedBytes+MinRequestBytes > a.requestBoundBytes {
 		return nil, false
 	}
-	a.enters++
-	h := &RequestAccount{account: a, order: a.enters}
-	a.holders[h] = struct{}{}
-	a.charged += MinRequestBytes
-	return h, true
+	a.admissions++
+	r := &RequestAccount{account: a, sequence: a.admissions}
+	a.requests[r] = struct{}{}
+	a.chargedBytes += MinRequestBytes
+	return r, true
 }
 
-// charge is what a request that holds n bytes is charged.
-func charge(n int64) int64 { return max(MinRequestBytes, runtimeBytes+n) }
+// chargeFor returns the bytes that a request is charged if it holds n bytes.
+func chargeFor(n int64) int64 { return max(MinRequestBytes, runtimeOverheadBytes+n) }
 
-// gone reports whether the holder has left.
-func (h *RequestAccount) gone() bool {
-	_, in := h.account.holders[h]
-	return !in
+// isClosed reports whether Close was called.
+func (r *RequestAccount) isClosed() bool {
+	_, open := r.account.requests[r]
+	return !open
 }
 
-// Grow charges n more bytes of a kind. It reports false, and charges nothing, where the
-// bound is reached or the holder has left.
-func (h *RequestAccount) Reserve(k Kind, n int64) bool {
+// Reserve charges n more bytes of a kind. It returns false, and charges nothing, if that would
+// exceed the bound or the account is closed.
+func (r *RequestAccount) Reserve(k Kind, n int64) bool {
 	if n <= 0 {
 		return true
 	}
-	if h.gone() {
+	if r.isClosed() {
 		return false
 	}
-	a := h.account
-	more := charge(h.bytes+n) - charge(h.bytes)
-	if more > 0 && a.charged+more > a.bound(k) {
+	a := r.account
+	extra := chargeFor(r.heldBytes+n) - chargeFor(r.heldBytes)
+	if extra > 0 && a.chargedBytes+extra > a.boundFor(k) {
 		return false
 	}
-	h.add(k, n)
+	r.adjust(k, n)
 	return true
 }
 
-func (a *Account) bound(k Kind) int64 {
-	if k.sent() {
-		return a.upper
+// boundFor returns the bound in bytes that applies to a kind.
+func (a *Account) boundFor(k Kind) int64 {
+	if k.existsAfterSend() {
+		return a.answerBoundBytes
 	}
-	return a.lower
+	return a.requestBoundBytes
 }
 
-// Release takes up to n bytes of a kind off.
-func (h *RequestAccount) Release(k Kind, n int64) {
-	if n <= 0 || h.gone() {
+// Release discharges n bytes of a kind, at most as many as the request holds of it.
+func (r *RequestAccount) Release(k Kind, n int64) {
+	if n <= 0 || r.isClosed() {
 		return
 	}
-	h.add(k, -min(n, h.by[k]))
+	r.adjust(k, -min(n, r.heldByKind[k]))
 }
 
-func (h *RequestAccount) add(k Kind, n int64) {
-	a := h.account
-	before := charge(h.bytes)
-	h.by[k] += n
-	h.bytes += n
-	a.by[k] += n
-	a.charged += charge(h.bytes) - before
+// adjust adds n bytes of a kind, which may be negative, to the request and its account.
+func (r *RequestAccount) adjust(k Kind, n int64) {
+	a := r.account
+	before := chargeFor(r.heldBytes)
+	r.heldByKind[k] += n
+	r.heldBytes += n
+	a.heldByKind[k] += n
+	a.chargedBytes += chargeFor(r.heldBytes) - before
 }
 
-// Leave ends the request and takes off all that it was charged.
-func (h *RequestAccount) Close() {
-	if h.gone() {
+// Close ends the request and discharges all its bytes. Further calls have no effect.
+func (r *RequestAccount) Close() {
+	if r.isClosed() {
 		return
 	}
-	a := h.account
+	a := r.account
 	for _, k := range Kinds() {
-		a.by[k] -= h.by[k]
+		a.heldByKind[k] -= r.heldByKind[k]
 	}
-	a.charged -= charge(h.bytes)
-	h.by, h.bytes = [kinds]int64{}, 0
-	delete(a.holders, h)
+	a.chargedBytes -= chargeFor(r.heldBytes)
+	r.heldByKind, r.heldBytes = [kindCount]int64{}, 0
+	delete(a.requests, r)
 }
 
-// Await notes that from now on the request waits for its caller to read or to send. Called
-// again when something has moved, it begins anew.
-func (h *RequestAccount) StartCallerWait(now time.Duration) { h.waits, h.waiting = true, now }
+// StartCallerWait records that from now on the request waits for its caller to read or to send.
+// A further call records progress and restarts the stall timeout.
+func (r *RequestAccount) StartCallerWait(now time.Duration) { r.isWaiting, r.waitingSince = true, now }
 
-// Arrived notes that the request waits for its caller no more.
-func (h *RequestAccount) StopCallerWait() { h.waits = false }
+// StopCallerWait records that the request no longer waits for its caller.
+func (r *RequestAccount) StopCallerWait() { r.isWaiting = false }
 
-// Bytes is what the request holds.
-func (h *RequestAccount) HeldBytes() int64 { return h.bytes }
+// HeldBytes returns the bytes that the request holds, without overhead.
+func (r *RequestAccount) HeldBytes() int64 { return r.heldBytes }
 
-// stalled is for how long nothing has moved, 0 if the caller is not slow.
-func (h *RequestAccount) stalled(now time.Duration) time.Duration {
-	if !h.waits || now-h.waiting < stalledAfter {
+// stalledFor returns the time without progress, 0 if the caller is not slow.
+func (r *RequestAccount) stalledFor(now time.Duration) time.Duration {
+	if !r.isWaiting || now-r.waitingSince < stallTimeout {
 		return 0
 	}
-	return now - h.waiting
+	return now - r.waitingSince
 }
 
-// Slow is a caller that is to end.
+// Eviction is a request to end because its caller is slow.
 type Eviction struct {
 	Request *RequestAccount
-	// For is how long nothing has moved.
+	// StalledFor is the time without progress.
 	StalledFor time.Duration
 }
 
-// Slowest returns the holders that are to end so that there is room for one more request and
-// n more bytes of a kind: as many as that takes beside those that were named before and have not left yet.
-// Each is named once; none is while no caller is slow.
+// SelectEvictions returns the requests to end so that there is room for one more request and
+// n more bytes of a kind: as many as that takes in addition to those that were selected before
+// and are not closed yet. Each request is selected at most once, and only if its caller is slow.
 func (a *Account) SelectEvictions(now time.Duration, k Kind, n int64) []Eviction {
-	lacking := a.charged + n - a.bound(k)
-	staying := len(a.holders)
-	var slow []*RequestAccount
-	for h := range a.holders {
+	missingBytes := a.chargedBytes + n - a.boundFor(k)
+	remaining := len(a.requests)
+	var stalled []*RequestAccount
+	for r := range a.requests {
 		switch {
-		case h.ended:
-			lacking -= charge(h.bytes)
-			staying--
-		case h.stalled(now) > 0:
-			slow = append(slow, h)
+		case r.isEvicted:
+			missingBytes -= chargeFor(r.heldBytes)
+			remaining--
+		case r.stalledFor(now) > 0:
+			stalled = append(stalled, r)
 		}
 	}
-	if staying >= a.limit {
-		lacking = max(lacking, 1)
+	if remaining >= a.maxRequests {
+		missingBytes = max(missingBytes, 1)
 	}
-	slices.SortFunc(slow, func(x, y *RequestAccount) int {
-		return cmp.Or(cmp.Compare(y.weight(now), x.weight(now)), cmp.Compare(x.order, y.order))
+	slices.SortFunc(stalled, func(x, y *RequestAccount) int {
+		return cmp.Or(cmp.Compare(y.evictionWeight(now), x.evictionWeight(now)), cmp.Compare(x.sequence, y.sequence))
 	})
-	var end []Eviction
-	for _, h := range slow {
-		if lacking <= 0 {
+	var evictions []Eviction
+	for _, r := range stalled {
+		if missingBytes <= 0 {
 			break
 		}
-		h.ended = true
-		lacking -= charge(h.bytes)
-		end = append(end, Eviction{Request: h, StalledFor: h.stalled(now)})
+		r.isEvicted = true
+		missingBytes -= chargeFor(r.heldBytes)
+		evictions = append(evictions, Eviction{Request: r, StalledFor: r.stalledFor(now)})
 	}
-	return end
+	return evictions
 }
 
-// weight orders slow callers: bytes times time.
-func (h *RequestAccount) weight(now time.Duration) float64 {
-	return float64(charge(h.bytes)) * h.stalled(now).Seconds()
+// evictionWeight is the charged bytes times the stalled time, by which slow callers are ordered.
+func (r *RequestAccount) evictionWeight(now time.Duration) float64 {
+	return float64(chargeFor(r.heldBytes)) * r.stalledFor(now).Seconds()
 }
 
-// Active is the number of requests held.
-func (a *Account) ActiveRequests() int { return len(a.holders) }
+// ActiveRequests returns the number of requests that are not closed.
+func (a *Account) ActiveRequests() int { return len(a.requests) }
 
-// Limit is the most requests held at once.
-func (a *Account) MaxRequests() int { return a.limit }
+// MaxRequests returns the largest number of requests at a time.
+func (a *Account) MaxRequests() int { return a.maxRequests }
 
-// Charged is what all requests are charged.
-func (a *Account) ChargedBytes() int64 { return a.charged }
+// ChargedBytes returns the bytes that all requests are charged.
+func (a *Account) ChargedBytes() int64 { return a.chargedBytes }
 
-// Of is what all requests hold of a kind.
-func (a *Account) HeldBytes(k Kind) int64 { return a.by[k] }
+// HeldBytes returns the bytes of a kind that all requests hold.
+func (a *Account) HeldBytes(k Kind) int64 { return a.heldByKind[k] }
 
 // State is a dump of the account for operators.
 type State struct {
 	ChargedBytes int64 `json:"charged_bytes"`
-	// RequestBound and AnswerBound are the lower and the upper bound, 0 if there is none.
-	RequestBoundBytes int64            `json:"request_bound_bytes"`
-	AnswerBoundBytes  int64            `json:"answer_bound_bytes"`
-	Bytes             map[string]int64 `json:"bytes"`
-	// SlowCallers is the number of callers for which nothing has moved for a while.
+	// RequestBoundBytes and AnswerBoundBytes are the bounds, 0 if there is none.
+	RequestBoundBytes int64 `json:"request_bound_bytes"`
+	AnswerBoundBytes  int64 `json:"answer_bound_bytes"`
+	// Bytes holds the bytes of each kind, by its name.
+	Bytes map[string]int64 `json:"bytes"`
+	// SlowCallers is the number of callers without progress for the stall timeout.
 	SlowCallers int `json:"slow_callers"`
 }
 
 // State returns a dump of the account.
 func (a *Account) State(now time.Duration) State {
-	s := State{ChargedBytes: a.charged, Bytes: map[string]int64{}}
-	if a.lower < unbounded {
-		s.RequestBoundBytes, s.AnswerBoundBytes = a.lower, a.upper
+	s := State{ChargedBytes: a.chargedBytes, Bytes: map[string]int64{}}
+	if a.requestBoundBytes < unboundedBytes {
+		s.RequestBoundBytes, s.AnswerBoundBytes = a.requestBoundBytes, a.answerBoundBytes
 	}
 	for _, k := range Kinds() {
-		s.Bytes[k.String()] = a.by[k]
+		s.Bytes[k.String()] = a.heldByKind[k]
 	}
-	for h := range a.holders {
-		if h.stalled(now) > 0 {
+	for r := range a.requests {
+		if r.stalledFor(now) > 0 {
 			s.SlowCallers++
 		}
 	}
--- a/core/held/account_test.go
+++ b/core/held/account_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-const memory = 112 << 20
+const memoryLimit = 112 << 20
 
-func TestCountFollowsFromTheLimits(t *testing.T) {
+func TestMaxRequestsFollowsFromLimits(t *testing.T) {
 	require.Equal(t, 571, New(134<<20, 4100).MaxRequests())
 	require.Equal(t, 100, New(1<<30, 300).MaxRequests(), "descriptors bind")
-	require.Equal(t, leastRequests, New(1<<20, 0).MaxRequests())
+	require.Equal(t, minRequests, New(1<<20, 0).MaxRequests())
 	a := New(0, 60)
 	var last *RequestAccount
 	for range 20 {
-		h, ok := a.Admit()
+		r, ok := a.Admit()
 		require.True(t, ok)
-		last = h
+		last = r
 	}
 	_, ok := a.Admit()
 	require.False(t, ok)
@@ -30,174 +30,174 @@
 	require.Equal(t, 20, a.ActiveRequests())
 }
 
-// Ordinary requests are bounded by their number alone.
-func TestOrdinaryLoadIsBoundedByItsNumber(t *testing.T) {
-	a := New(memory, 0)
-	entered := 0
+// Requests of ordinary size must be limited only by their number.
+func TestOrdinaryRequestsAreBoundedByCount(t *testing.T) {
+	a := New(memoryLimit, 0)
+	admitted := 0
 	for {
-		h, ok := a.Admit()
+		r, ok := a.Admit()
 		if !ok {
 			break
 		}
-		require.True(t, h.Reserve(Body, 12<<10))
-		require.True(t, h.Reserve(Prompt, 24<<10))
-		require.True(t, h.Reserve(Answer, 4<<10))
-		entered++
+		require.True(t, r.Reserve(Body, 12<<10))
+		require.True(t, r.Reserve(Prompt, 24<<10))
+		require.True(t, r.Reserve(Answer, 4<<10))
+		admitted++
 	}
-	require.Equal(t, a.MaxRequests(), entered)
+	require.Equal(t, a.MaxRequests(), admitted)
 }
 
-// Long bodies of a few callers fill the bound; answers still have room beyond it.
-func TestAnswersHaveRoomWhereRequestsHaveNone(t *testing.T) {
-	a := New(memory, 0)
-	h, ok := a.Admit()
+// If long request bodies fill the request bound, answers must still have room beyond it.
+func TestAnswersMayExceedRequestBound(t *testing.T) {
+	a := New(memoryLimit, 0)
+	r, ok := a.Admit()
 	require.True(t, ok)
-	for h.Reserve(Body, 1<<20) {
+	for r.Reserve(Body, 1<<20) {
 	}
-	for h.Reserve(Prompt, 1<<10) {
+	for r.Reserve(Prompt, 1<<10) {
 	}
 	_, ok = a.Admit()
 	require.False(t, ok)
-	require.False(t, h.Reserve(Body, 1<<10))
-	require.True(t, h.Reserve(Answer, 1<<20))
-	require.Greater(t, a.ChargedBytes(), a.lower)
-	h.Release(Body, 2<<20)
-	require.True(t, h.Reserve(Body, 1<<10), "room again")
+	require.False(t, r.Reserve(Body, 1<<10))
+	require.True(t, r.Reserve(Answer, 1<<20))
+	require.Greater(t, a.ChargedBytes(), a.requestBoundBytes)
+	r.Release(Body, 2<<20)
+	require.True(t, r.Reserve(Body, 1<<10), "room again")
 }
 
-func TestSlowestHasTheMostForTheLongest(t *testing.T) {
-	a := New(memory, 0)
-	enter := func(bytes int64, since time.Duration) *RequestAccount {
-		h, ok := a.Admit()
+func TestEvictionsStartWithMostBytesStalledLongest(t *testing.T) {
+	a := New(memoryLimit, 0)
+	admit := func(bytes int64, since time.Duration) *RequestAccount {
+		r, ok := a.Admit()
 		require.True(t, ok)
-		require.True(t, h.Reserve(Events, bytes))
-		h.StartCallerWait(since)
-		return h
+		require.True(t, r.Reserve(Events, bytes))
+		r.StartCallerWait(since)
+		return r
 	}
 	now := 10 * time.Second
-	small := enter(100<<10, now-3*time.Second)
-	large := enter(1<<20, now-2*time.Second)
-	enter(8<<20, now)
-	reading := enter(2<<20, 0)
+	small := admit(100<<10, now-3*time.Second)
+	large := admit(1<<20, now-2*time.Second)
+	admit(8<<20, now)
+	reading := admit(2<<20, 0)
 	reading.StopCallerWait()
-	room := a.lower - a.ChargedBytes()
+	freeBytes := a.requestBoundBytes - a.ChargedBytes()
 
-	require.Empty(t, a.SelectEvictions(now, Body, room), "there is room")
-	require.Equal(t, []Eviction{{large, 2 * time.Second}}, a.SelectEvictions(now, Body, room+1<<20))
-	require.Empty(t, a.SelectEvictions(now, Body, room+1<<20), "what it frees is enough")
-	require.Equal(t, []Eviction{{small, 3 * time.Second}}, a.SelectEvictions(now, Body, room+2<<20))
-	require.Empty(t, a.SelectEvictions(now, Body, room+8<<20), "the others are not slow")
+	require.Empty(t, a.SelectEvictions(now, Body, freeBytes), "there is room")
+	require.Equal(t, []Eviction{{large, 2 * time.Second}}, a.SelectEvictions(now, Body, freeBytes+1<<20))
+	require.Empty(t, a.SelectEvictions(now, Body, freeBytes+1<<20), "the earlier eviction frees enough")
+	require.Equal(t, []Eviction{{small, 3 * time.Second}}, a.SelectEvictions(now, Body, freeBytes+2<<20))
+	require.Empty(t, a.SelectEvictions(now, Body, freeBytes+8<<20), "the others are not slow")
 	large.Close()
-	require.Empty(t, a.SelectEvictions(now, Body, a.lower-a.ChargedBytes()), "there is room")
+	require.Empty(t, a.SelectEvictions(now, Body, a.requestBoundBytes-a.ChargedBytes()), "there is room")
 }
 
-// A host that has as many requests as it may sets one slow caller free of its place.
-func TestSlowCallerGivesUpItsPlace(t *testing.T) {
-	a := New(memory, 3*leastRequests)
-	for range leastRequests {
-		h, ok := a.Admit()
+// At the maximum number of requests one slow caller must be evicted for a new request.
+func TestSlowCallerIsEvictedAtMaxRequests(t *testing.T) {
+	a := New(memoryLimit, 3*minRequests)
+	for range minRequests {
+		r, ok := a.Admit()
 		require.True(t, ok)
-		h.StartCallerWait(0)
+		r.StartCallerWait(0)
 	}
 	_, ok := a.Admit()
 	require.False(t, ok)
 	require.Len(t, a.SelectEvictions(time.Second, Body, MinRequestBytes), 1)
-	require.Empty(t, a.SelectEvictions(time.Second, Body, MinRequestBytes), "one is enough")
+	require.Empty(t, a.SelectEvictions(time.Second, Body, MinRequestBytes), "one eviction is enough")
 }
 
-// A caller for which something moves in time is never named.
-func TestSteadyCallerIsNotSlow(t *testing.T) {
-	a := New(memory, 0)
-	h, _ := a.Admit()
-	for now := time.Duration(0); now < time.Minute; now += stalledAfter / 2 {
-		h.StartCallerWait(now)
-		require.Empty(t, a.SelectEvictions(now+stalledAfter-1, Body, memory))
+// A caller that makes progress within the stall timeout must never be evicted.
+func TestCallerMakingProgressIsNotEvicted(t *testing.T) {
+	a := New(memoryLimit, 0)
+	r, _ := a.Admit()
+	for now := time.Duration(0); now < time.Minute; now += stallTimeout / 2 {
+		r.StartCallerWait(now)
+		require.Empty(t, a.SelectEvictions(now+stallTimeout-1, Body, memoryLimit))
 	}
 }
 
-func TestWhatHasLeftChargesNothing(t *testing.T) {
-	a := New(memory, 0)
-	h, _ := a.Admit()
-	require.True(t, h.Reserve(Body, 1<<20))
-	h.StartCallerWait(0)
-	h.Close()
-	h.Close()
-	require.False(t, h.Reserve(Body, 1))
-	h.Release(Body, 1)
+func TestClosedRequestChargesNothing(t *testing.T) {
+	a := New(memoryLimit, 0)
+	r, _ := a.Admit()
+	require.True(t, r.Reserve(Body, 1<<20))
+	r.StartCallerWait(0)
+	r.Close()
+	r.Close()
+	require.False(t, r.Reserve(Body, 1))
+	r.Release(Body, 1)
 	require.Zero(t, a.ChargedBytes())
-	require.Empty(t, a.SelectEvictions(time.Hour, Body, memory))
+	require.Empty(t, a.SelectEvictions(time.Hour, Body, memoryLimit))
 }
 
-// Whatever requests do, no figure falls below zero or beyond its bound, and all are zero at
-// the end.
-func TestAccountIsExact(t *testing.T) {
+// Under random steps no figure may fall below zero or exceed its bound, and all must be zero once
+// all requests are closed.
+func TestAccountInvariantsHoldUnderRandomSteps(t *testing.T) {
 	for seed := range uint64(20) {
-		random := rand.New(rand.NewPCG(seed, 7))
+		rng := rand.New(rand.NewPCG(seed, 7))
 		a := New(4<<20, 0)
-		var in []*RequestAccount
+		var requests []*RequestAccount
 		now := time.Duration(0)
 		for range 1000 {
-			now += time.Duration(random.IntN(50)) * time.Millisecond
-			in = step(a, in, random, now)
-			check(t, a, in)
+			now += time.Duration(rng.IntN(50)) * time.Millisecond
+			requests = randomStep(a, requests, rng, now)
+			requireConsistent(t, a, requests)
 		}
-		for _, h := range in {
-			h.Close()
+		for _, r := range requests {
+			r.Close()
 		}
-		check(t, a, nil)
+		requireConsistent(t, a, nil)
 		require.Zero(t, a.ChargedBytes())
 	}
 }
 
-// step does one thing to a request and returns those that are held.
-func step(a *Account, in []*RequestAccount, random *rand.Rand, now time.Duration) []*RequestAccount {
-	if len(in) == 0 || random.IntN(4) == 0 {
-		if h, ok := a.Admit(); ok {
-			in = append(in, h)
+// randomStep admits or changes one request and returns the open ones.
+func randomStep(a *Account, requests []*RequestAccount, rng *rand.Rand, now time.Duration) []*RequestAccount {
+	if len(requests) == 0 || rng.IntN(4) == 0 {
+		if r, ok := a.Admit(); ok {
+			requests = append(requests, r)
 		}
-		return in
+		return requests
 	}
-	i := random.IntN(len(in))
-	h, k := in[i], Kind(random.IntN(int(kinds)))
-	switch random.IntN(6) {
+	i := rng.IntN(len(requests))
+	r, k := requests[i], Kind(rng.IntN(int(kindCount)))
+	switch rng.IntN(6) {
 	case 0, 1:
-		h.Reserve(k, random.Int64N(200<<10))
+		r.Reserve(k, rng.Int64N(200<<10))
 	case 2:
-		h.Release(k, random.Int64N(200<<10))
+		r.Release(k, rng.Int64N(200<<10))
 	case 3:
-		h.StartCallerWait(now)
+		r.StartCallerWait(now)
 	case 4:
-		a.SelectEvictions(now, k, random.Int64N(200<<10))
+		a.SelectEvictions(now, k, rng.Int64N(200<<10))
 	case 5:
-		h.Close()
-		return slices.Delete(in, i, i+1)
+		r.Close()
+		return slices.Delete(requests, i, i+1)
 	}
-	return in
+	return requests
 }
 
-// check compares the account with the sum of what its requests hold.
-func check(t *testing.T, a *Account, in []*RequestAccount) {
-	var sum int64
-	var by [kinds]int64
-	for _, h := range in {
-		var bytes int64
-		for k, n := range h.by {
+// requireConsistent compares the account with the sums over its requests.
+func requireConsistent(t *testing.T, a *Account, requests []*RequestAccount) {
+	var charged int64
+	var heldByKind [kindCount]int64
+	for _, r := range requests {
+		var heldBytes int64
+		for k, n := range r.heldByKind {
 			require.GreaterOrEqual(t, n, int64(0))
-			by[k] += n
-			bytes += n
+			heldByKind[k] += n
+			heldBytes += n
 		}
-		require.Equal(t, bytes, h.HeldBytes())
-		sum += charge(bytes)
+		require.Equal(t, heldBytes, r.HeldBytes())
+		charged += chargeFor(heldBytes)
 	}
-	require.Equal(t, by, a.by)
-	require.Equal(t, sum, a.ChargedBytes())
-	require.LessOrEqual(t, sum, a.upper)
-	var answers int64
+	require.Equal(t, heldByKind, a.heldByKind)
+	require.Equal(t, charged, a.ChargedBytes())
+	require.LessOrEqual(t, charged, a.answerBoundBytes)
+	var answerBytes int64
 	for _, k := range Kinds() {
-		if k.sent() {
-			answers += by[k]
+		if k.existsAfterSend() {
+			answerBytes += heldByKind[k]
 		}
 	}
-	require.LessOrEqual(t, sum-answers, a.lower, "only answers pass the lower bound")
-	require.Equal(t, len(in), a.ActiveRequests())
+	require.LessOrEqual(t, charged-answerBytes, a.requestBoundBytes, "only answers may exceed the request bound")
+	require.Equal(t, len(requests), a.ActiveRequests())
 }
--- a/core/held/doc.go
+++ b/core/held/doc.go
@@ -1,35 +1,38 @@
-// Package held keeps account of the bytes that an entry host holds for its callers and
-// targets, and decides what may be added to them.
+// Package held accounts for the memory that an entry host holds for its requests, and
+// decides whether a request may hold more.
 //
-// The load it answers: callers that send and read slowly, and targets that do so. What has
-// been read of one side and not yet been written to the other stays in the host's memory;
-// a few hundred slow callers, or one burst of long prompts, end a process that counts
-// requests alone, and all its other requests with it.
+// Bytes that were read from a caller or a target and not yet written to the other side stay
+// in the host's memory. Callers and targets that send or read slowly make them pile up: in a
+// process that limits only the number of requests, a few hundred slow callers, or one burst
+// of long prompts, exhaust the memory and end all its other requests too.
 //
-// Each request has a Holder, which charges what it holds by Kind. A request costs a floor,
-// in which ordinary ones fit, so that ordinary load is bounded by the number of requests as
-// if nothing else were counted; what lies beyond the floor counts as it is.
+// Each request has a RequestAccount, to which its bytes are charged by Kind. A request is
+// charged at least MinRequestBytes, within which ordinary requests stay, so that ordinary
+// load is limited only by the number of requests; bytes beyond the minimum are charged as
+// they are.
 //
-//	           Enter               Grow                     Release, Leave
-//	caller ------------> holder -----------> holder grows ----------------> 0
-//	   |                    |
-//	   | refused            | refused: the bound is reached
-//	   v                    v
-//	 has not run     wait for a Release, Slowest ends meanwhile; then
-//	                 refused (not sent yet) or broken off (sent)
+//	          Admit                Reserve                Release, Close
+//	caller ----------> request ----------------> request ----------------> 0
+//	   |               account                   holds more
+//	   | refused          |
+//	   v                  | refused: the bound is reached
+//	 not run              v
+//	               wait for a Release, while SelectEvictions chooses slow callers
+//	               to end; then refused (not sent yet) or aborted (sent)
 //
-// There are two bounds. New requests, and what is read of callers, stay under the lower one;
-// answers may go up to the upper one. So a host that is full goes on to deliver what engines
-// have made, which frees what the requests hold.
+// There are two bounds. New requests, and bytes read from callers, stay under the request
+// bound; answers may go up to the higher answer bound. So a full host continues to deliver
+// answers that engines have generated, which frees the bytes of their requests.
 //
-// Where the bound is reached, Slowest names the callers that end, no more of them than the
-// room that is wanted takes: of those for which nothing has moved for a while, first the one
-// with the most bytes held for the longest time. One that reads slowly but steadily is never
-// named.
+// When a bound is reached, SelectEvictions chooses the callers to end, no more than the
+// missing bytes require. It considers only callers that have made no progress for the stall
+// timeout, in descending order of bytes times stalled time. A caller that reads slowly but
+// steadily is never chosen.
 //
 // Invariants:
 //
-//   - what is charged for a kind is never below zero, and zero after Leave;
-//   - what is charged in all passes the upper bound never, and the lower one only by answers;
-//   - a holder that has left charges nothing, whatever is asked of it.
+//   - the bytes of a kind are never below zero, and zero after Close;
+//   - the charged bytes never exceed the answer bound, and exceed the request bound only by
+//     answers;
+//   - a closed request account charges nothing, whichever method is called.
 package held
