--- a/core/placement/checker_state_test.go
+++ b/core/placement/checker_state_test.go
@@ -1,56 +1,63 @@
 package placement
 
-// checkState is one state of the world; comparable, so that it is visited once.
-type checkState struct {
-	latest, before int16 // maps at the platform: the newest and the one before
-	members        [checkMembers]checkMember
-	cut            byte // 'a', 'c' or 0
-	cuts           int16
-	lost           bool // a disk was lost
-	turns          [checkTurns]checkTurn
-	// kept is, for each turn, the map by which it lies at the platform, plus one; 0 if
-	// it does not.
-	kept [checkTurns]int16
+// checkerState is one state of the system: the slot map, members, data centre links and turns.
+// It is comparable, so that each state is visited once. Maps are numbered by checker.maps; sets
+// of members, and of turns, are bit masks.
+type checkerState struct {
+	latest, previous int16 // maps at the platform: the newest and the one before
+	members          [checkerMembers]checkerMember
+	cutDataCentre    byte // data centre that is cut off: 'a', 'c' or 0
+	cutCount         int16
+	diskLost         bool
+	turns            [checkerTurns]checkerTurn
+	// platformCopies holds, for each turn, the number of the map under which its record was
+	// stored at the platform, plus one; 0 if it is not stored there.
+	platformCopies [checkerTurns]int16
 }
 
-type checkMember struct {
-	alive   bool
-	adopted int16
-	records uint8
-	copied  uint8 // sources of the copy under way
-	under   int16 // map of that copy
+// checkerMember is the state of one disk.
+type checkerMember struct {
+	alive      bool
+	adoptedMap int16
+	records    uint8
+	copiedFrom uint8 // members from which the current copy has been made so far
+	copyMap    int16 // map of the current copy
 }
 
-type checkTurn struct {
-	phase   byte // 0 not begun, 1 writing, 2 acknowledged, 3 over
-	with    int16
-	acks    uint8 // members
-	after   uint8 // turns that were acknowledged when it began
-	saw     uint8
-	carried uint8 // members that the write has reached or will not reach
+// checkerTurn is the state of one turn, which writes its record and then reads the others.
+type checkerTurn struct {
+	phase       byte // 0 not begun, 1 writing, 2 acknowledged, 3 over
+	mapNumber   int16
+	acks        uint8 // members that acknowledged the write
+	ackedBefore uint8 // turns that were acknowledged when this one began
+	seen        uint8 // turns whose records the read returned
+	delivered   uint8 // members that the write has reached or will not reach
 }
 
-var checkPlaces = [checkMembers]string{"a", "a", "c", "", ""}
+// checkerDataCentres holds the data centres of the first members; a successor is in that of its
+// host.
+var checkerDataCentres = [checkerMembers]string{"a", "a", "c", "", ""}
 
-// tidy removes what is kept at the platform as far as a member's own map allows it.
-func (c *checker) tidy(s checkState, own int16) (n checkState, changed bool) {
-	n = s
-	if c.maps[own].AnyGuarded() && !c.tidyEarly {
-		return n, false
+// removePlatformCopies removes the records at the platform that a member may remove under the
+// map that it has adopted.
+func (c *checker) removePlatformCopies(s checkerState, adopted int16) (next checkerState, changed bool) {
+	next = s
+	if c.maps[adopted].AnyGuarded() && !c.cleanupWhileGuarded {
+		return next, false
 	}
-	for t, by := range s.kept {
-		if by > 0 && (c.maps[by-1].Epoch <= c.maps[own].Epoch || c.tidyStale) {
-			n.kept[t] = 0
+	for t, writtenUnder := range s.platformCopies {
+		if writtenUnder > 0 && (c.maps[writtenUnder-1].Epoch <= c.maps[adopted].Epoch || c.cleanupWithStaleMap) {
+			next.platformCopies[t] = 0
 			changed = true
 		}
 	}
-	return n, changed
+	return next, changed
 }
 
-// keptRecords are the records at the platform.
-func (s *checkState) keptRecords() (set uint8) {
-	for t, by := range s.kept {
-		if by > 0 {
+// platformRecords returns the set of turns whose records are stored at the platform.
+func (s *checkerState) platformRecords() (set uint8) {
+	for t, writtenUnder := range s.platformCopies {
+		if writtenUnder > 0 {
 			set |= 1 << t
 		}
 	}
--- a/core/placement/checker_test.go
+++ b/core/placement/checker_test.go
@@ -12,189 +12,199 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The checker visits all interleavings, up to a number of states, of one slot whose
-// replicas lie on two disks of data centre a and one of data centre c: cuts, heals, a lost disk, map changes,
-// adoptions, copies, and turns that write and read from either side. It asserts of
-// every two turns that are over
+// checker visits all interleavings, up to a number of states, of one slot whose replicas are on
+// two disks in data centre a and one in data centre c. The steps are network cuts and their
+// repair, the loss of a disk, map changes, adoptions of a map, copies, and turns that write and
+// read from either side of a cut. The checker asserts for every two finished turns
 //
-//   - that one that began after the other was acknowledged has seen it;
-//   - that at least one has seen the other: together they never overspend a budget;
+//   - that a turn that began after the other was acknowledged has seen it;
+//   - that at least one has seen the other, so that together they never overspend a budget;
 //
 // and that no acknowledged record is lost.
 type checker struct {
-	t     *testing.T
-	maps  []*Map // by number
-	known map[string]int
-	// tidyEarly is a seeded fault: kept records go while slots are guarded.
-	tidyEarly bool
-	// tidyStale is a seeded fault: a member with an old map removes what is kept under a
-	// newer one.
-	tidyStale bool
-	// spanless is a seeded fault: demotion does not ask whether the slot spanned.
-	spanless bool
-	// keepless: nothing is kept at the platform.
-	keepless bool
-	// unrequired: a joining replica of a guarded slot becomes active without more.
-	unrequired bool
-	// hasty: a member takes writes made with a newer map than its own.
-	hasty bool
-	fault string
+	t          *testing.T
+	maps       []*Map // by number
+	mapNumbers map[string]int
+	// cleanupWhileGuarded is a seeded fault: records at the platform are removed while slots are
+	// guarded.
+	cleanupWhileGuarded bool
+	// cleanupWithStaleMap is a seeded fault: a member with an old map removes records that were
+	// stored at the platform under a newer one.
+	cleanupWithStaleMap bool
+	// demoteWithoutSpanning is a seeded fault: demotion does not check that the slot is spanning.
+	demoteWithoutSpanning bool
+	// noPlatformCopies is a seeded fault: no records are stored at the platform.
+	noPlatformCopies bool
+	// activateWithoutRequiredAck is a seeded fault: a joining replica of a guarded slot becomes
+	// active although its acknowledgement was not required before.
+	activateWithoutRequiredAck bool
+	// acceptNewerMap is a seeded fault: a member accepts writes made with a newer map than its own
+	// although the slot may be guarded in that map.
+	acceptNewerMap bool
+	violation      string
 }
 
 const (
-	checkTurns   = 3
-	checkMembers = 5 // three, and successors of lost disks
-	mostCuts     = 2
+	checkerTurns   = 3
+	checkerMembers = 5 // three, and successors for lost disks
+	maxCuts        = 2
 )
 
-func (c *checker) id(i int) string { return fmt.Sprintf("m%d", i) }
+func (c *checker) memberID(i int) string { return fmt.Sprintf("m%d", i) }
 
-// centre returns the data centre of a member; a successor is where its host is.
-func (c *checker) centre(s *checkState, i int) string {
+// dataCentreOf returns the data centre of a member; a successor is in that of its host.
+func (c *checker) dataCentreOf(s *checkerState, i int) string {
 	if i < 3 {
-		return checkPlaces[i]
+		return checkerDataCentres[i]
 	}
-	return c.maps[s.latest].Members[c.id(i)].DataCentre
+	return c.maps[s.latest].Members[c.memberID(i)].DataCentre
 }
 
-// place returns where the caller's host of a turn is.
-func place(turn int) string { return []string{"a", "c", "b"}[turn] }
+// callerDataCentre returns the data centre of the entry host that serves a turn's caller.
+func callerDataCentre(turn int) string { return []string{"a", "c", "b"}[turn] }
 
-func (s *checkState) together(a, b string) bool {
-	return a == b || s.cut == 0 || string(s.cut) != a && string(s.cut) != b
+// connected reports whether the network connects two data centres.
+func (s *checkerState) connected(a, b string) bool {
+	return a == b || s.cutDataCentre == 0 || string(s.cutDataCentre) != a && string(s.cutDataCentre) != b
 }
 
-func (s *checkState) platform(centre string) bool { return s.cut == 0 || string(s.cut) != centre }
+// platformReachable reports whether a data centre reaches the platform.
+func (s *checkerState) platformReachable(dataCentre string) bool {
+	return s.cutDataCentre == 0 || string(s.cutDataCentre) != dataCentre
+}
 
-func (c *checker) number(m *Map) int16 {
-	text, err := json.Marshal(m)
+// mapNumber returns the number of a map, the same for equal maps.
+func (c *checker) mapNumber(m *Map) int16 {
+	encoded, err := json.Marshal(m)
 	require.NoError(c.t, err)
-	if n, ok := c.known[string(text)]; ok {
+	if n, ok := c.mapNumbers[string(encoded)]; ok {
 		return int16(n)
 	}
 	c.maps = append(c.maps, m)
-	c.known[string(text)] = len(c.maps) - 1
+	c.mapNumbers[string(encoded)] = len(c.maps) - 1
 	require.Less(c.t, len(c.maps), 1<<15)
 	return int16(len(c.maps) - 1)
 }
 
 func (c *checker) slot(n int16) *Slot { return &c.maps[n].Slots[0] }
 
-// first is the state in which all replicas are active, and the slot is crowded.
-func (c *checker) first() checkState {
+// initialState returns the state in which all replicas are active and the slot is crowded.
+func (c *checker) initialState() checkerState {
 	m := &Map{Epoch: 1, Faults: 1, Members: map[string]Member{}, Slots: make([]Slot, 1)}
 	for i := range 3 {
-		m.Members[c.id(i)] = Member{ID: c.id(i), Host: c.id(i), DataCentre: checkPlaces[i]}
+		m.Members[c.memberID(i)] = Member{ID: c.memberID(i), Host: c.memberID(i), DataCentre: checkerDataCentres[i]}
 	}
 	m.Assign()
-	s := checkState{latest: c.number(m)}
-	s.before = s.latest
+	s := checkerState{latest: c.mapNumber(m)}
+	s.previous = s.latest
 	for i := range 3 {
-		s.members[i] = checkMember{alive: true, adopted: s.latest}
+		s.members[i] = checkerMember{alive: true, adoptedMap: s.latest}
 	}
 	return s
 }
 
-// spanned is the state in which the slot spans and the replica outside has copied it.
-func (c *checker) spanned() checkState {
-	s := c.first()
-	s, ok := c.change(s, func(m *Map) bool { return m.SpanCrowdedSlots() })
+// spanningState returns the state in which the slot is spanning and the outside replica has
+// copied it.
+func (c *checker) spanningState() checkerState {
+	s := c.initialState()
+	s, ok := c.changeMap(s, func(m *Map) bool { return m.SpanCrowdedSlots() })
 	require.True(c.t, ok)
-	s, ok = c.change(s, func(m *Map) bool { return m.Activate("m2", map[int]uint64{0: m.Slots[0].ChangedEpoch}) })
+	s, ok = c.changeMap(s, func(m *Map) bool { return m.Activate("m2", map[int]uint64{0: m.Slots[0].ChangedEpoch}) })
 	require.True(c.t, ok)
-	s.before = s.latest
+	s.previous = s.latest
 	for i := range 3 {
-		s.members[i].adopted = s.latest
+		s.members[i].adoptedMap = s.latest
 	}
 	return s
 }
 
-// demoted is the state in which the crowded data centre is cut off, and the replica
-// outside has taken over.
-func (c *checker) demoted() checkState {
-	s := c.spanned()
-	s.cut, s.cuts = 'a', 1
-	s, ok := c.change(s, func(m *Map) bool { return m.Demote(map[string]bool{"m0": true, "m1": true}) })
+// demotedState returns the state in which the crowded data centre is cut off and its replicas
+// are demoted, so that the outside replica serves alone.
+func (c *checker) demotedState() checkerState {
+	s := c.spanningState()
+	s.cutDataCentre, s.cutCount = 'a', 1
+	s, ok := c.changeMap(s, func(m *Map) bool { return m.Demote(map[string]bool{"m0": true, "m1": true}) })
 	require.True(c.t, ok)
-	s.members[2].adopted = s.latest
+	s.members[2].adoptedMap = s.latest
 	return s
 }
 
-// change applies a change of the map by a member.
-func (c *checker) change(s checkState, apply func(*Map) bool) (checkState, bool) {
+// changeMap applies a change of the latest map, and reports whether the map changed.
+func (c *checker) changeMap(s checkerState, apply func(*Map) bool) (checkerState, bool) {
 	m := c.maps[s.latest].Clone()
 	if !apply(m) {
 		return s, false
 	}
-	s.before, s.latest = s.latest, c.number(m)
+	s.previous, s.latest = s.latest, c.mapNumber(m)
 	return s, true
 }
 
-// next returns all states that may follow.
-func (c *checker) next(s checkState) []checkState {
-	var list []checkState
-	add := func(n checkState, ok bool) {
+// successors returns all states that may follow.
+func (c *checker) successors(s checkerState) []checkerState {
+	var states []checkerState
+	add := func(next checkerState, ok bool) {
 		if ok {
-			list = append(list, n)
+			states = append(states, next)
 		}
 	}
-	if s.cut != 0 {
-		n := s
-		n.cut = 0
-		add(n, true)
-	} else if s.cuts < mostCuts {
-		for _, centre := range []byte{'a', 'c'} {
-			n := s
-			n.cut, n.cuts = centre, s.cuts+1
-			add(n, true)
+	if s.cutDataCentre != 0 {
+		next := s
+		next.cutDataCentre = 0
+		add(next, true)
+	} else if s.cutCount < maxCuts {
+		for _, dataCentre := range []byte{'a', 'c'} {
+			next := s
+			next.cutDataCentre, next.cutCount = dataCentre, s.cutCount+1
+			add(next, true)
 		}
 	}
-	for i := range checkMembers {
-		list = append(list, c.memberSteps(s, i)...)
+	for i := range checkerMembers {
+		states = append(states, c.memberSteps(s, i)...)
 	}
-	for t := range checkTurns {
-		list = append(list, c.turnSteps(s, t)...)
+	for t := range checkerTurns {
+		states = append(states, c.turnSteps(s, t)...)
 	}
-	return list
+	return states
 }
 
-func (c *checker) memberSteps(s checkState, i int) []checkState {
-	x := s.members[i]
-	if !x.alive {
+// memberSteps returns the states that may follow by a step of a member.
+func (c *checker) memberSteps(s checkerState, i int) []checkerState {
+	member := s.members[i]
+	if !member.alive {
 		return nil
 	}
-	var list []checkState
-	add := func(n checkState, ok bool) {
+	var states []checkerState
+	add := func(next checkerState, ok bool) {
 		if ok {
-			list = append(list, n)
+			states = append(states, next)
 		}
 	}
-	if !s.lost {
-		add(c.lose(s, i))
+	if !s.diskLost {
+		add(c.loseDisk(s, i))
 	}
-	centre := c.centre(&s, i)
-	if !s.platform(centre) {
-		return list
+	dataCentre := c.dataCentreOf(&s, i)
+	if !s.platformReachable(dataCentre) {
+		return states
 	}
-	add(c.tidy(s, x.adopted))
-	if x.adopted != s.latest {
-		n := s
-		n.members[i].adopted = s.latest
-		add(n, true)
-		return list // a keeper acts on the newest map
+	add(c.removePlatformCopies(s, member.adoptedMap))
+	if member.adoptedMap != s.latest {
+		next := s
+		next.members[i].adoptedMap = s.latest
+		add(next, true)
+		return states // a member changes only the newest map
 	}
 	silent := map[string]bool{}
-	for j := range checkMembers {
-		_, in := c.maps[s.latest].Members[c.id(j)]
-		if in && (!s.members[j].alive || !s.together(centre, c.centre(&s, j))) {
-			silent[c.id(j)] = true
+	for j := range checkerMembers {
+		_, in := c.maps[s.latest].Members[c.memberID(j)]
+		if in && (!s.members[j].alive || !s.connected(dataCentre, c.dataCentreOf(&s, j))) {
+			silent[c.memberID(j)] = true
 		}
 	}
 	if len(silent) == 0 {
-		add(c.change(s, func(m *Map) bool { return m.SpanCrowdedSlots() }))
+		add(c.changeMap(s, func(m *Map) bool { return m.SpanCrowdedSlots() }))
 	}
-	add(c.change(s, func(m *Map) bool {
-		if c.spanless {
+	add(c.changeMap(s, func(m *Map) bool {
+		if c.demoteWithoutSpanning {
 			for k := range m.Slots {
 				m.Slots[k].Spanning = true
 				for j := range m.Slots[k].Replicas {
@@ -204,189 +214,193 @@
 		}
 		return m.Demote(silent)
 	}))
-	add(c.change(s, func(m *Map) bool { return m.UnspanSlots(silent) }))
-	add(c.change(s, func(m *Map) bool { return m.RequireAck(c.id(i)) }))
-	list = append(list, c.copies(s, i)...)
-	return list
+	add(c.changeMap(s, func(m *Map) bool { return m.UnspanSlots(silent) }))
+	add(c.changeMap(s, func(m *Map) bool { return m.RequireAck(c.memberID(i)) }))
+	states = append(states, c.copySteps(s, i)...)
+	return states
 }
 
-// lose wipes a disk; its host comes back with an empty one, as another member.
-func (c *checker) lose(s checkState, i int) (checkState, bool) {
-	old := c.maps[s.latest].Members[c.id(i)]
-	successor := slices.IndexFunc(s.members[3:], func(x checkMember) bool { return !x.alive }) + 3
-	if !s.platform(old.DataCentre) {
+// loseDisk wipes a disk; its host returns with an empty one, as a new member.
+func (c *checker) loseDisk(s checkerState, i int) (checkerState, bool) {
+	old := c.maps[s.latest].Members[c.memberID(i)]
+	successor := slices.IndexFunc(s.members[3:], func(x checkerMember) bool { return !x.alive }) + 3
+	if !s.platformReachable(old.DataCentre) {
 		return s, false
 	}
-	s.lost = true
-	s.members[i] = checkMember{}
-	n, ok := c.change(s, func(m *Map) bool {
-		return m.Admit(Member{ID: c.id(successor), Host: old.Host, DataCentre: old.DataCentre})
+	s.diskLost = true
+	s.members[i] = checkerMember{}
+	next, ok := c.changeMap(s, func(m *Map) bool {
+		return m.Admit(Member{ID: c.memberID(successor), Host: old.Host, DataCentre: old.DataCentre})
 	})
-	n.members[successor] = checkMember{alive: true, adopted: n.latest}
-	return n, ok
+	next.members[successor] = checkerMember{alive: true, adoptedMap: next.latest}
+	return next, ok
 }
 
-// copies lets a joining member copy from one more source, and become active.
-func (c *checker) copies(s checkState, i int) []checkState {
+// copySteps returns the states in which a member has copied from one more source, or has become
+// active after copying from enough of them.
+func (c *checker) copySteps(s checkerState, i int) []checkerState {
 	m := c.maps[s.latest]
-	r, in := m.Slots[0].Replica(c.id(i))
+	r, in := m.Slots[0].Replica(c.memberID(i))
 	if !in || !r.NeedsCopy() {
 		return nil
 	}
-	var list []checkState
-	from, need := m.CopySources(0, c.id(i))
-	x := s.members[i]
-	if x.under != s.latest {
-		x.under, x.copied = s.latest, 0
+	var states []checkerState
+	sources, minSources := m.CopySources(0, c.memberID(i))
+	member := s.members[i]
+	if member.copyMap != s.latest {
+		member.copyMap, member.copiedFrom = s.latest, 0
 	}
 	if m.Slots[0].Guarded && m.Slots[0].ActiveCount() == 0 {
-		x.records |= s.keptRecords()
+		member.records |= s.platformRecords()
 	}
-	for j := range checkMembers {
-		y := s.members[j]
-		if !slices.Contains(from, c.id(j)) || !y.alive || y.adopted != s.latest || !s.together(c.centre(&s, i), c.centre(&s, j)) || x.copied&(1<<j) != 0 {
+	for j := range checkerMembers {
+		source := s.members[j]
+		if !slices.Contains(sources, c.memberID(j)) || !source.alive || source.adoptedMap != s.latest || !s.connected(c.dataCentreOf(&s, i), c.dataCentreOf(&s, j)) || member.copiedFrom&(1<<j) != 0 {
 			continue
 		}
-		n := s
-		n.members[i] = x
-		n.members[i].records |= y.records
-		n.members[i].copied |= 1 << j
-		list = append(list, n)
+		next := s
+		next.members[i] = member
+		next.members[i].records |= source.records
+		next.members[i].copiedFrom |= 1 << j
+		states = append(states, next)
 	}
-	if bits.OnesCount8(x.copied) >= need && need > 0 {
-		n, ok := c.change(s, func(m *Map) bool {
-			if c.unrequired {
-				at := slices.IndexFunc(m.Slots[0].Replicas, func(r Replica) bool { return r.Member == c.id(i) })
-				m.Slots[0].Replicas[at].AckRequired = true
+	if bits.OnesCount8(member.copiedFrom) >= minSources && minSources > 0 {
+		next, ok := c.changeMap(s, func(m *Map) bool {
+			if c.activateWithoutRequiredAck {
+				index := slices.IndexFunc(m.Slots[0].Replicas, func(r Replica) bool { return r.Member == c.memberID(i) })
+				m.Slots[0].Replicas[index].AckRequired = true
 			}
-			return m.Activate(c.id(i), map[int]uint64{0: m.Slots[0].ChangedEpoch})
+			return m.Activate(c.memberID(i), map[int]uint64{0: m.Slots[0].ChangedEpoch})
 		})
-		n.members[i] = x
+		next.members[i] = member
 		if ok {
-			list = append(list, n)
+			states = append(states, next)
 		}
 	}
-	return list
+	return states
 }
 
 // accepts reports whether a member serves a request made with a map.
-func (c *checker) accepts(s *checkState, i int, with int16) bool {
-	x := s.members[i]
-	return x.alive && c.maps[with].Epoch >= c.slot(x.adopted).ChangedEpoch
+func (c *checker) accepts(s *checkerState, i int, mapNumber int16) bool {
+	member := s.members[i]
+	return member.alive && c.maps[mapNumber].Epoch >= c.slot(member.adoptedMap).ChangedEpoch
 }
 
-// behind reports whether a member must not serve a write made with a newer map than
-// its own.
-func (c *checker) behind(s *checkState, i int, with int16) bool {
-	own := s.members[i].adopted
-	return !c.hasty && c.maps[with].Epoch > c.maps[own].Epoch && c.maps[own].MayBeGuarded(0)
+// refusesNewerMap reports whether a member refuses a write because it was made with a newer map
+// than its own, in which the slot may be guarded.
+func (c *checker) refusesNewerMap(s *checkerState, i int, mapNumber int16) bool {
+	adopted := s.members[i].adoptedMap
+	return !c.acceptNewerMap && c.maps[mapNumber].Epoch > c.maps[adopted].Epoch && c.maps[adopted].MayBeGuarded(0)
 }
 
-// run visits states in order of their distance, up to a number of them, and returns
-// how many, and the way to the first that is wrong.
-func (c *checker) run(from func() checkState, most int) (visited int, way []checkState) {
-	start := from()
-	cameFrom := map[checkState]checkState{start: start}
-	queue := []checkState{start}
-	for len(queue) > 0 && len(cameFrom) < most {
+// search visits states in breadth-first order until there are maxStates of them. It returns
+// their number, and the path to the first state with a violation, nil if there is none.
+func (c *checker) search(makeStart func() checkerState, maxStates int) (visited int, path []checkerState) {
+	start := makeStart()
+	predecessors := map[checkerState]checkerState{start: start}
+	queue := []checkerState{start}
+	for len(queue) > 0 && len(predecessors) < maxStates {
 		s := queue[0]
 		queue = queue[1:]
-		for _, n := range c.next(s) {
-			if _, seen := cameFrom[n]; seen {
+		for _, next := range c.successors(s) {
+			if _, seen := predecessors[next]; seen {
 				continue
 			}
-			cameFrom[n] = s
-			if c.fault = c.wrong(n); c.fault != "" {
-				for n != start {
-					way = append(way, n)
-					n = cameFrom[n]
+			predecessors[next] = s
+			if c.violation = c.findViolation(next); c.violation != "" {
+				for next != start {
+					path = append(path, next)
+					next = predecessors[next]
 				}
-				slices.Reverse(way)
-				return len(cameFrom), way
+				slices.Reverse(path)
+				return len(predecessors), path
 			}
-			queue = append(queue, n)
+			queue = append(queue, next)
 		}
 	}
-	return len(cameFrom), nil
+	return len(predecessors), nil
 }
 
-func (c *checker) explain(way []checkState) string {
-	out := c.fault + "\n"
-	for _, s := range way {
-		out += fmt.Sprintf("cut %c, map %d %+v, members %+v, turns %+v, kept %v\n", max(s.cut, '-'), s.latest, *c.slot(s.latest), s.members, s.turns, s.kept)
+// describe formats the violation and the states on the path to it.
+func (c *checker) describe(path []checkerState) string {
+	text := c.violation + "\n"
+	for _, s := range path {
+		text += fmt.Sprintf("cut %c, map %d %+v, members %+v, turns %+v, platform copies %v\n", max(s.cutDataCentre, '-'), s.latest, *c.slot(s.latest), s.members, s.turns, s.platformCopies)
 	}
-	return out
+	return text
 }
 
-// checkStates is how many states CI visits, in some 15 s; PLACEMENT_STATES sets another
-// number for a deeper run by hand.
-const checkStates = 400_000
+// defaultMaxStates is the number of states that CI visits, in about 15 s. The environment
+// variable PLACEMENT_STATES sets another number, for a deeper manual run.
+const defaultMaxStates = 400_000
 
-func statesToVisit(t *testing.T) int {
+func maxStatesToVisit(t *testing.T) int {
 	text, set := os.LookupEnv("PLACEMENT_STATES")
 	if !set {
-		return checkStates
+		return defaultMaxStates
 	}
 	n, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return n
 }
 
-func newChecker(t *testing.T) *checker { return &checker{t: t, known: map[string]int{}} }
+func newChecker(t *testing.T) *checker { return &checker{t: t, mapNumbers: map[string]int{}} }
 
-func TestCutsOfCrowdedSlotsKeepWhatIsAcknowledged(t *testing.T) {
-	for name, from := range map[string]func(*checker) checkState{
-		"crowded": (*checker).first, "spanned": (*checker).spanned, "demoted": (*checker).demoted,
+// Cuts of a data centre, lost disks and map changes, in any order, must not lose acknowledged
+// records, nor let two turns miss each other.
+func TestPartitionsLoseNoAcknowledgedWrite(t *testing.T) {
+	for name, makeStart := range map[string]func(*checker) checkerState{
+		"crowded": (*checker).initialState, "spanning": (*checker).spanningState, "demoted": (*checker).demotedState,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newChecker(t)
-			visited, way := c.run(func() checkState { return from(c) }, statesToVisit(t))
+			visited, path := c.search(func() checkerState { return makeStart(c) }, maxStatesToVisit(t))
 			t.Logf("%d states, %d maps", visited, len(c.maps))
-			require.Empty(t, way, "%s", c.explain(way))
+			require.Empty(t, path, "%s", c.describe(path))
 		})
 	}
 }
 
-// The checker sees faults that are built in.
-func TestCheckerSeesSeededFaults(t *testing.T) {
+// A checker that misses a seeded fault would also miss a real one.
+func TestCheckerDetectsSeededFaults(t *testing.T) {
 	cases := map[string]struct {
-		seed func(*checker)
-		from func(*checker) checkState
+		seedFault func(*checker)
+		makeStart func(*checker) checkerState
 	}{
-		"a slot that did not span is taken over":              {func(c *checker) { c.spanless = true }, (*checker).first},
-		"kept records go while slots are guarded":             {func(c *checker) { c.tidyEarly = true }, (*checker).demoted},
-		"a member with an old map removes kept records":       {func(c *checker) { c.tidyStale = true }, (*checker).demoted},
-		"nothing is kept at the platform":                     {func(c *checker) { c.keepless = true }, (*checker).demoted},
-		"a member acknowledges by an old map":                 {func(c *checker) { c.hasty = true }, (*checker).spanned},
-		"a joining replica misses writes before it is active": {func(c *checker) { c.unrequired = true }, (*checker).demoted},
+		"replicas of a non-spanning slot are demoted":               {func(c *checker) { c.demoteWithoutSpanning = true }, (*checker).initialState},
+		"platform copies are removed while slots are guarded":       {func(c *checker) { c.cleanupWhileGuarded = true }, (*checker).demotedState},
+		"a member with an old map removes platform copies":          {func(c *checker) { c.cleanupWithStaleMap = true }, (*checker).demotedState},
+		"no records are stored at the platform":                     {func(c *checker) { c.noPlatformCopies = true }, (*checker).demotedState},
+		"a member with an old map acknowledges writes of a new one": {func(c *checker) { c.acceptNewerMap = true }, (*checker).spanningState},
+		"a joining replica misses writes before it is active":       {func(c *checker) { c.activateWithoutRequiredAck = true }, (*checker).demotedState},
 	}
-	for name, x := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newChecker(t)
-			x.seed(c)
-			_, way := c.run(func() checkState { return x.from(c) }, statesToVisit(t))
-			require.NotEmpty(t, way)
-			t.Log(c.explain(way))
+			testCase.seedFault(c)
+			_, path := c.search(func() checkerState { return testCase.makeStart(c) }, maxStatesToVisit(t))
+			require.NotEmpty(t, path)
+			t.Log(c.describe(path))
 		})
 	}
 }
 
-// After a cut of the crowded data centre the others go on, if the slot was made to
-// span before; without that no part of the hosts can serve.
-func TestTheRestGoesOnWhenTheCrowdedDataCentreIsCutOff(t *testing.T) {
-	for _, spans := range []bool{false, true} {
+// After the crowded data centre is cut off, the outside replicas serve only if the slot was
+// spanning before; otherwise neither side can serve.
+func TestOutsideReplicasTakeOverOnlySpanningSlots(t *testing.T) {
+	for _, spanning := range []bool{false, true} {
 		c := newChecker(t)
-		s := c.first()
+		s := c.initialState()
 		slots := c.maps[s.latest].Clone()
-		if spans {
+		if spanning {
 			require.True(t, slots.SpanCrowdedSlots())
 			require.True(t, slots.Activate("m2", map[int]uint64{0: slots.Slots[0].ChangedEpoch}))
 		}
 		silent := map[string]bool{"m0": true, "m1": true}
 		changed := slots.Demote(silent)
-		require.Equal(t, spans, changed)
-		left := map[string]bool{"m2": true}
-		require.Equal(t, spans, slots.IsWriteDurable(&slots.Slots[0], left), "the rest serves")
-		require.Equal(t, spans, slots.NeedsPlatformCopy(0), "and keeps a second copy")
+		require.Equal(t, spanning, changed)
+		outside := map[string]bool{"m2": true}
+		require.Equal(t, spanning, slots.IsWriteDurable(&slots.Slots[0], outside), "the outside replica serves")
+		require.Equal(t, spanning, slots.NeedsPlatformCopy(0), "records need a second copy at the platform")
 	}
 }
--- a/core/placement/checker_turns_test.go
+++ b/core/placement/checker_turns_test.go
@@ -5,113 +5,114 @@
 	"math/bits"
 )
 
-// turnSteps returns what may follow by a step of a turn.
-func (c *checker) turnSteps(s checkState, t int) []checkState {
-	var list []checkState
-	switch x := s.turns[t]; x.phase {
+// turnSteps returns the states that may follow by a step of a turn.
+func (c *checker) turnSteps(s checkerState, t int) []checkerState {
+	var states []checkerState
+	switch turn := s.turns[t]; turn.phase {
 	case 0:
 		if t > 0 && s.turns[t-1].phase == 0 {
-			return nil // turns begin in order, to visit less
+			return nil // turns begin in order, to visit fewer states
 		}
-		for _, with := range []int16{s.latest, s.before} {
-			n := s
-			n.turns[t] = checkTurn{phase: 1, with: with}
-			for u := range checkTurns {
+		for _, mapNumber := range []int16{s.latest, s.previous} {
+			next := s
+			next.turns[t] = checkerTurn{phase: 1, mapNumber: mapNumber}
+			for u := range checkerTurns {
 				if s.turns[u].phase >= 2 {
-					n.turns[t].after |= 1 << u
+					next.turns[t].ackedBefore |= 1 << u
 				}
 			}
-			list = append(list, n)
-			if s.latest == s.before {
+			states = append(states, next)
+			if s.latest == s.previous {
 				break
 			}
 		}
 	case 1:
-		for i := range checkMembers {
-			list = append(list, c.deliver(s, t, i)...)
+		for i := range checkerMembers {
+			states = append(states, c.deliver(s, t, i)...)
 		}
 	case 2:
-		for _, with := range []int16{x.with, s.latest} {
-			list = append(list, c.reads(s, t, with)...)
-			if x.with == s.latest {
+		for _, mapNumber := range []int16{turn.mapNumber, s.latest} {
+			states = append(states, c.readSteps(s, t, mapNumber)...)
+			if turn.mapNumber == s.latest {
 				break
 			}
 		}
 	}
-	return list
+	return states
 }
 
-// deliver brings the write of a turn to a member.
-func (c *checker) deliver(s checkState, t, i int) []checkState {
-	x := s.turns[t]
-	_, in := c.slot(x.with).Replica(c.id(i))
-	if !in || x.carried&(1<<i) != 0 || !s.together(place(t), c.centre(&s, i)) || !c.accepts(&s, i, x.with) || c.behind(&s, i, x.with) {
+// deliver returns the state after a member has received the write of a turn, nil if it cannot
+// receive or does not accept it.
+func (c *checker) deliver(s checkerState, t, i int) []checkerState {
+	turn := s.turns[t]
+	_, in := c.slot(turn.mapNumber).Replica(c.memberID(i))
+	if !in || turn.delivered&(1<<i) != 0 || !s.connected(callerDataCentre(t), c.dataCentreOf(&s, i)) || !c.accepts(&s, i, turn.mapNumber) || c.refusesNewerMap(&s, i, turn.mapNumber) {
 		return nil
 	}
-	n := s
-	n.turns[t].carried |= 1 << i
-	n.members[i].records |= 1 << t
-	own, holds := c.slot(s.members[i].adopted).Replica(c.id(i))
-	if holds && !own.Joining && !c.keepless && c.maps[s.members[i].adopted].NeedsPlatformCopy(0) {
-		if !s.platform(c.centre(&s, i)) {
-			return []checkState{n} // on disk, and not acknowledged
+	next := s
+	next.turns[t].delivered |= 1 << i
+	next.members[i].records |= 1 << t
+	own, holds := c.slot(s.members[i].adoptedMap).Replica(c.memberID(i))
+	if holds && !own.Joining && !c.noPlatformCopies && c.maps[s.members[i].adoptedMap].NeedsPlatformCopy(0) {
+		if !s.platformReachable(c.dataCentreOf(&s, i)) {
+			return []checkerState{next} // on disk but not acknowledged
 		}
-		n.kept[t] = s.members[i].adopted + 1
+		next.platformCopies[t] = s.members[i].adoptedMap + 1
 	}
-	n.turns[t].acks |= 1 << i
+	next.turns[t].acks |= 1 << i
 	acks := map[string]bool{}
-	for j := range checkMembers {
-		acks[c.id(j)] = n.turns[t].acks&(1<<j) != 0
+	for j := range checkerMembers {
+		acks[c.memberID(j)] = next.turns[t].acks&(1<<j) != 0
 	}
-	if c.maps[x.with].IsWriteDurable(c.slot(x.with), acks) {
-		n.turns[t].phase = 2
+	if c.maps[turn.mapNumber].IsWriteDurable(c.slot(turn.mapNumber), acks) {
+		next.turns[t].phase = 2
 	}
-	return []checkState{n}
+	return []checkerState{next}
 }
 
-// reads ends a turn with every complete reading that it may get.
-func (c *checker) reads(s checkState, t int, with int16) []checkState {
-	slot := c.slot(with)
-	var can []int
-	for i := range checkMembers {
-		r, in := slot.Replica(c.id(i))
-		if in && !r.Joining && s.together(place(t), c.centre(&s, i)) && c.accepts(&s, i, with) {
-			can = append(can, i)
+// readSteps returns the states after a turn ended with each complete read that it may get.
+func (c *checker) readSteps(s checkerState, t int, mapNumber int16) []checkerState {
+	slot := c.slot(mapNumber)
+	var readable []int
+	for i := range checkerMembers {
+		r, in := slot.Replica(c.memberID(i))
+		if in && !r.Joining && s.connected(callerDataCentre(t), c.dataCentreOf(&s, i)) && c.accepts(&s, i, mapNumber) {
+			readable = append(readable, i)
 		}
 	}
-	need := c.maps[with].ReadQuorum(slot)
-	var list []checkState
-	for set := range 1 << len(can) {
-		if bits.OnesCount(uint(set)) != need {
+	quorum := c.maps[mapNumber].ReadQuorum(slot)
+	var states []checkerState
+	for set := range 1 << len(readable) {
+		if bits.OnesCount(uint(set)) != quorum {
 			continue
 		}
-		n := s
-		n.turns[t].phase = 3
-		for k, i := range can {
+		next := s
+		next.turns[t].phase = 3
+		for k, i := range readable {
 			if set&(1<<k) != 0 {
-				n.turns[t].saw |= s.members[i].records
+				next.turns[t].seen |= s.members[i].records
 			}
 		}
-		list = append(list, n)
+		states = append(states, next)
 	}
-	return list
+	return states
 }
 
-// wrong returns what does not hold in a state.
-func (c *checker) wrong(s checkState) string {
-	for t := range checkTurns {
-		x := s.turns[t]
-		if x.phase >= 2 && !c.held(&s, t) {
+// findViolation describes the assertion that a state violates, empty if there is none.
+func (c *checker) findViolation(s checkerState) string {
+	for t := range checkerTurns {
+		turn := s.turns[t]
+		if turn.phase >= 2 && !c.isRecordStored(&s, t) {
 			return fmt.Sprintf("turn %d is lost", t)
 		}
-		if x.phase != 3 {
+		if turn.phase != 3 {
 			continue
 		}
-		if x.after&^x.saw != 0 {
-			return fmt.Sprintf("turn %d did not see one that was acknowledged before it began: %03b", t, x.after&^x.saw)
+		if turn.ackedBefore&^turn.seen != 0 {
+			return fmt.Sprintf("turn %d did not see turns that were acknowledged before it began: mask %03b", t, turn.ackedBefore&^turn.seen)
 		}
 		for u := range t {
-			if s.turns[u].phase == 3 && x.saw&(1<<u) == 0 && s.turns[u].saw&(1<<t) == 0 {
+			if s.turns[u].phase == 3 && turn.seen&(1<<u) == 0 && s.turns[u].seen&(1<<t) == 0 {
 				return fmt.Sprintf("turns %d and %d did not see each other", u, t)
 			}
 		}
@@ -119,13 +120,13 @@
 	return ""
 }
 
-// held reports whether a record is on some disk or kept at the platform.
-func (c *checker) held(s *checkState, t int) bool {
-	held := s.keptRecords()
-	for _, x := range s.members {
-		if x.alive {
-			held |= x.records
+// isRecordStored reports whether a turn's record is on some disk or at the platform.
+func (c *checker) isRecordStored(s *checkerState, t int) bool {
+	stored := s.platformRecords()
+	for _, member := range s.members {
+		if member.alive {
+			stored |= member.records
 		}
 	}
-	return held&(1<<t) != 0
+	return stored&(1<<t) != 0
 }
--- a/core/placement/crowded.go
+++ b/core/placement/crowded.go
@@ -2,28 +2,31 @@
 
 import "slices"
 
-// A slot is crowded where one data centre holds so many of its replicas that they
-// could acknowledge a write by themselves. When that data centre is cut off, the
-// others would not know what it acknowledged, and no part could go on:
+// A slot is crowded if one data centre holds so many of its replicas that they form a
+// write quorum by themselves. If that data centre were cut off, the outside replicas, in
+// the other data centres, would not know which writes it acknowledged, and neither side
+// could serve. Crowded slots are handled as follows:
 //
-//   - A crowded slot is made to span: from then on a write also needs all replicas
-//     outside of the crowded data centre. These copy what they may have missed until then;
-//     once one has, it knows every acknowledged write.
-//   - When the crowded data centre is silent, Demote lets its replicas join anew. The
-//     ones outside go on alone, fenced off by the new epoch: the cut-off side needs
-//     one of them for each write, and they refuse older maps.
-//   - Until enough replicas are active again the slot is guarded: a write needs all active
-//     ones, and they keep it in the platform's store as well, so that no single disk has the
-//     only copy.
-//   - When one of those outside is silent, Unspan lets the others go on without it.
-
-// crowded returns the data centre that crowds a slot.
-func (m *Map) crowded(s *Slot) (dataCentre string, is bool) {
-	count := map[string]int{}
+//   - SpanCrowdedSlots makes a crowded slot spanning: from then on a write also needs all
+//     outside replicas. They copy the records that they may have missed before; a replica
+//     that has done so holds every acknowledged write.
+//   - When no replica in the crowded data centre answers, Demote turns these replicas into
+//     joining ones. The outside replicas serve alone, fenced by the new epoch: the cut-off
+//     side needs one of them for each write, and they refuse older maps.
+//   - Until a quorum of replicas is active again the slot is guarded: a write needs all
+//     active replicas, and they also write it to the platform's store, so that no single
+//     disk has the only copy.
+//   - When an outside replica does not answer, UnspanSlots lets the other replicas serve
+//     without it.
+
+// crowdedDataCentre returns the data centre whose replicas of a slot form a write quorum,
+// unless it holds all replicas of the slot.
+func (m *Map) crowdedDataCentre(s *Slot) (dataCentre string, crowded bool) {
+	replicaCounts := map[string]int{}
 	for _, r := range s.Replicas {
-		count[m.Members[r.Member].DataCentre]++
+		replicaCounts[m.Members[r.Member].DataCentre]++
 	}
-	for dc, n := range count {
+	for dc, n := range replicaCounts {
 		if n >= m.Quorum() && n < len(s.Replicas) {
 			return dc, true
 		}
@@ -31,25 +34,25 @@
 	return "", false
 }
 
-// outside returns the replicas of a crowded slot that are not in the crowded data
-// centre.
-func (m *Map) outside(s *Slot) []Replica {
-	dc, is := m.crowded(s)
-	if !is {
+// outsideReplicas returns the replicas of a crowded slot that are not in the crowded data
+// centre, nil if the slot is not crowded.
+func (m *Map) outsideReplicas(s *Slot) []Replica {
+	dc, crowded := m.crowdedDataCentre(s)
+	if !crowded {
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(s.Replicas), func(r Replica) bool { return m.Members[r.Member].DataCentre == dc })
 }
 
-// spans reports whether all replicas outside of a crowded data centre acknowledged,
-// where the slot needs them.
-func (m *Map) spans(s *Slot, acks map[string]bool) bool {
-	return !s.Spanning || !slices.ContainsFunc(m.outside(s), func(r Replica) bool { return !acks[r.Member] })
+// outsideReplicasAcked reports whether all outside replicas acknowledged a write. It is true
+// for a slot that is not spanning.
+func (m *Map) outsideReplicasAcked(s *Slot, acks map[string]bool) bool {
+	return !s.Spanning || !slices.ContainsFunc(m.outsideReplicas(s), func(r Replica) bool { return !acks[r.Member] })
 }
 
-// guarded reports whether acknowledgements are enough for a guarded slot: all active
-// replicas and all whose acknowledgement is required.
-func guarded(s *Slot, acks map[string]bool) bool {
+// allRequiredAcked reports whether the acknowledgements suffice for a guarded slot: those of
+// all active replicas and of all joining ones with AckRequired.
+func allRequiredAcked(s *Slot, acks map[string]bool) bool {
 	for _, r := range s.Replicas {
 		if (!r.Joining || r.AckRequired) && !acks[r.Member] {
 			return false
@@ -58,19 +61,20 @@
 	return s.ActiveCount() > 0
 }
 
-// settled reports whether no replica of a slot joins or is about to be replaced.
-func (s *Slot) settled() bool { return s.FormerMember == "" && s.ActiveCount() == len(s.Replicas) }
+// isStable reports whether no replica of a slot is joining or replaces another one.
+func (s *Slot) isStable() bool { return s.FormerMember == "" && s.ActiveCount() == len(s.Replicas) }
 
-// Spanning makes crowded slots span. It reports whether the map changed.
+// SpanCrowdedSlots makes stable crowded slots spanning, except regional ones. It reports
+// whether the map changed.
 func (m *Map) SpanCrowdedSlots() bool {
-	return m.each(func(s *Slot) bool {
-		out := m.outside(s)
-		if len(out) == 0 || s.Spanning || s.Region != "" || !s.settled() {
+	return m.updateSlots(func(s *Slot) bool {
+		outside := m.outsideReplicas(s)
+		if len(outside) == 0 || s.Spanning || s.Region != "" || !s.isStable() {
 			return false
 		}
 		s.Spanning = true
 		for i := range s.Replicas {
-			if slices.Contains(out, s.Replicas[i]) {
+			if slices.Contains(outside, s.Replicas[i]) {
 				s.Replicas[i].Syncing = true
 			}
 		}
@@ -78,33 +82,34 @@
 	})
 }
 
-// Unspan lets a slot go on without the replicas outside of its crowded data centre
-// where one of them is silent. It reports whether the map changed.
+// UnspanSlots ends the need for the outside replicas in spanning slots of which one outside
+// replica is silent. silent holds the IDs of members that do not answer. It reports whether the
+// map changed.
 func (m *Map) UnspanSlots(silent map[string]bool) bool {
-	return m.each(func(s *Slot) bool {
+	return m.updateSlots(func(s *Slot) bool {
 		isSilent := func(r Replica) bool { return silent[r.Member] }
-		if !s.Spanning || s.Guarded || !slices.ContainsFunc(m.outside(s), isSilent) {
+		if !s.Spanning || s.Guarded || !slices.ContainsFunc(m.outsideReplicas(s), isSilent) {
 			return false
 		}
-		s.unspan()
+		s.stopSpanning()
 		return true
 	})
 }
 
-// unspan ends the need for replicas outside; those may miss writes from now on.
-func (s *Slot) unspan() {
+// stopSpanning ends the need for the outside replicas; these may miss writes from now on.
+func (s *Slot) stopSpanning() {
 	s.Spanning = false
 	for i := range s.Replicas {
 		s.Replicas[i].Syncing = false
 	}
 }
 
-// Demote lets the replicas of a crowded data centre join anew where all of them
-// are silent and those outside know every acknowledged write. It reports whether the map
-// changed.
+// Demote turns the replicas in the crowded data centre of a slot into joining ones and guards
+// the slot, if all of them are silent and the outside replicas hold every acknowledged write.
+// silent holds the IDs of members that do not answer. It reports whether the map changed.
 func (m *Map) Demote(silent map[string]bool) bool {
-	return m.each(func(s *Slot) bool {
-		if !m.demotable(s, silent) {
+	return m.updateSlots(func(s *Slot) bool {
+		if !m.canDemote(s, silent) {
 			return false
 		}
 		for i := range s.Replicas {
@@ -118,64 +123,66 @@
 	})
 }
 
-func (m *Map) demotable(s *Slot, silent map[string]bool) bool {
-	out := m.outside(s)
-	if !s.Spanning || s.FormerMember != "" || len(out) == 0 {
+// canDemote reports whether Demote applies to a slot.
+func (m *Map) canDemote(s *Slot, silent map[string]bool) bool {
+	outside := m.outsideReplicas(s)
+	if !s.Spanning || s.FormerMember != "" || len(outside) == 0 {
 		return false
 	}
-	lost := false
+	hasDemotable := false
 	for _, r := range s.Replicas {
-		isOut := slices.Contains(out, r)
+		isOutside := slices.Contains(outside, r)
 		switch {
-		case isOut && (silent[r.Member] || r.NeedsCopy()):
+		case isOutside && (silent[r.Member] || r.NeedsCopy()):
 			return false
-		case !isOut && !silent[r.Member]:
+		case !isOutside && !silent[r.Member]:
 			return false
-		case !isOut && (!r.Joining || r.AckRequired):
-			lost = true
+		case !isOutside && (!r.Joining || r.AckRequired):
+			hasDemotable = true
 		}
 	}
-	return lost
+	return hasDemotable
 }
 
-// TakeoverDue reports whether the other replicas of a slot are about to go on without
-// those that are silent.
+// DemotionDue reports whether Demote would let the outside replicas of a slot serve without
+// the silent ones.
 func (m *Map) DemotionDue(slot int, silent map[string]bool) bool {
-	return m.demotable(&m.Slots[slot], silent)
+	return m.canDemote(&m.Slots[slot], silent)
 }
 
-// Require makes the acknowledgement of a joining replica of guarded slots required,
-// so that it misses nothing between its copy and its activation. It reports whether
-// the map changed.
+// RequireAck makes the acknowledgement of a member's joining replicas of guarded slots
+// required, so that they miss no write between their copy and their activation. It reports
+// whether the map changed.
 func (m *Map) RequireAck(member string) bool {
-	return m.each(func(s *Slot) bool {
-		i := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member })
-		if i < 0 || !s.Guarded || !s.Replicas[i].Joining || s.Replicas[i].AckRequired {
+	return m.updateSlots(func(s *Slot) bool {
+		index := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member })
+		if index < 0 || !s.Guarded || !s.Replicas[index].Joining || s.Replicas[index].AckRequired {
 			return false
 		}
-		s.Replicas[i].AckRequired = true
+		s.Replicas[index].AckRequired = true
 		return true
 	})
 }
 
-// Kept reports whether writes to a slot must be kept in the platform's store too.
+// NeedsPlatformCopy reports whether writes to a slot must also be stored at the platform.
 func (m *Map) NeedsPlatformCopy(slot int) bool {
 	s := &m.Slots[slot]
 	return s.Guarded && s.ActiveCount() < m.Quorum()
 }
 
-// MayBeGuarded reports whether a newer map could have the slot guarded: a member that
-// does not know that one must not acknowledge writes made with it.
+// MayBeGuarded reports whether the slot could be guarded in a newer map. A member without
+// that newer map must not acknowledge writes made with it.
 func (m *Map) MayBeGuarded(slot int) bool { return m.Slots[slot].Spanning }
 
-// AnyGuarded reports whether any slot is guarded, so that what was kept in the
-// platform's store is still needed.
+// AnyGuarded reports whether any slot is guarded, so that records in the platform's store
+// are still needed.
 func (m *Map) AnyGuarded() bool {
 	return slices.ContainsFunc(m.Slots, func(s Slot) bool { return s.Guarded })
 }
 
-// each applies a change to all slots; those that it changes get the next epoch.
-func (m *Map) each(change func(*Slot) bool) bool {
+// updateSlots applies change to all slots and sets the next epoch on the map and on the slots
+// for which change returns true. It reports whether the map changed.
+func (m *Map) updateSlots(change func(*Slot) bool) bool {
 	changed := false
 	for i := range m.Slots {
 		if !change(&m.Slots[i]) {
--- a/core/placement/membership.go
+++ b/core/placement/membership.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// Admit adds a member. An older member of the same host is gone for good, since
-// its disk is: the new one takes its places, joining. It reports whether the map
-// changed.
-func (m *Map) Admit(x Member) bool {
-	if old, ok := m.Members[x.ID]; ok {
-		if old == x {
+// Admit adds a member or updates the one with its ID. An older member of the same host
+// is removed, since its disk is lost; the new member joins the slots of the older one.
+// It reports whether the map changed.
+func (m *Map) Admit(member Member) bool {
+	if existing, ok := m.Members[member.ID]; ok {
+		if existing == member {
 			return false
 		}
-		m.Members[x.ID] = x
+		m.Members[member.ID] = member
 		m.Epoch++
 		return true
 	}
 	m.Epoch++
-	m.Members[x.ID] = x
-	for id, old := range m.Members {
-		if old.Host == x.Host && id != x.ID {
-			m.substitute(id, x.ID)
+	m.Members[member.ID] = member
+	for id, existing := range m.Members {
+		if existing.Host == member.Host && id != member.ID {
+			m.replaceLostMember(id, member.ID)
 			delete(m.Members, id)
 		}
 	}
 	for i := range m.Slots {
-		if m.IsAssigned() && m.fill(i, nil, true) {
+		if m.IsAssigned() && m.fillReplicas(i, nil, true) {
 			m.Slots[i].ChangedEpoch = m.Epoch
 		}
 	}
 	if m.IsAssigned() {
-		m.begin(m.divide())
+		m.assignFrom(m.addRegionalSlots())
 	}
 	return true
 }
 
-// HasHost reports whether a host has a member.
+// HasMemberOnHost reports whether a host has a member.
 func (m *Map) HasMemberOnHost(host string) bool {
-	for _, x := range m.Members {
-		if x.Host == host {
+	for _, member := range m.Members {
+		if member.Host == host {
 			return true
 		}
 	}
 	return false
 }
 
-// substitute puts member to into every place of member from. The disk of from
-// is lost, so it is no source of copies.
-func (m *Map) substitute(from, to string) {
+// replaceLostMember puts member to in the place of member from in every slot, as a joining
+// replica. The disk of from is lost, so from is not a source of copies.
+func (m *Map) replaceLostMember(from, to string) {
 	for i := range m.Slots {
 		s := &m.Slots[i]
 		if s.FormerMember == from {
@@ -60,44 +60,45 @@
 	}
 }
 
-// Replace moves the places of member from to other members, one replica of a
-// slot at a time. Members in exclude take no place. A slot that has a joining
-// replica other than from waits for it. It reports whether the map changed.
-func (m *Map) Replace(from string, exclude map[string]bool) bool {
+// Replace moves the replicas of member from to other members that are not in excluded,
+// one replica of a slot at a time: a slot with another joining replica stays unchanged
+// until that replica is active. It reports whether the map changed.
+func (m *Map) Replace(from string, excluded map[string]bool) bool {
 	changed := false
 	for i := range m.Slots {
-		if !m.movable(i, from) {
+		if !m.canReplace(i, from) {
 			continue
 		}
-		list := m.candidates(i, exclude)
-		if len(list) == 0 {
+		candidates := m.candidates(i, excluded)
+		if len(candidates) == 0 {
 			continue
 		}
 		if !changed {
 			m.Epoch++
 			changed = true
 		}
-		m.move(i, from, list[0].ID)
+		m.replaceReplica(i, from, candidates[0].ID)
 	}
 	return changed
 }
 
-// movable reports whether the replica of from in slot i may be replaced now.
-func (m *Map) movable(i int, from string) bool {
-	s := &m.Slots[i]
-	if _, in := s.Replica(from); !in || s.Guarded {
+// canReplace reports whether a member's replica of a slot may be replaced now.
+func (m *Map) canReplace(slot int, member string) bool {
+	s := &m.Slots[slot]
+	if _, in := s.Replica(member); !in || s.Guarded {
 		return false
 	}
 	for _, r := range s.Replicas {
-		if r.Joining && r.Member != from {
+		if r.Joining && r.Member != member {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Map) move(i int, from, to string) {
-	s := &m.Slots[i]
+// replaceReplica puts member to in the place of member from in a slot, as a joining replica.
+func (m *Map) replaceReplica(slot int, from, to string) {
+	s := &m.Slots[slot]
 	for j := range s.Replicas {
 		if s.Replicas[j].Member != from {
 			continue
@@ -107,29 +108,30 @@
 		}
 		s.Replicas[j] = Replica{Member: to, Joining: true}
 	}
-	s.unspan()
+	s.stopSpanning()
 	s.ChangedEpoch = m.Epoch
 }
 
-// Activate marks a replica of the slots that has to copy them as active; it has copied them
-// under the epoch given for each. A slot that has changed since is left out.
-func (m *Map) Activate(member string, copied map[int]uint64) bool {
+// Activate marks a member's replicas that need a copy as active. copiedEpochs holds, by slot,
+// the epoch under which the member has copied the slot; slots that have changed since are
+// skipped. It reports whether the map changed.
+func (m *Map) Activate(member string, copiedEpochs map[int]uint64) bool {
 	changed := false
-	for i, epoch := range copied {
-		s := &m.Slots[i]
-		at := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member && r.NeedsCopy() })
-		if at < 0 || s.ChangedEpoch != epoch {
+	for slot, epoch := range copiedEpochs {
+		s := &m.Slots[slot]
+		index := slices.IndexFunc(s.Replicas, func(r Replica) bool { return r.Member == member && r.NeedsCopy() })
+		if index < 0 || s.ChangedEpoch != epoch {
 			continue
 		}
-		if s.Guarded && s.Replicas[at].Joining && !s.Replicas[at].AckRequired {
+		if s.Guarded && s.Replicas[index].Joining && !s.Replicas[index].AckRequired {
 			continue
 		}
-		s.Replicas[at] = Replica{Member: member}
+		s.Replicas[index] = Replica{Member: member}
 		s.FormerMember = ""
 		changed = true
 		if s.Guarded && s.ActiveCount() >= m.Quorum() {
 			s.Guarded = false
-			s.ChangedEpoch = m.Epoch + 1 // writers that still count on the guard are refused
+			s.ChangedEpoch = m.Epoch + 1 // refuses writers that still rely on the guard
 		}
 	}
 	if changed {
@@ -138,37 +140,37 @@
 	return changed
 }
 
-// Sources returns the members from which a joining replica of slot i copies, and
-// how many of them it needs: as many as surely hold every acknowledged write.
-func (m *Map) CopySources(i int, member string) (from []string, need int) {
-	s := &m.Slots[i]
+// CopySources returns the members from which a joining or syncing member copies a slot, and
+// the number of them that it needs so that they surely hold every acknowledged write.
+func (m *Map) CopySources(slot int, member string) (sources []string, minSources int) {
+	s := &m.Slots[slot]
 	if s.ActiveCount() == 0 && s.Guarded {
-		return s.demoted(member)
+		return s.demotedSources(member)
 	}
 	for _, r := range s.Replicas {
 		if !r.Joining && r.Member != member {
-			from = append(from, r.Member)
+			sources = append(sources, r.Member)
 		}
 	}
-	if _, known := m.Members[s.FormerMember]; known {
-		from = append(from, s.FormerMember)
+	if _, isMember := m.Members[s.FormerMember]; isMember {
+		sources = append(sources, s.FormerMember)
 	}
-	return from, min(m.Quorum(), len(from))
+	return sources, min(m.Quorum(), len(sources))
 }
 
-// demoted returns the replicas that together have what was acknowledged before the
-// slot was guarded; all of them are needed.
-func (s *Slot) demoted(but string) (from []string, need int) {
+// demotedSources returns the demoted replicas other than excluded. Together they hold
+// every write acknowledged before the slot was guarded, so all of them are needed.
+func (s *Slot) demotedSources(excluded string) (sources []string, minSources int) {
 	for _, r := range s.Replicas {
-		if r.Demoted && r.Member != but {
-			from = append(from, r.Member)
+		if r.Demoted && r.Member != excluded {
+			sources = append(sources, r.Member)
 		}
 	}
-	return from, len(from)
+	return sources, len(sources)
 }
 
-// Holds reports whether member has a place in any slot, or may still be needed
-// as a source.
+// IsInUse reports whether a member has a replica of any slot, or may still be needed
+// as a source of copies.
 func (m *Map) IsInUse(member string) bool {
 	for _, s := range m.Slots {
 		if _, in := s.Replica(member); in || s.FormerMember == member {
@@ -178,7 +180,7 @@
 	return false
 }
 
-// Forget removes a member that holds nothing.
+// RemoveUnused removes a member that is not in use. It reports whether the map changed.
 func (m *Map) RemoveUnused(member string) bool {
 	if _, ok := m.Members[member]; !ok || m.IsInUse(member) {
 		return false
--- a/core/placement/model_test.go
+++ b/core/placement/model_test.go
@@ -9,48 +9,52 @@
 	"github.com/stretchr/testify/require"
 )
 
-// model plays one slot's life: writers and readers with maps of any age, members
-// that wipe, go silent and return, copies, and changes by conditional update.
-// It asserts that every complete read meets every acknowledged write.
+// model simulates one slot: writers and readers with maps of different ages, members that
+// lose their disk, stop answering and return, copies, and map changes by conditional update.
+// It asserts that every complete read sees every acknowledged write.
 type model struct {
-	t       *testing.T
-	rng     *rand.Rand
-	maps    []*Map // by change; the last one is at the platform
-	disks   map[string]*disk
-	acked   []int
-	writes  int
-	nextID  int
-	silent  string // the one member that does not answer
-	copying map[string]*copyJob
-	log     []string
-	// lean: a write of a steady slot goes to a quorum, and to others only where one fails.
-	lean bool
-	// formerless is a seeded fault: reads do without the replica that is being replaced.
-	formerless bool
-	missed     int // reads that missed a write
+	t              *testing.T
+	rng            *rand.Rand
+	maps           []*Map // by change; the last one is at the platform
+	disks          map[string]*disk
+	ackedWrites    []int
+	writeCount     int
+	createdMembers int
+	silentMember   string // the one member that does not answer
+	copyJobs       map[string]*copyJob
+	log            []string
+	// quorumFirst makes a write go to a quorum, and to other replicas only if one of it fails,
+	// where the slot allows it.
+	quorumFirst bool
+	// skipFormerMember is a seeded fault: reads do not ask the member that is being replaced.
+	skipFormerMember bool
+	missedReads      int // reads that missed a write
 }
 
+// disk is one member's disk.
 type disk struct {
 	host    string
 	adopted *Map
 	records map[int]bool
 }
 
-// copyJob is a joining member's copy under one map.
+// copyJob is a joining member's copy of the slot under one map.
 type copyJob struct {
-	epoch uint64
-	from  map[string]bool
+	epoch   uint64
+	sources map[string]bool
 }
 
 const modelSlot = 0
 
-func newModel(t *testing.T, seed uint64, hosts int) *model { return newModelOf(t, seed, hosts, 1) }
+func newModel(t *testing.T, seed uint64, hosts int) *model {
+	return newModelWithFaults(t, seed, hosts, 1)
+}
 
-func newModelOf(t *testing.T, seed uint64, hosts, faults int) *model {
-	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 1)), disks: map[string]*disk{}, copying: map[string]*copyJob{}}
+func newModelWithFaults(t *testing.T, seed uint64, hosts, faults int) *model {
+	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 1)), disks: map[string]*disk{}, copyJobs: map[string]*copyJob{}}
 	first := New(faults)
 	for i := range hosts {
-		first.Admit(m.fresh(fmt.Sprintf("h%d", i)))
+		first.Admit(m.newMember(fmt.Sprintf("h%d", i)))
 	}
 	first.Assign()
 	m.maps = []*Map{first}
@@ -60,50 +64,50 @@
 	return m
 }
 
-func (m *model) fresh(host string) Member {
-	m.nextID++
-	id := fmt.Sprintf("m%d", m.nextID)
+func (m *model) newMember(host string) Member {
+	m.createdMembers++
+	id := fmt.Sprintf("m%d", m.createdMembers)
 	m.disks[id] = &disk{host: host, records: map[int]bool{}}
 	return Member{ID: id, Host: host, Address: host, DataCentre: host}
 }
 
-func (m *model) latest() *Map { return m.maps[len(m.maps)-1] }
+func (m *model) latestMap() *Map { return m.maps[len(m.maps)-1] }
 
-func (m *model) note(format string, args ...any) { m.log = append(m.log, fmt.Sprintf(format, args...)) }
+func (m *model) logf(format string, args ...any) { m.log = append(m.log, fmt.Sprintf(format, args...)) }
 
-// anyMap is a map that some entry host may still use.
-func (m *model) anyMap() *Map {
-	back := m.rng.IntN(min(3, len(m.maps)))
-	return m.maps[len(m.maps)-1-back]
+// randomRecentMap returns a map that some entry host may still use.
+func (m *model) randomRecentMap() *Map {
+	age := m.rng.IntN(min(3, len(m.maps)))
+	return m.maps[len(m.maps)-1-age]
 }
 
 // accepts reports whether a member serves a request made with the map.
-func (m *model) accepts(id string, with *Map) bool {
+func (m *model) accepts(id string, slotMap *Map) bool {
 	d := m.disks[id]
-	return d != nil && d.adopted != nil && id != m.silent && with.Epoch >= d.adopted.Slots[modelSlot].ChangedEpoch
+	return d != nil && d.adopted != nil && id != m.silentMember && slotMap.Epoch >= d.adopted.Slots[modelSlot].ChangedEpoch
 }
 
 func (m *model) write() {
-	with := m.anyMap()
-	s := &with.Slots[modelSlot]
-	m.writes++
+	slotMap := m.randomRecentMap()
+	s := &slotMap.Slots[modelSlot]
+	m.writeCount++
 	acks := map[string]bool{}
 	replicas := s.Replicas
-	if m.lean {
+	if m.quorumFirst {
 		replicas = m.shuffled(replicas)
 	}
 	for _, r := range replicas {
-		if m.lean && with.AllowsQuorumFirst(modelSlot) && with.IsWriteDurable(s, acks) {
+		if m.quorumFirst && slotMap.AllowsQuorumFirst(modelSlot) && slotMap.IsWriteDurable(s, acks) {
 			break
 		}
-		if m.rng.IntN(4) > 0 && m.accepts(r.Member, with) {
-			m.disks[r.Member].records[m.writes] = true
+		if m.rng.IntN(4) > 0 && m.accepts(r.Member, slotMap) {
+			m.disks[r.Member].records[m.writeCount] = true
 			acks[r.Member] = true
 		}
 	}
-	if with.IsWriteDurable(s, acks) {
-		m.acked = append(m.acked, m.writes)
-		m.note("write %d under epoch %d by %v", m.writes, with.Epoch, acks)
+	if slotMap.IsWriteDurable(s, acks) {
+		m.ackedWrites = append(m.ackedWrites, m.writeCount)
+		m.logf("write %d under epoch %d by %v", m.writeCount, slotMap.Epoch, acks)
 	}
 }
 
@@ -114,117 +118,120 @@
 }
 
 func (m *model) read() {
-	if m.meets() {
+	if m.readSeesAckedWrites() {
 		return
 	}
-	m.missed++
-	require.True(m.t, m.formerless, "a read missed a write\n%s", m.history())
+	m.missedReads++
+	require.True(m.t, m.skipFormerMember, "a read missed a write\n%s", m.recentLog())
 }
 
-// meets makes a read and reports whether it saw every acknowledged write, or was incomplete.
-func (m *model) meets() bool {
-	with := m.anyMap()
-	s := &with.Slots[modelSlot]
+// readSeesAckedWrites makes a read and reports whether it saw every acknowledged write or was
+// incomplete.
+func (m *model) readSeesAckedWrites() bool {
+	slotMap := m.randomRecentMap()
+	s := &slotMap.Slots[modelSlot]
 	seen := map[int]bool{}
-	heard := map[string]bool{}
+	answered := map[string]bool{}
 	for _, i := range m.rng.Perm(len(s.Replicas)) {
 		r := s.Replicas[i]
-		if len(heard) == with.ReadQuorum(s) || r.Joining || !m.accepts(r.Member, with) {
+		if len(answered) == slotMap.ReadQuorum(s) || r.Joining || !m.accepts(r.Member, slotMap) {
 			continue
 		}
-		heard[r.Member] = true
-		for rec := range m.disks[r.Member].records {
-			seen[rec] = true
+		answered[r.Member] = true
+		for write := range m.disks[r.Member].records {
+			seen[write] = true
 		}
 	}
-	if len(heard) < with.ReadQuorum(s) {
+	if len(answered) < slotMap.ReadQuorum(s) {
 		return true
 	}
-	if former, needed := with.FormerMemberForRead(modelSlot); needed && !m.formerless {
-		if !m.accepts(former, with) {
+	if former, needed := slotMap.FormerMemberForRead(modelSlot); needed && !m.skipFormerMember {
+		if !m.accepts(former, slotMap) {
 			return true
 		}
-		for rec := range m.disks[former].records {
-			seen[rec] = true
+		for write := range m.disks[former].records {
+			seen[write] = true
 		}
 	}
-	for _, rec := range m.acked {
-		if !seen[rec] {
-			m.note("write %d not seen by %v under epoch %d", rec, heard, with.Epoch)
+	for _, write := range m.ackedWrites {
+		if !seen[write] {
+			m.logf("write %d not seen by %v under epoch %d", write, answered, slotMap.Epoch)
 			return false
 		}
 	}
 	return true
 }
 
-func (m *model) history() string {
-	out := ""
-	for _, l := range m.log[max(0, len(m.log)-40):] {
-		out += l + "\n"
+func (m *model) recentLog() string {
+	text := ""
+	for _, line := range m.log[max(0, len(m.log)-40):] {
+		text += line + "\n"
 	}
-	return out
+	return text
 }
 
-func (m *model) change(what string, apply func(*Map) bool) {
-	next := m.latest().Clone()
+func (m *model) changeMap(action string, apply func(*Map) bool) {
+	next := m.latestMap().Clone()
 	if apply(next) {
 		m.maps = append(m.maps, next)
-		m.note("%s: epoch %d, replicas %v", what, next.Epoch, next.Slots[modelSlot].Replicas)
+		m.logf("%s: epoch %d, replicas %v", action, next.Epoch, next.Slots[modelSlot].Replicas)
 	}
 }
 
-// whole reports that nothing is lost: no replica joins and none is silent.
-func (m *model) whole() bool {
-	for _, s := range m.latest().Slots {
+// allHealthy reports whether no replica is joining and no member is silent.
+func (m *model) allHealthy() bool {
+	for _, s := range m.latestMap().Slots {
 		for _, r := range s.Replicas {
 			if r.Joining {
 				return false
 			}
 		}
 	}
-	return m.silent == ""
+	return m.silentMember == ""
 }
 
-// replacing reports, where writes are lean, that the one replica that joins takes the place
-// of a disk that is not lost.
-func (m *model) replacing() bool {
-	s := m.latest().Slots[modelSlot]
+// isReplacing reports, in quorum-first mode, whether the only joining replica replaces a member
+// whose disk is not lost, and no member is silent.
+func (m *model) isReplacing() bool {
+	s := m.latestMap().Slots[modelSlot]
 	former := m.disks[s.FormerMember]
-	return m.lean && m.silent == "" && former != nil && len(s.Replicas)-s.ActiveCount() == 1
+	return m.quorumFirst && m.silentMember == "" && former != nil && len(s.Replicas)-s.ActiveCount() == 1
 }
 
-func (m *model) anyMember() string {
-	ids := make([]string, 0, len(m.latest().Members))
-	for i := 1; i <= m.nextID; i++ {
+func (m *model) randomMember() string {
+	ids := make([]string, 0, len(m.latestMap().Members))
+	for i := 1; i <= m.createdMembers; i++ {
 		id := fmt.Sprintf("m%d", i)
-		if _, in := m.latest().Members[id]; in {
+		if _, in := m.latestMap().Members[id]; in {
 			ids = append(ids, id)
 		}
 	}
 	return ids[m.rng.IntN(len(ids))]
 }
 
-func (m *model) wipe() {
-	if !m.whole() && !m.replacing() {
+// wipeDisks loses the disk of one member, or of two if the map tolerates that, if no earlier
+// loss is still being repaired.
+func (m *model) wipeDisks() {
+	if !m.allHealthy() && !m.isReplacing() {
 		return
 	}
-	m.lose(m.anyMember())
-	if m.latest().Faults > 1 && m.rng.IntN(2) == 0 {
-		m.lose(m.anyMember())
+	m.loseDisk(m.randomMember())
+	if m.latestMap().Faults > 1 && m.rng.IntN(2) == 0 {
+		m.loseDisk(m.randomMember())
 	}
 }
 
-// lose wipes a member's disk; its host comes back with an empty one.
-func (m *model) lose(id string) {
+// loseDisk wipes a member's disk; its host returns with an empty one, as a new member.
+func (m *model) loseDisk(id string) {
 	host := m.disks[id].host
 	delete(m.disks, id)
-	m.note("%s loses its disk", id)
-	x := m.fresh(host)
-	m.change("admit "+x.ID, func(n *Map) bool { return n.Admit(x) })
-	m.disks[x.ID].adopted = m.latest()
+	m.logf("%s loses its disk", id)
+	successor := m.newMember(host)
+	m.changeMap("admit "+successor.ID, func(n *Map) bool { return n.Admit(successor) })
+	m.disks[successor.ID].adopted = m.latestMap()
 }
 
-// step is one random action.
+// step takes one random action.
 func (m *model) step() {
 	switch m.rng.IntN(12) {
 	case 0, 1, 2:
@@ -232,51 +239,51 @@
 	case 3, 4, 5:
 		m.read()
 	case 6:
-		if d := m.disks[m.anyMember()]; d != nil {
-			d.adopted = m.latest()
+		if d := m.disks[m.randomMember()]; d != nil {
+			d.adopted = m.latestMap()
 		}
 	case 7:
-		m.wipe()
+		m.wipeDisks()
 	case 8:
-		if m.whole() {
-			m.silent = m.anyMember()
-			m.note("%s silent", m.silent)
+		if m.allHealthy() {
+			m.silentMember = m.randomMember()
+			m.logf("%s silent", m.silentMember)
 		}
 	case 9:
-		if m.silent != "" && m.rng.IntN(2) == 0 {
-			id := m.silent
-			m.change("replace "+id, func(n *Map) bool { return n.Replace(id, map[string]bool{id: true}) })
-		} else if m.lean && m.whole() && m.rng.IntN(2) == 0 {
-			id := m.anyMember()
-			m.change("retire "+id, func(n *Map) bool { return n.Replace(id, map[string]bool{id: true}) })
-		} else if m.silent != "" {
-			m.note("%s back", m.silent)
-			m.silent = ""
+		if m.silentMember != "" && m.rng.IntN(2) == 0 {
+			id := m.silentMember
+			m.changeMap("replace "+id, func(n *Map) bool { return n.Replace(id, map[string]bool{id: true}) })
+		} else if m.quorumFirst && m.allHealthy() && m.rng.IntN(2) == 0 {
+			id := m.randomMember()
+			m.changeMap("retire "+id, func(n *Map) bool { return n.Replace(id, map[string]bool{id: true}) })
+		} else if m.silentMember != "" {
+			m.logf("%s back", m.silentMember)
+			m.silentMember = ""
 		}
 	default:
 		m.copy()
 	}
 }
 
-// copy lets a joining replica copy from one source; when it has enough, it asks
-// to be active.
+// copy lets a joining replica copy from one source. When it has copied from enough
+// sources, it is activated.
 func (m *model) copy() {
-	at := m.latest()
-	for _, r := range at.Slots[modelSlot].Replicas {
-		if !r.Joining || r.Member == m.silent {
+	latest := m.latestMap()
+	for _, r := range latest.Slots[modelSlot].Replicas {
+		if !r.Joining || r.Member == m.silentMember {
 			continue
 		}
-		job := m.copying[r.Member]
-		if job == nil || job.epoch != at.Slots[modelSlot].ChangedEpoch {
-			job = &copyJob{epoch: at.Slots[modelSlot].ChangedEpoch, from: map[string]bool{}}
-			m.copying[r.Member] = job
+		job := m.copyJobs[r.Member]
+		if job == nil || job.epoch != latest.Slots[modelSlot].ChangedEpoch {
+			job = &copyJob{epoch: latest.Slots[modelSlot].ChangedEpoch, sources: map[string]bool{}}
+			m.copyJobs[r.Member] = job
 		}
-		from, need := at.CopySources(modelSlot, r.Member)
-		if len(from) > 0 {
-			m.copyFrom(r.Member, from[m.rng.IntN(len(from))], at, job)
+		sources, minSources := latest.CopySources(modelSlot, r.Member)
+		if len(sources) > 0 {
+			m.copyFrom(r.Member, sources[m.rng.IntN(len(sources))], latest, job)
 		}
-		if len(job.from) >= need {
-			m.change("activate "+r.Member, func(n *Map) bool {
+		if len(job.sources) >= minSources {
+			m.changeMap("activate "+r.Member, func(n *Map) bool {
 				return n.Activate(r.Member, map[int]uint64{modelSlot: job.epoch})
 			})
 			return
@@ -284,21 +291,21 @@
 	}
 }
 
-func (m *model) copyFrom(to, from string, at *Map, job *copyJob) {
+func (m *model) copyFrom(to, from string, latest *Map, job *copyJob) {
 	source := m.disks[from]
-	if source == nil || from == m.silent {
+	if source == nil || from == m.silentMember {
 		return
 	}
-	if source.adopted == nil || source.adopted.Epoch < at.Epoch {
-		source.adopted = at // a source refuses to be copied from before it has adopted the map
+	if source.adopted == nil || source.adopted.Epoch < latest.Epoch {
+		source.adopted = latest // a source adopts the map before it serves a copy under it
 	}
-	for rec := range source.records {
-		m.disks[to].records[rec] = true
+	for write := range source.records {
+		m.disks[to].records[write] = true
 	}
-	job.from[from] = true
+	job.sources[from] = true
 }
 
-func TestReadsMeetAcknowledgedWrites(t *testing.T) {
+func TestReadsSeeAcknowledgedWrites(t *testing.T) {
 	for hosts := 3; hosts <= 5; hosts++ {
 		for seed := range uint64(80) {
 			m := newModel(t, seed, hosts)
@@ -309,15 +316,15 @@
 	}
 }
 
-func TestJoinedReplicasBecomeActive(t *testing.T) {
+func TestJoiningReplicasBecomeActive(t *testing.T) {
 	m := newModel(t, 7, 4)
 	for range 2000 {
 		m.step()
 	}
-	m.silent = ""
+	m.silentMember = ""
 	for range 200 {
 		m.copy()
 	}
-	require.Zero(t, len(m.latest().Slots[modelSlot].Replicas)-m.latest().Slots[modelSlot].ActiveCount())
-	require.NotEmpty(t, m.acked)
+	require.Zero(t, len(m.latestMap().Slots[modelSlot].Replicas)-m.latestMap().Slots[modelSlot].ActiveCount())
+	require.NotEmpty(t, m.ackedWrites)
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func mapOf(faults, hosts int) *Map {
+func newTestMap(faults, hosts int) *Map {
 	m := New(faults)
 	for i := range hosts {
 		id := fmt.Sprintf("m%d", i)
@@ -21,33 +21,33 @@
 	for _, c := range []struct{ faults, hosts, replicas, spread int }{
 		{1, 4, 3, 3}, {1, 3, 3, 3}, {1, 2, 2, 2}, {1, 8, 3, 3}, {2, 11, 5, 4},
 	} {
-		m := mapOf(c.faults, c.hosts)
-		held := m.held()
+		m := newTestMap(c.faults, c.hosts)
+		slotCounts := m.slotsPerMember()
 		for _, s := range m.Slots {
 			require.Len(t, s.Replicas, c.replicas)
-			centres := map[string]bool{}
+			dataCentres := map[string]bool{}
 			for _, r := range s.Replicas {
-				centres[m.Members[r.Member].DataCentre] = true
+				dataCentres[m.Members[r.Member].DataCentre] = true
 			}
-			require.Len(t, centres, c.spread)
+			require.Len(t, dataCentres, c.spread)
 		}
-		least, most := GlobalSlotCount, 0
-		for _, n := range held {
-			least, most = min(least, n), max(most, n)
+		minSlots, maxSlots := GlobalSlotCount, 0
+		for _, n := range slotCounts {
+			minSlots, maxSlots = min(minSlots, n), max(maxSlots, n)
 		}
-		require.LessOrEqual(t, most-least, GlobalSlotCount/4, "%v", held)
+		require.LessOrEqual(t, maxSlots-minSlots, GlobalSlotCount/4, "%v", slotCounts)
 	}
 }
 
-func TestAnEmptyDiskIsAnotherMember(t *testing.T) {
-	m := mapOf(1, 4)
+func TestAdmitReplacesMemberOfSameHost(t *testing.T) {
+	m := newTestMap(1, 4)
 	epoch := m.Epoch
 	require.True(t, m.Admit(Member{ID: "new", Host: "m1", Address: "m1", DataCentre: "dc1"}))
 	require.Equal(t, epoch+1, m.Epoch)
 	require.NotContains(t, m.Members, "m1")
 	for _, s := range m.Slots {
-		_, old := s.Replica("m1")
-		require.False(t, old)
+		_, found := s.Replica("m1")
+		require.False(t, found)
 		if r, in := s.Replica("new"); in {
 			require.True(t, r.Joining)
 			require.Equal(t, m.Epoch, s.ChangedEpoch)
@@ -55,67 +55,67 @@
 	}
 }
 
-func TestWrittenNeedsActiveReplicas(t *testing.T) {
-	m := mapOf(1, 3)
+func TestDurableWriteNeedsActiveReplicas(t *testing.T) {
+	m := newTestMap(1, 3)
 	s := &m.Slots[0]
 	a, b, c := s.Replicas[0].Member, s.Replicas[1].Member, s.Replicas[2].Member
 	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true}))
 	require.True(t, m.IsWriteDurable(s, map[string]bool{a: true, b: true}))
 	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true, "other": true}))
 	s.Replicas[2].Joining = true
-	require.True(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "a joining replica holds a copy")
+	require.True(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "a joining replica counts as a copy")
 	s.FormerMember = "gone"
-	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "readers with the older map may count the former member")
+	require.False(t, m.IsWriteDurable(s, map[string]bool{a: true, c: true}), "a reader with the older map may count the former member")
 }
 
-func TestReplaceOneReplicaAtATime(t *testing.T) {
-	m := mapOf(1, 5)
+func TestReplaceMovesOneReplicaOfASlotAtATime(t *testing.T) {
+	m := newTestMap(1, 5)
 	from := m.Slots[0].Replicas[0].Member
 	require.True(t, m.Replace(from, map[string]bool{from: true}))
 	second := m.Slots[0].Replicas[1].Member
 	before := m.Slots[0]
 	m.Replace(second, map[string]bool{second: true})
-	require.Equal(t, before.Replicas[1], m.Slots[0].Replicas[1], "a slot waits for its joining replica")
+	require.Equal(t, before.Replicas[1], m.Slots[0].Replicas[1], "a slot with a joining replica stays unchanged")
 }
 
-func TestRetiredMemberIsForgottenOnceItHoldsNothing(t *testing.T) {
-	m := mapOf(1, 4)
+func TestRetiredMemberIsRemovedOnceUnused(t *testing.T) {
+	m := newTestMap(1, 4)
 	require.True(t, m.Replace("m2", map[string]bool{"m2": true}))
 	require.True(t, m.IsInUse("m2"), "still a source of copies")
 	for id := range m.Members {
-		copied := map[int]uint64{}
+		copiedEpochs := map[int]uint64{}
 		for i, s := range m.Slots {
-			copied[i] = s.ChangedEpoch
+			copiedEpochs[i] = s.ChangedEpoch
 		}
-		m.Activate(id, copied)
+		m.Activate(id, copiedEpochs)
 	}
 	require.False(t, m.IsInUse("m2"))
 	require.True(t, m.RemoveUnused("m2"))
 }
 
-// After a member was replaced, no member holds far more than its share: each of its
-// slots is a part of all writes, and must be copied anew if its disk is lost.
-func TestReplacedSlotsAreSpread(t *testing.T) {
-	m := mapOf(2, 11)
+// After members were replaced, no member holds far more than its share of slots: each slot
+// adds to a member's share of writes, and must be copied again if its disk is lost.
+func TestReplacedSlotsStayEvenlySpread(t *testing.T) {
+	m := newTestMap(2, 11)
 	for round := range 6 {
-		gone := fmt.Sprintf("m%d", round)
-		m.Admit(Member{ID: "n" + gone, Host: "n" + gone, Address: "n" + gone, DataCentre: m.Members[gone].DataCentre})
+		replaced := fmt.Sprintf("m%d", round)
+		m.Admit(Member{ID: "n" + replaced, Host: "n" + replaced, Address: "n" + replaced, DataCentre: m.Members[replaced].DataCentre})
 		for range 10 {
-			m.Replace(gone, map[string]bool{gone: true})
-			m.RemoveUnused(gone)
+			m.Replace(replaced, map[string]bool{replaced: true})
+			m.RemoveUnused(replaced)
 			activateAll(m)
 		}
-		require.NotContains(t, m.Members, gone)
+		require.NotContains(t, m.Members, replaced)
 		share := float64(GlobalSlotCount*m.ReplicationFactor()) / float64(len(m.Members))
-		for id, n := range m.held() {
-			require.LessOrEqual(t, float64(n), 1.5*share, "%s after %d rounds: %v", id, round+1, m.held())
+		for id, n := range m.slotsPerMember() {
+			require.LessOrEqual(t, float64(n), 1.5*share, "%s after %d rounds: %v", id, round+1, m.slotsPerMember())
 		}
 		for i, s := range m.Slots {
-			centres := map[string]int{}
+			replicaCounts := map[string]int{}
 			for _, r := range s.Replicas {
-				centres[m.Members[r.Member].DataCentre]++
+				replicaCounts[m.Members[r.Member].DataCentre]++
 			}
-			for dc, n := range centres {
+			for dc, n := range replicaCounts {
 				require.LessOrEqual(t, n, m.Faults, "slot %d has %d replicas in %s", i, n, dc)
 			}
 		}
@@ -124,10 +124,10 @@
 
 func activateAll(m *Map) {
 	for id := range m.Members {
-		copied := map[int]uint64{}
+		copiedEpochs := map[int]uint64{}
 		for i, s := range m.Slots {
-			copied[i] = s.ChangedEpoch
+			copiedEpochs[i] = s.ChangedEpoch
 		}
-		m.Activate(id, copied)
+		m.Activate(id, copiedEpochs)
 	}
 }
--- a/core/placement/probe.go
+++ b/core/placement/probe.go
@@ -8,94 +8,96 @@
 )
 
 const (
-	// WatchAll is up to how many members are all watched by everybody. Beyond it the watches
-	// of all hosts together would grow with hosts times members.
+	// MaxProbeAllMembers is the largest number of members at which every host and member probes
+	// all members. Beyond it the number of probes would grow with hosts times members.
 	MaxProbeAllMembers = 32
-	// watchNear and watchFar are the members of the own and of each other data centre that a
-	// host watches of more: one that pauses must not look like the loss of a data centre.
-	watchNear, watchFar = 4, 2
+	// nearProbeCount and farProbeCount are the numbers of members that a host probes in its own
+	// and in each other data centre above MaxProbeAllMembers. With more than one, a paused member
+	// does not look like the loss of its data centre.
+	nearProbeCount, farProbeCount = 4, 2
 )
 
-// WatchesAll reports whether hosts watch all members.
+// ProbesAllMembers reports whether hosts and members probe all members.
 func (m *Map) ProbesAllMembers() bool { return len(m.Members) <= MaxProbeAllMembers }
 
-// Watched returns the members that a host asks for signs of life, whether or not it has
-// requests for them: all of a few, and of more some of each data centre, chosen by host, so
-// that each member is watched by as many hosts.
+// ProbedByHost returns the set of members that a host probes, whether or not it has requests
+// for them: all members if ProbesAllMembers, otherwise some members of each data centre, chosen
+// by host so that all members are probed by about the same number of hosts.
 func (m *Map) ProbedByHost(host, dataCentre string) map[string]bool {
-	watched := map[string]bool{}
-	for dc, ids := range m.byCentre() {
-		n := watchFar
+	probed := map[string]bool{}
+	for dc, ids := range m.memberIDsByDataCentre() {
+		count := farProbeCount
 		if dc == dataCentre {
-			n = watchNear
+			count = nearProbeCount
 		}
 		if m.ProbesAllMembers() {
-			n = len(ids)
+			count = len(ids)
 		}
-		for _, id := range subset.Of(host, ids, n) {
-			watched[id] = true
+		for _, id := range subset.Of(host, ids, count) {
+			probed[id] = true
 		}
 	}
-	return watched
+	return probed
 }
 
-// byCentre returns the members' ids by data centre.
-func (m *Map) byCentre() map[string][]string {
-	by := map[string][]string{}
-	for id, x := range m.Members {
-		by[x.DataCentre] = append(by[x.DataCentre], id)
+// memberIDsByDataCentre returns the members' IDs by data centre, in no order.
+func (m *Map) memberIDsByDataCentre() map[string][]string {
+	ids := map[string][]string{}
+	for id, member := range m.Members {
+		ids[member.DataCentre] = append(ids[member.DataCentre], id)
 	}
-	return by
+	return ids
 }
 
-// Neighbours returns the other members of which a member needs to know whether they answer:
-// all of a few; of many those that share slots with it, those that it follows, and in the order
-// of ids over all and in its data centre the first ones, up to one more than a quorum that are
-// alive, by which it knows whom to ask and whether it is its turn to act.
+// ProbedByMember returns the set of other members that a member probes: all if
+// ProbesAllMembers, otherwise the members that share slots with it, its upstream members, and
+// the first members by ID, over all and in its data centre, until a quorum plus one of them are
+// alive. From the latter the member knows which members to follow and whether it is its turn to
+// act.
 func (m *Map) ProbedByMember(self, dataCentre string, alive func(id string) bool) map[string]bool {
-	near := map[string]bool{}
+	probed := map[string]bool{}
 	if m.ProbesAllMembers() {
 		for id := range m.Members {
-			near[id] = true
+			probed[id] = true
 		}
 	} else {
-		m.firstInto(near, slices.Sorted(maps.Keys(m.Members)), alive)
-		m.firstInto(near, m.sortedOf(dataCentre), alive)
-		m.sharing(self, near)
+		m.addFirstAlive(probed, slices.Sorted(maps.Keys(m.Members)), alive)
+		m.addFirstAlive(probed, m.sortedMemberIDs(dataCentre), alive)
+		m.addSlotPeers(self, probed)
 		for _, id := range m.Upstream(self, dataCentre, alive) {
-			near[id] = true
+			probed[id] = true
 		}
 	}
-	delete(near, self)
-	return near
+	delete(probed, self)
+	return probed
 }
 
-// firstInto adds the first of some ids, up to one more than a quorum that are alive.
-func (m *Map) firstInto(near map[string]bool, ids []string, alive func(id string) bool) {
-	left := m.Quorum() + 1
+// addFirstAlive adds ids to probed in their order until a quorum plus one of them are alive.
+func (m *Map) addFirstAlive(probed map[string]bool, ids []string, alive func(id string) bool) {
+	remaining := m.Quorum() + 1
 	for _, id := range ids {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
-		near[id] = true
+		probed[id] = true
 		if alive(id) {
-			left--
+			remaining--
 		}
 	}
 }
 
-// sharing adds the members that share slots with a member.
-func (m *Map) sharing(self string, near map[string]bool) {
+// addSlotPeers adds to probed the members, and former members, of the slots of a member.
+func (m *Map) addSlotPeers(self string, probed map[string]bool) {
 	for i := range m.Slots {
 		s := &m.Slots[i]
 		if _, in := s.Replica(self); !in {
 			continue
 		}
 		for _, r := range s.Replicas {
-			near[r.Member] = true
+			probed[r.Member] = true
 		}
-		if _, known := m.Members[s.FormerMember]; known {
-			near[s.FormerMember] = true
+		if _, isMember := m.Members[s.FormerMember]; isMember {
+			probed[s.FormerMember] = true
 		}
 	}
 }
--- a/core/placement/quorum_first.go
+++ b/core/placement/quorum_first.go
@@ -1,21 +1,23 @@
 package placement
 
-// spareFaults is from how many faults to be borne on a slot has so many replicas beyond a
-// quorum that leaving them out at first is worth a second step where one of the quorum fails.
-const spareFaults = 2
+// minSpareFaults is the smallest number of tolerated faults at which a slot has enough replicas
+// beyond a quorum that not asking them at first outweighs the second step that is needed when a
+// replica of the quorum fails.
+const minSpareFaults = 2
 
-// Spares reports whether slots may be steady at all; which ones are changes with the map.
-func (m *Map) HasSpareReplicas() bool { return m.Faults >= spareFaults }
+// HasSpareReplicas reports whether any slot may allow quorum-first requests;
+// AllowsQuorumFirst decides for each slot of the current map.
+func (m *Map) HasSpareReplicas() bool { return m.Faults >= minSpareFaults }
 
-// Steady reports whether a write or a read of a slot may be sent to a quorum of its replicas
-// first, and to the others only where one of those fails: the set has its size, none joins,
-// syncs or is about to be replaced, and no data centre crowds it.
+// AllowsQuorumFirst reports whether a write or a read of a slot may be sent to a quorum of its
+// replicas first, and to the others only if one of these fails. This holds if the slot has all
+// its replicas, none of them is joining, syncing or being replaced, and the slot is not crowded.
 //
-// Written and ReadQuorum say what is enough, whoever was asked. So which replicas are asked
-// changes no guarantee; it only changes how many more than needed have a record.
+// IsWriteDurable and ReadQuorum decide how many answers suffice, whichever replicas were asked.
+// So the choice of replicas changes no guarantee, only the number of surplus copies of a record.
 func (m *Map) AllowsQuorumFirst(slot int) bool {
 	s := &m.Slots[slot]
-	if !m.HasSpareReplicas() || len(s.Replicas) < m.ReplicationFactor() || s.Spanning || s.Guarded || !s.settled() {
+	if !m.HasSpareReplicas() || len(s.Replicas) < m.ReplicationFactor() || s.Spanning || s.Guarded || !s.isStable() {
 		return false
 	}
 	for _, r := range s.Replicas {
@@ -23,16 +25,16 @@
 			return false
 		}
 	}
-	_, crowded := m.crowded(s)
+	_, crowded := m.crowdedDataCentre(s)
 	return !crowded
 }
 
-// FormerNeeded returns the member that slot's newest replica replaces where a complete read
-// needs its answer too: while fewer active replicas are left than a quorum, it may be the only
-// one to have what lay on it and on disks that were lost since.
+// FormerMemberForRead returns the slot's former member, and whether a complete read needs its
+// answer too: while fewer replicas than a quorum are active, it may be the only member to hold
+// records whose other copies were on disks that were lost since.
 func (m *Map) FormerMemberForRead(slot int) (member string, needed bool) {
 	s := &m.Slots[slot]
-	if _, known := m.Members[s.FormerMember]; !known || !m.HasSpareReplicas() {
+	if _, isMember := m.Members[s.FormerMember]; !isMember || !m.HasSpareReplicas() {
 		return "", false
 	}
 	return s.FormerMember, s.ActiveCount() < m.Quorum()
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -5,57 +5,60 @@
 	"strings"
 )
 
-// Some programs may be kept in certain regions only. Where members are in several regions, each
-// region has slots of its own beside the common ones, and only members there keep them. A
-// program bound to a region has a name that says so, by which all find its slot.
+// Some programs may be stored in certain regions only. If members are in several regions, each
+// region has regional slots in addition to the global ones, and only members in the region hold
+// them. The name of a program that is bound to a region contains the region, so that every host
+// finds its slot.
 //
-// A slot of a region never spans: one that does may come to be kept at the platform as well,
-// which is in one region only. Where a data centre that crowds it is cut off, it waits for that.
+// A regional slot is never spanning: records of a spanning slot may have to be stored at the
+// platform too, which is in one region only. If the crowded data centre of a regional slot is
+// cut off, the slot is unavailable until the data centre is back.
 
-// RegionSlots is the number of slots of each region: a few times the members that keep them, so
-// that their shares are even.
+// SlotsPerRegion is the number of slots of each region: a few times the number of members that
+// hold them, so that their shares are even.
 const SlotsPerRegion = 16
 
-// regionMark begins the names of programs that are bound to a region, and ends the region in
-// them. Names of callers cannot hold it at their start, as a customer's name comes first.
-const regionMark = "\x00"
+// regionDelimiter precedes and follows the region in the name of a program that is bound to a
+// region. Names from callers cannot start with it, as a customer's name comes first.
+const regionDelimiter = "\x00"
 
-// Bound returns the name of a program that is kept in a region only.
+// RegionalName returns the name of a program that is bound to a region.
 func RegionalName(region, program string) string {
-	return regionMark + region + regionMark + program
+	return regionDelimiter + region + regionDelimiter + program
 }
 
-// regionOf returns the region that a program is bound to, empty if it may be kept anywhere.
-func regionOf(program string) string {
-	rest, bound := strings.CutPrefix(program, regionMark)
-	if !bound {
+// boundRegion returns the region that a program is bound to, empty if there is none.
+func boundRegion(program string) string {
+	rest, isBound := strings.CutPrefix(program, regionDelimiter)
+	if !isBound {
 		return ""
 	}
-	region, _, _ := strings.Cut(rest, regionMark)
+	region, _, _ := strings.Cut(rest, regionDelimiter)
 	return region
 }
 
-// Slot returns the slot of a program. There is none if the program is bound to a region in which
-// there are no members.
+// Slot returns the index of the slot of a program. ok is false if the program is bound to a
+// region that has no members.
 func (m *Map) Slot(program string) (slot uint32, ok bool) {
-	region := regionOf(program)
+	region := boundRegion(program)
 	if region == "" {
 		return GlobalSlotOf(program), true
 	}
-	first := slices.IndexFunc(m.Slots, func(s Slot) bool { return s.Region == region })
-	if first >= 0 {
-		return uint32(first) + hash(program)%SlotsPerRegion, true
+	firstSlot := slices.IndexFunc(m.Slots, func(s Slot) bool { return s.Region == region })
+	if firstSlot >= 0 {
+		return uint32(firstSlot) + programHash(program)%SlotsPerRegion, true
 	}
-	regions := m.regions()
+	regions := m.memberRegions()
 	return GlobalSlotOf(program), len(regions) == 1 && regions[0] == region
 }
 
-// RegionFor returns the region in which what may be kept only in allowed ones is kept: the own one
-// if that is allowed, so that all hosts of a region find it there, else the first by name.
-func (m *Map) SelectRegion(own string, allowed func(region string) bool) (region string, ok bool) {
-	regions := m.regions()
-	if allowed(own) && slices.Contains(regions, own) {
-		return own, true
+// SelectRegion returns the region for a program that may be stored in allowed regions only: the
+// local region if it has members and is allowed, so that all hosts of a region find the program
+// there, otherwise the first allowed one by name. ok is false if no region with members is allowed.
+func (m *Map) SelectRegion(localRegion string, allowed func(region string) bool) (region string, ok bool) {
+	regions := m.memberRegions()
+	if allowed(localRegion) && slices.Contains(regions, localRegion) {
+		return localRegion, true
 	}
 	for _, region := range regions {
 		if allowed(region) {
@@ -65,28 +68,29 @@
 	return "", false
 }
 
-// Common returns the slots that are not bound to a region.
+// GlobalSlots returns the slots that are not bound to a region.
 func (m *Map) GlobalSlots() []Slot { return m.Slots[:min(GlobalSlotCount, len(m.Slots))] }
 
-// regions returns the regions of the members by name.
-func (m *Map) regions() []string {
-	var list []string
-	for _, x := range m.Members {
-		if x.Region != "" && !slices.Contains(list, x.Region) {
-			list = append(list, x.Region)
+// memberRegions returns the regions of the members in ascending order, without duplicates.
+func (m *Map) memberRegions() []string {
+	var regions []string
+	for _, member := range m.Members {
+		if member.Region != "" && !slices.Contains(regions, member.Region) {
+			regions = append(regions, member.Region)
 		}
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(regions)
+	return regions
 }
 
-// divide adds the slots of regions that have none yet, and returns the first of them. Where all
-// members are in one region, all slots are.
-func (m *Map) divide() (first int) {
-	first = len(m.Slots)
-	regions := m.regions()
+// addRegionalSlots adds slots for each region of the members that has none yet, and returns the
+// index of the first one added. If all members are in one region, so are the global slots, and
+// no regional ones are added.
+func (m *Map) addRegionalSlots() (firstAdded int) {
+	firstAdded = len(m.Slots)
+	regions := m.memberRegions()
 	if len(regions) < 2 {
-		return first
+		return firstAdded
 	}
 	for _, region := range regions {
 		if slices.ContainsFunc(m.Slots, func(s Slot) bool { return s.Region == region }) {
@@ -96,5 +100,5 @@
 			m.Slots = append(m.Slots, Slot{Region: region})
 		}
 	}
-	return first
+	return firstAdded
 }
--- a/core/placement/regions_test.go
+++ b/core/placement/regions_test.go
@@ -8,23 +8,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// regionalMap has members in a data centre of its own each, in turn in each region.
-func regionalMap(faults, members int, regions ...string) *Map {
+// newRegionalMap returns a map whose members are spread evenly over the regions, each region
+// with up to three data centres.
+func newRegionalMap(faults, members int, regions ...string) *Map {
 	m := New(faults)
 	for i := range members {
-		m.Admit(regionalMember(i, regions[i%len(regions)]))
+		m.Admit(newRegionalMember(i, regions[i%len(regions)]))
 	}
 	m.Assign()
 	return m
 }
 
-func regionalMember(i int, region string) Member {
+func newRegionalMember(i int, region string) Member {
 	id := fmt.Sprintf("m%d", i)
 	return Member{ID: id, Host: id, Address: id, DataCentre: fmt.Sprintf("%s-%d", region, i%3), Region: region}
 }
 
-func TestMembersOfOneRegionHaveNoSlotsBeside(t *testing.T) {
-	m := regionalMap(2, 6, "north")
+func TestSingleRegionHasNoRegionalSlots(t *testing.T) {
+	m := newRegionalMap(2, 6, "north")
 	require.Len(t, m.Slots, GlobalSlotCount)
 	slot, ok := m.Slot(RegionalName("north", "p"))
 	require.True(t, ok)
@@ -33,8 +34,8 @@
 	require.False(t, ok)
 }
 
-func TestProgramsOfARegionHaveTheirSlot(t *testing.T) {
-	m := regionalMap(2, 11, "north", "south")
+func TestRegionalProgramsMapToRegionalSlots(t *testing.T) {
+	m := newRegionalMap(2, 11, "north", "south")
 	require.Len(t, m.Slots, GlobalSlotCount+2*SlotsPerRegion)
 	require.Len(t, m.GlobalSlots(), GlobalSlotCount)
 	used := map[uint32]bool{}
@@ -51,9 +52,9 @@
 	require.Len(t, used, SlotsPerRegion)
 }
 
-func TestRegionForPrefersTheOwn(t *testing.T) {
-	m := regionalMap(1, 9, "east", "north", "south")
-	only := func(names ...string) func(string) bool {
+func TestSelectRegionPrefersLocalRegion(t *testing.T) {
+	m := newRegionalMap(1, 9, "east", "north", "south")
+	allow := func(names ...string) func(string) bool {
 		return func(region string) bool {
 			for _, name := range names {
 				if name == region {
@@ -64,9 +65,9 @@
 		}
 	}
 	for _, c := range []struct {
-		own     string
-		allowed []string
-		want    string
+		localRegion string
+		allowed     []string
+		want        string
 	}{
 		{"south", []string{"north", "south"}, "south"},
 		{"east", []string{"north", "south"}, "north"},
@@ -75,26 +76,27 @@
 		{"south", []string{"west"}, ""},
 		{"south", nil, ""},
 	} {
-		got, ok := m.SelectRegion(c.own, only(c.allowed...))
+		got, ok := m.SelectRegion(c.localRegion, allow(c.allowed...))
 		require.Equal(t, c.want, got, "%+v", c)
 		require.Equal(t, c.want != "", ok)
 	}
 }
 
-// Whatever happens to members, a slot of a region is kept there only, by as many as there are.
-func TestSlotsOfARegionStayInIt(t *testing.T) {
+// Members that join, leave, are replaced or demoted must not move a regional slot's replicas out
+// of its region, nor make it spanning or guarded, nor leave it without replicas.
+func TestRegionalSlotsKeepReplicasInRegion(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		m := regionalMap(1+int(seed%2), 10, "north", "south")
+		m := newRegionalMap(1+int(seed%2), 10, "north", "south")
 		next := 10
 		for range 60 {
-			changeRegional(rng, m, &next)
+			randomRegionalChange(rng, m, &next)
 			for i := range m.Slots {
 				s := &m.Slots[i]
 				for _, r := range s.Replicas {
 					require.True(t, s.Region == "" || m.Members[r.Member].Region == s.Region, "seed %d, slot %d of %s at %s", seed, i, s.Region, r.Member)
 				}
-				require.False(t, s.Region != "" && (s.Spanning || s.Guarded), "seed %d: kept at the platform", seed)
+				require.False(t, s.Region != "" && (s.Spanning || s.Guarded), "seed %d: a regional slot would need copies at the platform", seed)
 			}
 		}
 		for i := range m.Slots {
@@ -103,12 +105,12 @@
 	}
 }
 
-// changeRegional draws one change.
-func changeRegional(rng *rand.Rand, m *Map, next *int) {
-	ids := m.sortedOf([]string{"north-0", "north-1", "north-2", "south-0", "south-1", "south-2"}[rng.IntN(6)])
+// randomRegionalChange applies one random change to a map.
+func randomRegionalChange(rng *rand.Rand, m *Map, next *int) {
+	ids := m.sortedMemberIDs([]string{"north-0", "north-1", "north-2", "south-0", "south-1", "south-2"}[rng.IntN(6)])
 	switch rng.IntN(7) {
 	case 0, 1:
-		m.Admit(regionalMember(*next, []string{"north", "south", "west"}[rng.IntN(3)]))
+		m.Admit(newRegionalMember(*next, []string{"north", "south", "west"}[rng.IntN(3)]))
 		*next++
 	case 2:
 		if len(ids) > 0 {
@@ -131,9 +133,9 @@
 	}
 }
 
-func TestARegionThatComesLaterGetsSlots(t *testing.T) {
-	m := regionalMap(1, 4, "north")
-	m.Admit(regionalMember(20, "south"))
+func TestRegionAddedLaterGetsSlots(t *testing.T) {
+	m := newRegionalMap(1, 4, "north")
+	m.Admit(newRegionalMember(20, "south"))
 	require.Len(t, m.Slots, GlobalSlotCount+2*SlotsPerRegion)
 	slot, ok := m.Slot(RegionalName("south", "p"))
 	require.True(t, ok)
--- a/core/placement/relays.go
+++ b/core/placement/relays.go
@@ -5,93 +5,95 @@
 	"slices"
 )
 
-// Relays returns the members that read the platform for the others: of those that are
-// alive the first by id, as many as must be lost at once to lose them all.
+// Relays returns the members that read the platform on behalf of the others: the first alive
+// members by ID. There are Quorum of them, one more than the number of faults to tolerate.
 func (m *Map) Relays(alive func(id string) bool) []string {
-	return first(slices.Sorted(maps.Keys(m.Members)), m.Quorum(), alive)
+	return firstAlive(slices.Sorted(maps.Keys(m.Members)), m.Quorum(), alive)
 }
 
-// relayShare is how many members of a data centre there are for each of its relays, so that
-// the hosts that one relay serves do not grow with the data centre.
-const relayShare = 4
+// membersPerRelay is the number of members of a data centre for each of its relays, so that
+// the number of hosts that a relay serves does not grow with the data centre.
+const membersPerRelay = 4
 
-// RelaysOf returns the members that the hosts of a data centre ask for what the platform
-// says. Of a few members these are the relays of all; of many the first of the data centre
-// that are alive, and the relays of all where none is left there.
+// DataCentreRelays returns the relays from which the hosts of a data centre learn the state of
+// the platform: the result of Relays if ProbesAllMembers or if no member of the data centre is
+// alive, otherwise the first alive members of the data centre by ID.
 func (m *Map) DataCentreRelays(dataCentre string, alive func(id string) bool) []string {
 	if m.ProbesAllMembers() {
 		return m.Relays(alive)
 	}
-	ids := m.sortedOf(dataCentre)
-	if near := first(ids, max(m.Quorum(), len(ids)/relayShare), alive); len(near) > 0 {
-		return near
+	ids := m.sortedMemberIDs(dataCentre)
+	if relays := firstAlive(ids, max(m.Quorum(), len(ids)/membersPerRelay), alive); len(relays) > 0 {
+		return relays
 	}
 	return m.Relays(alive)
 }
 
-// fanOut is how many members of a data centre follow one of them at most.
-const fanOut = 8
+// maxFollowers is the largest number of members of a data centre that follow the same member
+// first.
+const maxFollowers = 8
 
-// Upstream returns the members that a member asks itself, the best first. The first member of
-// a data centre asks those before it of the relays of all; the others form a tree in which
-// each asks the one at an eighth of its own place, or those before that. All of them come
-// before it in the order of ids, so that no two follow each other. Nobody is upstream of the
-// first member that is alive.
+// Upstream returns the members that a member follows for the state of the platform, the
+// preferred one first. The first member of a data centre follows the relays that precede it;
+// the other members form a tree in which each follows the member at an eighth of its own
+// position, or the members before that one. All upstream members have a smaller ID, so that no
+// two members follow each other. The first alive member has no upstream.
 func (m *Map) Upstream(self, dataCentre string, alive func(id string) bool) []string {
-	alive = orSelf(self, alive)
+	alive = aliveOrSelf(self, alive)
 	if !m.ProbesAllMembers() {
-		ids := m.sortedOf(dataCentre)
-		if near := before(first(ids, len(ids), alive), self); len(near) > 0 {
-			return m.parents(near)
+		ids := m.sortedMemberIDs(dataCentre)
+		if earlier := idsBefore(firstAlive(ids, len(ids), alive), self); len(earlier) > 0 {
+			return m.upstreamInDataCentre(earlier)
 		}
 	}
-	return before(m.Relays(alive), self)
+	return idsBefore(m.Relays(alive), self)
 }
 
-// parents returns whom the member asks that comes after near in its data centre: as many as
-// must be lost at once to lose them all.
-func (m *Map) parents(near []string) []string {
-	parent := len(near) / fanOut
-	list := slices.Clone(near[max(0, parent-m.Faults) : parent+1])
-	slices.Reverse(list)
-	return list
+// upstreamInDataCentre returns the members that the member after earlier in its data centre
+// follows, the preferred one first: up to one more than the number of faults to tolerate.
+func (m *Map) upstreamInDataCentre(earlier []string) []string {
+	parentIndex := len(earlier) / maxFollowers
+	parents := slices.Clone(earlier[max(0, parentIndex-m.Faults) : parentIndex+1])
+	slices.Reverse(parents)
+	return parents
 }
 
-// IsRelay reports whether others ask a member for what the platform says.
+// IsRelay reports whether others learn the state of the platform from a member.
 func (m *Map) IsRelay(self, dataCentre string, alive func(id string) bool) bool {
-	alive = orSelf(self, alive)
+	alive = aliveOrSelf(self, alive)
 	return slices.Contains(m.DataCentreRelays(dataCentre, alive), self) || slices.Contains(m.Relays(alive), self)
 }
 
-func orSelf(self string, alive func(id string) bool) func(id string) bool {
+// aliveOrSelf returns alive extended by the member itself.
+func aliveOrSelf(self string, alive func(id string) bool) func(id string) bool {
 	return func(id string) bool { return id == self || alive(id) }
 }
 
-// before returns the ids, which are sorted, that come before id. A member asks only those,
-// also while it is not admitted yet: one that asked a later member would follow it until its
-// watch ends, and that member follows it as soon as it is admitted. Nobody would follow the
-// platform then, and hosts wait for the slot map.
-func before(ids []string, id string) []string {
-	at, _ := slices.BinarySearch(ids, id)
-	return ids[:at]
+// idsBefore returns the elements of the sorted ids that are smaller than id. A member follows
+// only these, also before it is admitted: if it followed a later member, it would do so until
+// its watch ends, while that member follows it as soon as it is admitted. Then no member would
+// follow the platform, and hosts would wait for the slot map.
+func idsBefore(ids []string, id string) []string {
+	index, _ := slices.BinarySearch(ids, id)
+	return ids[:index]
 }
 
-// first returns the first n of some ids that are alive.
-func first(ids []string, n int, alive func(id string) bool) []string {
-	var list []string
+// firstAlive returns the first n alive members of ids, fewer if there are not as many.
+func firstAlive(ids []string, n int, alive func(id string) bool) []string {
+	var aliveIDs []string
 	for _, id := range ids {
-		if len(list) < n && alive(id) {
-			list = append(list, id)
+		if len(aliveIDs) < n && alive(id) {
+			aliveIDs = append(aliveIDs, id)
 		}
 	}
-	return list
+	return aliveIDs
 }
 
-// sortedOf returns the members of a data centre by id.
-func (m *Map) sortedOf(dataCentre string) []string {
+// sortedMemberIDs returns the IDs of the members of a data centre in ascending order.
+func (m *Map) sortedMemberIDs(dataCentre string) []string {
 	var ids []string
-	for id, x := range m.Members {
-		if x.DataCentre == dataCentre {
+	for id, member := range m.Members {
+		if member.DataCentre == dataCentre {
 			ids = append(ids, id)
 		}
 	}
