--- a/wire/objects/follow.go
+++ b/wire/objects/follow.go
@@ -10,101 +10,106 @@
 )
 
 const (
-	// retryFirst and retryMost pace reads of a store that fails: soon enough that a
-	// host is up to date well within the second after an outage, seldom enough that
-	// an outage costs each host a few calls a second.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// retryClosely is the most where nothing may be served until the store answers again:
-	// after an outage of 6.8 s the hosts that follow had their word 1.2 to 1.7 s later with
-	// retryMost.
-	retryClosely = 120 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay before a failed read of the store is
+	// retried: short enough that a host is up to date well within one second after an
+	// outage, long enough that a host makes only a few calls per second during an outage.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// maxFastRetryDelay replaces maxRetryDelay where nothing may be served until the store
+	// answers again. With maxRetryDelay, the hosts that follow received their first answer
+	// 1.2 to 1.7 s after the end of a 6.8 s outage.
+	maxFastRetryDelay = 120 * time.Millisecond
 )
 
-// Listener is told of the objects of one kind. Calls come from one goroutine.
+// Listener receives the objects of one kind and their changes. All calls come from one
+// goroutine.
 type Listener interface {
-	// Replaced gives all objects; those not among them are gone.
+	// Replaced passes the complete list; objects that are not in it no longer exist.
 	Replaced(Snapshot)
-	// Changed gives the changes since, in order; there may be none.
+	// Changed passes the changes since the previous call, in order; there may be none.
 	Changed(Changes)
-	// Lost tells that the store does not answer; the next call to Replaced or
-	// Changed tells that it does again.
+	// Lost reports that the store does not answer. The next call to Replaced or Changed
+	// means that it answers again.
 	Lost(error)
 }
 
-// Follow lists a kind and watches it until the context ends, each watch for wait
-// at most: every watch is a priced call, and one that hangs unnoticed delays what
-// it would have told by that time. A watch that breaks goes on from where it was;
-// one whose history is gone begins with a new list.
-func Follow(ctx context.Context, store Reader, kind string, wait time.Duration, to Listener) {
-	follow(ctx, store, kind, timing{wait: wait, retry: retryMost}, to)
+// Follow lists a kind, watches it until the context ends, and passes the results to
+// listener. A single watch lasts maxWait at most: each watch is billed as a call, so that
+// longer watches cost less, but a watch that hangs unnoticed delays its changes by up to
+// maxWait. After an error the watch continues from the last revision; after HistoryGone the
+// kind is listed again.
+func Follow(ctx context.Context, store Reader, kind string, maxWait time.Duration, listener Listener) {
+	follow(ctx, store, kind, timing{maxWait: maxWait, maxRetryDelay: maxRetryDelay}, listener)
 }
 
-// FollowThrottled is Follow for kinds that change all the time: watches that tell changes end no
-// faster than one in each pace, so that the calls do not grow with the number of changes.
-func FollowThrottled(ctx context.Context, store Reader, kind string, wait, pace time.Duration, to Listener) {
-	follow(ctx, store, kind, timing{wait: wait, retry: retryMost, pace: pace}, to)
+// FollowThrottled is Follow for kinds that change continuously. It starts watches at least
+// minInterval apart when they return changes, so that the number of calls does not grow with
+// the number of changes.
+func FollowThrottled(ctx context.Context, store Reader, kind string, maxWait, minInterval time.Duration, listener Listener) {
+	follow(ctx, store, kind, timing{maxWait: maxWait, maxRetryDelay: maxRetryDelay, minInterval: minInterval}, listener)
 }
 
-// FollowFastRetry is Follow for what must be known to be new: a store that fails is asked again
-// every 0.1 s.
-func FollowFastRetry(ctx context.Context, store Reader, kind string, wait time.Duration, to Listener) {
-	follow(ctx, store, kind, timing{wait: wait, retry: retryClosely}, to)
+// FollowFastRetry is Follow for kinds whose data must be known to be current. It retries a
+// failing store about every 0.1 s.
+func FollowFastRetry(ctx context.Context, store Reader, kind string, maxWait time.Duration, listener Listener) {
+	follow(ctx, store, kind, timing{maxWait: maxWait, maxRetryDelay: maxFastRetryDelay}, listener)
 }
 
-// timing is how a kind is followed.
+// timing sets the pace at which a kind is followed.
 type timing struct {
-	// wait is the most that one watch waits, retry the most between reads of a store that
-	// fails, pace the least between two watches that told changes.
-	wait, retry, pace time.Duration
+	// maxWait bounds the duration of one watch, maxRetryDelay the delay between reads of a
+	// failing store. minInterval is the minimum time from the start of a watch that returns
+	// changes to the start of the next one.
+	maxWait, maxRetryDelay, minInterval time.Duration
 }
 
-func follow(ctx context.Context, store Reader, kind string, t timing, to Listener) {
-	pause := newPause(t.retry)
+func follow(ctx context.Context, store Reader, kind string, t timing, listener Listener) {
+	retryDelay := newBackoff(t.maxRetryDelay)
 	for ctx.Err() == nil {
 		snapshot, err := store.List(ctx, kind)
 		if err != nil {
-			to.Lost(err)
-			sleep(ctx, pause.NextBackOff())
+			listener.Lost(err)
+			sleep(ctx, retryDelay.NextBackOff())
 			continue
 		}
-		pause.Reset()
-		to.Replaced(snapshot)
-		began := time.Now()
-		watch(ctx, store, kind, t, snapshot.Revision, to)
-		// Where a list and a watch come from different relays, the list may be too old for
-		// the watch until the one relay has caught up.
-		sleep(ctx, retryFirst-time.Since(began))
+		retryDelay.Reset()
+		listener.Replaced(snapshot)
+		start := time.Now()
+		watch(ctx, store, kind, t, snapshot.Revision, listener)
+		// When different relays answer the list and the watch, the list may be too old for
+		// the watch until the relay that served the list has caught up.
+		sleep(ctx, minRetryDelay-time.Since(start))
 	}
 }
 
-// watch returns when a new list is needed.
-func watch(ctx context.Context, store Reader, kind string, t timing, revision uint64, to Listener) {
-	pause := newPause(t.retry)
+// watch passes changes after revision to the listener. It returns when the kind has to be
+// listed again or the context has ended.
+func watch(ctx context.Context, store Reader, kind string, t timing, revision uint64, listener Listener) {
+	retryDelay := newBackoff(t.maxRetryDelay)
 	for ctx.Err() == nil {
-		began := time.Now()
-		changes, err := store.Watch(ctx, kind, revision, t.wait)
+		start := time.Now()
+		changes, err := store.Watch(ctx, kind, revision, t.maxWait)
 		if failure.Is(err, failure.HistoryGone) {
 			return
 		}
 		if err != nil {
-			to.Lost(err)
-			// A call that failed late was a pause itself.
-			sleep(ctx, pause.NextBackOff()-time.Since(began))
+			listener.Lost(err)
+			// The duration of the failed call counts towards the delay.
+			sleep(ctx, retryDelay.NextBackOff()-time.Since(start))
 			continue
 		}
-		pause.Reset()
+		retryDelay.Reset()
 		revision = changes.Revision
-		to.Changed(changes)
+		listener.Changed(changes)
 		if len(changes.Events) > 0 {
-			sleep(ctx, t.pace-time.Since(began))
+			sleep(ctx, t.minInterval-time.Since(start))
 		}
 	}
 }
 
-func newPause(most time.Duration) *backoff.ExponentialBackOff {
+func newBackoff(maxDelay time.Duration) *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(min(retryFirst, most)), backoff.WithMaxInterval(most), backoff.WithMaxElapsedTime(0))
+		backoff.WithInitialInterval(min(minRetryDelay, maxDelay)), backoff.WithMaxInterval(maxDelay), backoff.WithMaxElapsedTime(0))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/wire/rpc/client.go
+++ b/wire/rpc/client.go
@@ -14,93 +14,100 @@
 	"github.com/pistachioarch/pistachioarch/wire/frame"
 )
 
-// Dialer opens connections; *net.Dialer is one.
+// Dialer opens connections; *net.Dialer implements it.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 const (
-	// dialTimeout bounds one dial: well above a round trip between data centres
-	// (some ms). A dial to a host without power hangs until then, also when the host is
-	// back meanwhile: hosts that start after all lost power wait for the longest of these.
+	// dialTimeout bounds one dial. It is well above a round trip between data centres (a few
+	// ms). A dial to a host without power hangs for the whole timeout, even if the host comes
+	// back meanwhile: after a power failure of all hosts, a starting host waits for the last
+	// of these dials.
 	dialTimeout = 250 * time.Millisecond
-	// redialPause keeps a host that is down from being dialled by every call.
-	redialPause = 50 * time.Millisecond
-	// silenceLimit closes a connection on which calls wait and nothing arrives.
-	// A partition leaves connections hanging; a new one finds out in one dial. It is
-	// above the pauses of a host whose share of a core is used up (100 ms).
-	silenceLimit = 300 * time.Millisecond
-	// pingAfter sends a ping on a connection on which calls wait: a disk may be slow, a
-	// ping is answered at once, also after a pause of this host's own.
-	pingAfter = 120 * time.Millisecond
-	// outQueue bounds the requests that wait to be written on one link; more calls wait
-	// outside of it.
-	outQueue = 64
+	// redialDelay is the minimum time between a failed dial and the next one, so that not
+	// every call dials a host that is down.
+	redialDelay = 50 * time.Millisecond
+	// defaultSilenceTimeout is the default for Client.silenceTimeout. A partition leaves
+	// connections hanging, whereas the dial of a new one detects it. The timeout is above the
+	// pauses of a host that has used up its CPU share (100 ms).
+	defaultSilenceTimeout = 300 * time.Millisecond
+	// pingDelay is how long nothing may arrive before a waiting call sends a ping. A call may
+	// wait for a slow disk, whereas a ping is answered at once. The ping also covers the case
+	// that this host itself was paused.
+	pingDelay = 120 * time.Millisecond
+	// maxQueuedRequests bounds the requests queued for writing on one link. Calls beyond it
+	// block until there is room.
+	maxQueuedRequests = 64
 )
 
-// Client is the connection to one member. Safe for concurrent use.
+// Client calls one member over one connection. Safe for concurrent use.
 type Client struct {
 	address string
 	dialer  Dialer
-	// silence closes a connection on which calls wait and nothing arrives.
-	silence time.Duration
+	// silenceTimeout is how long nothing may arrive on a connection while calls wait before
+	// the connection is closed.
+	silenceTimeout time.Duration
 	// traffic may be nil.
 	traffic *Traffic
 
 	mu        sync.Mutex
 	link      *link
-	dialing   chan struct{} // closed when the dial under way ends
+	dialDone  chan struct{} // closed when the current dial ends; nil while there is none
 	dialError error
 	nextDial  time.Time
 	closed    bool
-	// calls is how many are under way, and used when the last one began or ended.
-	calls int
-	used  time.Time
+	// callsInFlight is the number of calls in flight, lastUsed the time at which a call last
+	// started or ended.
+	callsInFlight int
+	lastUsed      time.Time
 }
 
 // NewClient returns a client of the member at address. It dials on first use.
 func NewClient(address string, dialer Dialer) *Client {
-	return &Client{address: address, dialer: dialer, silence: silenceLimit}
+	return &Client{address: address, dialer: dialer, silenceTimeout: defaultSilenceTimeout}
 }
 
-// Call sends a request and waits for its reply. Any error means that the member
-// may or may not have acted.
+// Call sends a request and waits for its reply. After any error the member may or may not
+// have executed the request. The failure is of kind PeerUnavailable, or that of the frame
+// that could not be written.
 func (c *Client) Call(ctx context.Context, req *historypb.Request) (*historypb.Reply, error) {
 	return c.CallWaiting(ctx, req, 0)
 }
 
-// CallWaiting is Call for a request that the member may answer as late as after
-// wait.
+// CallWaiting is Call for a request that the member may take up to wait to answer. The
+// silence timeout is extended by wait.
 func (c *Client) CallWaiting(ctx context.Context, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
-	c.count(1)
-	defer c.count(-1)
-	l, err := c.connected(ctx)
+	c.trackCalls(1)
+	defer c.trackCalls(-1)
+	l, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return l.call(ctx, req, wait+c.silence)
+	return l.call(ctx, req, wait+c.silenceTimeout)
 }
 
-// count notes the begin or end of a call.
-func (c *Client) count(calls int) {
+// trackCalls records the start (delta 1) or end (delta -1) of a call.
+func (c *Client) trackCalls(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls += calls
-	c.used = time.Now()
+	c.callsInFlight += delta
+	c.lastUsed = time.Now()
 }
 
-// Tidy closes the connection if there was no call for idle; the next call dials again.
+// Tidy closes the connection if there was no call for the duration idle. The next call dials
+// again.
 func (c *Client) Tidy(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.link == nil || c.calls > 0 || time.Since(c.used) < idle {
+	if c.link == nil || c.callsInFlight > 0 || time.Since(c.lastUsed) < idle {
 		return
 	}
 	c.link.close(failure.New(failure.PeerUnavailable, "connection idle"))
 	c.link = nil
 }
 
-// Close ends the connection; later calls fail.
+// Close closes the connection. Later calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,8 +117,8 @@
 	}
 }
 
-// connected returns a live link, dialling if there is none.
-func (c *Client) connected(ctx context.Context) (*link, error) {
+// connect returns the open link, or dials if there is none.
+func (c *Client) connect(ctx context.Context) (*link, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -122,16 +129,16 @@
 			defer c.mu.Unlock()
 			return c.link, nil
 		}
-		if c.dialing == nil {
+		if c.dialDone == nil {
 			if now := time.Now(); now.Before(c.nextDial) && c.dialError != nil {
 				err := c.dialError
 				c.mu.Unlock()
 				return nil, err
 			}
-			c.dialing = make(chan struct{})
-			go c.dial(c.dialing)
+			c.dialDone = make(chan struct{})
+			go c.dial(c.dialDone)
 		}
-		wait := c.dialing
+		wait := c.dialDone
 		c.mu.Unlock()
 		select {
 		case <-wait:
@@ -144,43 +151,43 @@
 func (c *Client) dial(done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	l, err := openLink(ctx, c.dialer, c.address, c.silence, c.traffic)
+	l, err := openLink(ctx, c.dialer, c.address, c.silenceTimeout, c.traffic)
 	c.mu.Lock()
 	c.link, c.dialError = l, err
 	if err != nil {
-		c.nextDial = time.Now().Add(redialPause)
+		c.nextDial = time.Now().Add(redialDelay)
 	}
-	c.dialing = nil
+	c.dialDone = nil
 	c.mu.Unlock()
 	close(done)
 }
 
-// link is one connection with its calls under way.
+// link is one connection and its calls in flight.
 type link struct {
-	session *yamux.Session
-	stream  net.Conn
-	silence time.Duration
-	traffic *Traffic
+	session        *yamux.Session
+	stream         net.Conn
+	silenceTimeout time.Duration
+	traffic        *Traffic
 
-	// out is what the link has to write, by a goroutine of its own: a write to a peer
-	// behind a cut may hang for longer than its call may wait.
-	out chan *historypb.Request
+	// requests is the queue of a separate writer goroutine: a write to a partitioned peer
+	// may hang for longer than its call may wait.
+	requests chan *historypb.Request
 
-	mu      sync.Mutex
-	nextID  uint64
-	pending map[uint64]waiting
-	heard   time.Time
-	err     error
-	done    chan struct{}
+	mu          sync.Mutex
+	nextID      uint64
+	pending     map[uint64]pendingCall
+	lastReceipt time.Time
+	err         error
+	done        chan struct{}
 }
 
-// waiting is a call under way.
-type waiting struct {
-	kind   Kind
-	answer chan *historypb.Reply
+// pendingCall is a call that waits for its reply.
+type pendingCall struct {
+	kind  Kind
+	reply chan *historypb.Reply
 }
 
-func openLink(ctx context.Context, dialer Dialer, address string, silence time.Duration, traffic *Traffic) (*link, error) {
+func openLink(ctx context.Context, dialer Dialer, address string, silenceTimeout time.Duration, traffic *Traffic) (*link, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.PeerUnavailable, "dial %s", address)
@@ -195,7 +202,7 @@
 		_ = session.Close()
 		return nil, failure.Wrap(err, failure.PeerUnavailable, "stream to %s", address)
 	}
-	l := &link{silence: silence, traffic: traffic, session: session, stream: stream, pending: map[uint64]waiting{}, heard: time.Now(), out: make(chan *historypb.Request, outQueue), done: make(chan struct{})}
+	l := &link{silenceTimeout: silenceTimeout, traffic: traffic, session: session, stream: stream, pending: map[uint64]pendingCall{}, lastReceipt: time.Now(), requests: make(chan *historypb.Request, maxQueuedRequests), done: make(chan struct{})}
 	go l.read()
 	go l.write()
 	return l, nil
@@ -218,7 +225,7 @@
 	}
 	l.err = err
 	close(l.done)
-	// The session's own close may wait for its peer.
+	// Closing the session may block until the peer reacts.
 	go func() { _ = l.session.Close() }()
 }
 
@@ -232,60 +239,61 @@
 			return
 		}
 		l.mu.Lock()
-		l.heard = time.Now()
-		w, known := l.pending[reply.Id]
+		l.lastReceipt = time.Now()
+		pending, known := l.pending[reply.Id]
 		delete(l.pending, reply.Id)
 		l.mu.Unlock()
 		if !known {
 			l.traffic.addReceived(KindOther, n)
 			continue
 		}
-		l.traffic.addReceived(w.kind, n)
-		w.answer <- reply
+		l.traffic.addReceived(pending.kind, n)
+		pending.reply <- reply
 	}
 }
 
-// call waits for the reply; the link is closed if nothing arrives on it for limit.
-func (l *link) call(ctx context.Context, req *historypb.Request, limit time.Duration) (*historypb.Reply, error) {
+// call sends a request and waits for the reply. It closes the link if nothing arrives on it
+// within timeout.
+func (l *link) call(ctx context.Context, req *historypb.Request, timeout time.Duration) (*historypb.Reply, error) {
 	answer := make(chan *historypb.Reply, 1)
 	sent := time.Now()
 	l.mu.Lock()
 	l.nextID++
 	req.Id = l.nextID
-	l.pending[req.Id] = waiting{kindOf(req), answer}
+	l.pending[req.Id] = pendingCall{requestKind(req), answer}
 	l.mu.Unlock()
-	silence := time.NewTimer(limit)
-	defer silence.Stop()
-	ping := time.NewTimer(limit - l.silence + pingAfter)
-	defer ping.Stop()
-	out := l.out
+	silenceTimer := time.NewTimer(timeout)
+	defer silenceTimer.Stop()
+	pingTimer := time.NewTimer(timeout - l.silenceTimeout + pingDelay)
+	defer pingTimer.Stop()
+	requests := l.requests
 	for {
 		select {
-		case out <- req:
-			out = nil
-		case <-ping.C:
+		case requests <- req:
+			requests = nil
+		case <-pingTimer.C:
 			l.ping(req.Member, sent)
 		case reply := <-answer:
 			return reply, nil
 		case <-l.done:
 			return nil, l.err
 		case <-ctx.Done():
-			l.forget(req.Id)
+			l.removePending(req.Id)
 			return nil, failure.Wrap(ctx.Err(), failure.PeerUnavailable, "call")
-		case <-silence.C:
-			if left := limit - time.Since(l.lastHeard(sent)); left > 0 {
-				silence.Reset(left)
+		case <-silenceTimer.C:
+			if remaining := timeout - time.Since(l.lastActivity(sent)); remaining > 0 {
+				silenceTimer.Reset(remaining)
 				continue
 			}
-			l.close(failure.New(failure.PeerUnavailable, "no answer within %s", limit))
+			l.close(failure.New(failure.PeerUnavailable, "no answer within %s", timeout))
 		}
 	}
 }
 
-// ping asks the peer for a sign of life if nothing was heard lately. Its answer is no
-// call's; it only counts as heard.
+// ping sends a ping if nothing was received within pingDelay. Its reply belongs to no call;
+// it only updates lastReceipt.
 func (l *link) ping(member string, sent time.Time) {
-	if time.Since(l.lastHeard(sent)) < pingAfter {
+	if time.Since(l.lastActivity(sent)) < pingDelay {
 		return
 	}
 	l.mu.Lock()
@@ -293,32 +301,32 @@
 	id := l.nextID
 	l.mu.Unlock()
 	select {
-	case l.out <- &historypb.Request{Id: id, Member: member, Call: &historypb.Request_Ping{Ping: &historypb.Ping{}}}:
-	default: // the queue is full of calls, which are signs of life enough
+	case l.requests <- &historypb.Request{Id: id, Member: member, Call: &historypb.Request_Ping{Ping: &historypb.Ping{}}}:
+	default: // the queue is full of calls, whose replies show as well that the peer is alive
 	}
 }
 
-// lastHeard is the later of the last arrival and sent.
-func (l *link) lastHeard(sent time.Time) time.Time {
+// lastActivity returns the later of sent and the time of the last receipt.
+func (l *link) lastActivity(sent time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heard.After(sent) {
-		return l.heard
+	if l.lastReceipt.After(sent) {
+		return l.lastReceipt
 	}
 	return sent
 }
 
-func (l *link) forget(id uint64) {
+func (l *link) removePending(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, id)
 }
 
-// write writes requests until the link ends.
+// write writes the queued requests until the link ends.
 func (l *link) write() {
 	for {
 		select {
-		case req := <-l.out:
+		case req := <-l.requests:
 			if err := l.writeFrame(req); err != nil {
 				l.close(err)
 				return
@@ -330,11 +338,11 @@
 }
 
 func (l *link) writeFrame(req *historypb.Request) error {
-	if err := l.stream.SetWriteDeadline(time.Now().Add(l.silence)); err != nil {
+	if err := l.stream.SetWriteDeadline(time.Now().Add(l.silenceTimeout)); err != nil {
 		return failure.Wrap(err, failure.PeerUnavailable, "write deadline")
 	}
-	kind := kindOf(req)
-	l.traffic.addCall(kind) // before the answer can come
+	kind := requestKind(req)
+	l.traffic.addCall(kind) // before the reply can arrive
 	n, err := frame.WriteCounted(l.stream, req)
 	if err != nil {
 		return err
--- a/wire/rpc/doc.go
+++ b/wire/rpc/doc.go
@@ -1,9 +1,9 @@
-// Package rpc carries the calls of entry hosts to history hosts: protobuf
-// messages over one yamux stream of one connection, any number under way at a
-// time, answered in any order.
+// Package rpc implements the calls of entry hosts to history hosts: protobuf
+// messages over one yamux stream per connection. Any number of calls may be in
+// flight; replies arrive in any order.
 //
 //	Client.Call -> frame -> yamux stream -> Serve -> Handler -> Reply -> Client.Call
 //
-// A Client dials again by itself; a call never waits for a connection longer
-// than its context allows.
+// A Client reconnects on its own. A call waits for a connection no longer than its
+// context allows.
 package rpc
--- a/wire/rpc/pool.go
+++ b/wire/rpc/pool.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Pool keeps one Client for each address. Safe for concurrent use.
+// Pool holds one Client per address. Safe for concurrent use.
 type Pool struct {
 	dialer Dialer
-	// SilenceTimeout is how long a member may be silent while calls wait for it; it is set before the
-	// first use.
+	// SilenceTimeout is how long a member may send nothing while calls wait for it before
+	// its connection is closed. It must be set before the first use.
 	SilenceTimeout time.Duration
-	// TrafficOf returns what counts the bytes of the calls to an address; it may be nil, and
-	// is set before the first use.
+	// TrafficOf returns the counters for the calls to an address. It may be nil and must be
+	// set before the first use.
 	TrafficOf func(address string) *Traffic
 
 	mu      sync.Mutex
@@ -21,7 +21,7 @@
 
 // NewPool returns an empty pool.
 func NewPool(dialer Dialer) *Pool {
-	return &Pool{dialer: dialer, SilenceTimeout: silenceLimit, clients: map[string]*Client{}}
+	return &Pool{dialer: dialer, SilenceTimeout: defaultSilenceTimeout, clients: map[string]*Client{}}
 }
 
 // Client returns the client of the member at address.
@@ -37,9 +37,9 @@
 
 func (p *Pool) add(address string) *Client {
 	c := NewClient(address, p.dialer)
-	c.silence = p.SilenceTimeout
+	c.silenceTimeout = p.SilenceTimeout
 	if p.TrafficOf != nil {
-		c.traffic = p.TrafficOf(address) // without mu: it may wait for who calls Keep
+		c.traffic = p.TrafficOf(address) // without p.mu: it may wait for a caller of CloseExcept
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	return c
 }
 
-// Tidy closes the connections on which there was no call for idle.
+// Tidy closes the connections that had no call for the duration idle.
 func (p *Pool) Tidy(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// CloseExcept closes the clients of all other addresses.
+// CloseExcept closes and removes the clients of all addresses that are not in addresses.
 func (p *Pool) CloseExcept(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -14,7 +14,7 @@
 	"github.com/pistachioarch/pistachioarch/core/historypb"
 )
 
-// serve starts a server and returns its address.
+// serve starts a server that is closed at the end of the test and returns its address.
 func serve(t *testing.T, handle Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,15 +29,16 @@
 	return c
 }
 
-// echo answers with the slot of the request as revision.
+// echo replies with the slot of the request as the revision.
 func echo(req *historypb.Request, answer func(*historypb.Reply)) {
 	answer(&historypb.Reply{Status: historypb.Status_STATUS_OK, Revision: uint64(req.Slot)})
 }
 
-func TestEachCallGetsItsOwnAnswer(t *testing.T) {
+// Replies that arrive out of order must reach the calls they belong to.
+func TestOutOfOrderRepliesReachTheirCalls(t *testing.T) {
 	var mu sync.Mutex
 	var held []func()
-	// Every second answer is given after the one that follows it.
+	// Each pair of replies is sent in reverse order.
 	c := client(t, serve(t, func(req *historypb.Request, answer func(*historypb.Reply)) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -61,7 +62,9 @@
 	all.Wait()
 }
 
-func TestASilentPeerEndsAllCallsAndIsDialledAgain(t *testing.T) {
+// A call to a peer that does not reply must fail, and the next call must use a new
+// connection.
+func TestCallToSilentPeerFailsAndNextCallRedials(t *testing.T) {
 	silent := true
 	var mu sync.Mutex
 	c := client(t, serve(t, func(req *historypb.Request, answer func(*historypb.Reply)) {
@@ -80,24 +83,24 @@
 	require.NoError(t, err)
 }
 
-func TestAWaitingCallOutlivesTheSilenceLimit(t *testing.T) {
+func TestCallWaitingExtendsSilenceTimeout(t *testing.T) {
 	c := client(t, serve(t, func(req *historypb.Request, answer func(*historypb.Reply)) {
-		time.AfterFunc(silenceLimit+silenceLimit/4, func() { echo(req, answer) })
+		time.AfterFunc(defaultSilenceTimeout+defaultSilenceTimeout/4, func() { echo(req, answer) })
 	}))
-	reply, err := c.CallWaiting(t.Context(), &historypb.Request{Slot: 3}, 5*silenceLimit)
+	reply, err := c.CallWaiting(t.Context(), &historypb.Request{Slot: 3}, 5*defaultSilenceTimeout)
 	require.NoError(t, err)
 	require.EqualValues(t, 3, reply.Revision)
 }
 
-func TestACallEndsWithItsContext(t *testing.T) {
+func TestCallFailsWhenContextIsCancelled(t *testing.T) {
 	c := client(t, serve(t, func(*historypb.Request, func(*historypb.Reply)) {}))
 	ctx, cancel := context.WithCancel(t.Context())
-	time.AfterFunc(silenceLimit/8, cancel)
+	time.AfterFunc(defaultSilenceTimeout/8, cancel)
 	_, err := c.CallWaiting(ctx, &historypb.Request{}, time.Hour)
 	require.True(t, failure.Is(err, failure.PeerUnavailable), "%v", err)
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestCallFailsWhenConnectionIsRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -106,7 +109,8 @@
 	require.True(t, failure.Is(err, failure.PeerUnavailable), "%v", err)
 }
 
-func TestABadFrameEndsTheConnectionOnly(t *testing.T) {
+// A frame that cannot be decoded must close its own connection and no other.
+func TestBadFrameClosesOnlyItsConnection(t *testing.T) {
 	address := serve(t, echo)
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -119,7 +123,7 @@
 	require.NoError(t, err)
 }
 
-func TestAPoolKeepsOneClientAnAddress(t *testing.T) {
+func TestPoolHoldsOneClientPerAddress(t *testing.T) {
 	p := NewPool(&net.Dialer{})
 	a, b := p.Client("a"), p.Client("b")
 	require.Same(t, a, p.Client("a"))
@@ -131,12 +135,12 @@
 	require.True(t, failure.Is(err, failure.PeerUnavailable), "closed: %v", err)
 }
 
-// A host that relays for many holds little for each connection: with room for 4,096 replies
-// both ends together hold 24 KB more.
-func TestAnIdleConnectionHoldsLittle(t *testing.T) {
+// A host that relays for many others must use little memory per connection. A queue of 4,096
+// replies takes 24 KB more on both ends together.
+func TestIdleConnectionMemoryIsBounded(t *testing.T) {
 	const (
 		connections = 200
-		most        = 56 << 10 // bytes of heap, both ends: 48 KB, 71 with room for 4,096
+		maxBytes    = 56 << 10 // heap of both ends: 48 KB, or 71 KB with queues of 4,096 replies
 	)
 	address := serve(t, echo)
 	heap := func() int64 {
@@ -151,12 +155,12 @@
 		require.NoError(t, err)
 	}
 	each := (heap() - before) / connections
-	t.Logf("%d bytes a connection", each)
-	require.Less(t, each, int64(most))
+	t.Logf("%d bytes per connection", each)
+	require.Less(t, each, int64(maxBytes))
 }
 
-// A connection without calls is closed, one with a call under way is not; the next call dials
-// again.
+// Tidy must close a connection without calls but not one with a call in flight, and the next
+// call must dial again.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	release := make(chan struct{})
 	p := NewPool(&net.Dialer{})
@@ -191,9 +195,9 @@
 	require.NoError(t, err)
 }
 
-// underWay is how many calls are under way.
+// underWay returns the number of calls in flight.
 func (c *Client) underWay() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls
+	return c.callsInFlight
 }
--- a/wire/rpc/server.go
+++ b/wire/rpc/server.go
@@ -14,13 +14,13 @@
 	"github.com/pistachioarch/pistachioarch/wire/frame"
 )
 
-// Handler answers requests. It must not block for long: requests of one
-// connection are handed over in order. answer may be called later, from any
-// goroutine, exactly once.
+// Handler answers requests. It must not block for long: the requests of one stream
+// are passed to it one after the other. It must call answer exactly once, which it
+// may do later and from any goroutine.
 type Handler func(req *historypb.Request, answer func(*historypb.Reply))
 
-// sessionConfig is the same at both ends. Keep-alives are off: calls notice a
-// silent peer sooner, and idle connections cost nothing.
+// sessionConfig returns the yamux configuration of both ends. Keep-alives are off:
+// calls detect a silent peer sooner, and idle connections cause no traffic.
 func sessionConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
@@ -29,12 +29,14 @@
 	return cfg
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections and passes their requests to handle until the listener is
+// closed, which is no error.
 func Serve(listener net.Listener, handle Handler) error {
 	return ServeCounted(listener, handle, nil)
 }
 
-// ServeCounted is Serve that counts the bytes of all connections.
+// ServeCounted is Serve that counts the calls and bytes of all connections in traffic, which
+// may be nil.
 func ServeCounted(listener net.Listener, handle Handler, traffic *Traffic) error {
 	for {
 		conn, err := listener.Accept()
@@ -64,20 +66,20 @@
 	}
 }
 
-// maxReplies bounds the replies that wait for a peer that does not read: a peer
-// has fewer calls under way than that, unless it is cut off. A connection holds room for all
-// of them, and busy hosts have many connections and little memory.
-const maxReplies = 1024
+// maxQueuedReplies bounds the replies queued for a peer that does not read. A peer has fewer
+// calls in flight unless it is partitioned. Each stream allocates the whole queue, and busy
+// hosts have many connections and little memory.
+const maxQueuedReplies = 1024
 
-// reply is an answer to a call of a kind.
-type reply struct {
+// queuedReply is a reply to be written, with the kind of its call.
+type queuedReply struct {
 	kind    Kind
 	message *historypb.Reply
 }
 
 func serveStream(stream net.Conn, handle Handler, traffic *Traffic) {
 	defer stream.Close()
-	replies := make(chan *reply, maxReplies)
+	replies := make(chan *queuedReply, maxQueuedReplies)
 	done := make(chan struct{})
 	defer close(done)
 	go writeReplies(stream, replies, done, traffic)
@@ -88,24 +90,25 @@
 		if err != nil {
 			return
 		}
-		id, kind := req.Id, kindOf(req)
+		id, kind := req.Id, requestKind(req)
 		traffic.addCall(kind)
 		traffic.addReceived(kind, n)
 		handle(req, func(r *historypb.Reply) {
 			r.Id = id
 			select {
-			case replies <- &reply{kind, r}:
+			case replies <- &queuedReply{kind, r}:
 			default:
-				// The peer is cut off; it finds out and asks again elsewhere. Waiting
-				// here would hold up the journal, and with it every other peer.
+				// The peer is partitioned; it detects this and retries at another member.
+				// Waiting here would block the journal, and with it every other peer.
 				_ = stream.Close()
 			}
 		})
 	}
 }
 
-// writeReplies is the one writer of a stream.
-func writeReplies(stream net.Conn, replies <-chan *reply, done <-chan struct{}, traffic *Traffic) {
+// writeReplies writes the replies of a stream until done is closed or a write fails. It is
+// the only writer of the stream.
+func writeReplies(stream net.Conn, replies <-chan *queuedReply, done <-chan struct{}, traffic *Traffic) {
 	for {
 		select {
 		case <-done:
--- a/wire/rpc/traffic.go
+++ b/wire/rpc/traffic.go
@@ -6,51 +6,50 @@
 	"github.com/pistachioarch/pistachioarch/core/historypb"
 )
 
-// Kind says what a call is for, as far as its bytes are counted.
+// Kind classifies calls for the traffic counters.
 type Kind int
 
-// The kinds of calls. Write calls are told apart by the largest thing that they carry.
+// The kinds of calls. The kind of a write call is that of the largest record it carries.
 const (
 	// KindOther is a call of none of the other kinds.
 	KindOther Kind = iota
-	// KindReserve writes reservations only.
+	// KindReserve is a write of reservations only.
 	KindReserve
-	// KindSettle writes settlements, and no turn.
+	// KindSettle is a write with settlements and no turn.
 	KindSettle
-	// KindKeep writes finished turns.
+	// KindKeep is a write with finished turns.
 	KindKeep
-	// KindRead asks for budget use and chains.
+	// KindRead reads budget use and turn chains.
 	KindRead
-	// KindTake asks for a token of a quota.
+	// KindTake takes a token of a quota.
 	KindTake
 	// KindCopy copies a slot.
 	KindCopy
 	// KindObjects lists or watches the platform's objects.
 	KindObjects
-	// KindPing is a sign of life.
+	// KindPing checks that the peer is alive.
 	KindPing
-	kinds
+	kindCount
 )
 
-// Kinds returns all kinds, in the order in which they are shown.
+// Kinds returns all kinds in display order, KindOther last.
 func Kinds() []Kind {
-	all := make([]Kind, 0, kinds)
-	for k := KindReserve; k < kinds; k++ {
+	all := make([]Kind, 0, kindCount)
+	for k := KindReserve; k < kindCount; k++ {
 		all = append(all, k)
 	}
 	return append(all, KindOther)
 }
 
-var kindNames = [kinds]string{"other", "reserve", "settle", "keep", "read", "take", "copy", "objects", "ping"}
+var kindNames = [kindCount]string{"other", "reserve", "settle", "keep", "read", "take", "copy", "objects", "ping"}
 
-// String implements fmt.Stringer; it is part of the names of metrics.
+// String implements fmt.Stringer; the result is part of metric names.
 func (k Kind) String() string { return kindNames[k] }
 
-// kindOf returns the kind of a request.
-func kindOf(req *historypb.Request) Kind {
+func requestKind(req *historypb.Request) Kind {
 	switch call := req.Call.(type) {
 	case *historypb.Request_Write:
-		return kindOfWrite(call.Write)
+		return writeKind(call.Write)
 	case *historypb.Request_Read:
 		return KindRead
 	case *historypb.Request_Take:
@@ -65,7 +64,7 @@
 	return KindOther
 }
 
-func kindOfWrite(w *historypb.Write) Kind {
+func writeKind(w *historypb.Write) Kind {
 	kind := KindReserve
 	for _, r := range w.Records {
 		switch r.Change.(type) {
@@ -78,24 +77,24 @@
 	return kind
 }
 
-// streamHeaderBytes is what yamux puts before each write of a stream.
-const streamHeaderBytes = 12
+// yamuxHeaderBytes is the size of the header that yamux adds to each write of a stream.
+const yamuxHeaderBytes = 12
 
-// Traffic counts bytes by kind of call, as they are written to the connection. Safe for
-// concurrent use; a nil *Traffic counts nothing.
+// Traffic counts calls and bytes by kind of call, as they are written to the connection. Safe
+// for concurrent use; calls and bytes added to a nil *Traffic are ignored.
 type Traffic struct {
-	calls, sent, received [kinds]atomic.Int64
+	calls, sent, received [kindCount]atomic.Int64
 }
 
-func (t *Traffic) addSent(k Kind, frame int) {
+func (t *Traffic) addSent(k Kind, frameBytes int) {
 	if t != nil {
-		t.sent[k].Add(int64(frame + streamHeaderBytes))
+		t.sent[k].Add(int64(frameBytes + yamuxHeaderBytes))
 	}
 }
 
-func (t *Traffic) addReceived(k Kind, frame int) {
+func (t *Traffic) addReceived(k Kind, frameBytes int) {
 	if t != nil {
-		t.received[k].Add(int64(frame + streamHeaderBytes))
+		t.received[k].Add(int64(frameBytes + yamuxHeaderBytes))
 	}
 }
 
@@ -105,21 +104,22 @@
 	}
 }
 
-// Calls is how many calls of a kind were made or answered.
+// Calls returns the number of calls of a kind that were sent or received.
 func (t *Traffic) Calls(k Kind) int64 { return t.calls[k].Load() }
 
-// Sent is the bytes of a kind that went out.
+// Sent returns the bytes sent for calls of a kind.
 func (t *Traffic) Sent(k Kind) int64 { return t.sent[k].Load() }
 
-// Received is the bytes of a kind that came in.
+// Received returns the bytes received for calls of a kind.
 func (t *Traffic) Received(k Kind) int64 { return t.received[k].Load() }
 
-// GaugeRegistry is what serves numbers; *meter.Meter is one.
+// GaugeRegistry exposes gauges as metrics; *meter.Meter implements it.
 type GaugeRegistry interface {
+	// Gauge exposes the result of read under a name.
 	Gauge(name string, read func() int64)
 }
 
-// Register shows the counters as prefix_kind_calls, prefix_kind_sent_bytes and
+// Register exposes the counters as prefix_kind_calls, prefix_kind_sent_bytes and
 // prefix_kind_received_bytes.
 func (t *Traffic) Register(g GaugeRegistry, prefix string) {
 	for _, k := range Kinds() {
--- a/wire/rpc/traffic_test.go
+++ b/wire/rpc/traffic_test.go
@@ -14,18 +14,18 @@
 	return &historypb.Request{Call: &historypb.Request_Write{Write: &historypb.Write{Records: records}}}
 }
 
-func TestAWriteIsOfTheKindOfItsLargestRecord(t *testing.T) {
+func TestKindOfWriteIsThatOfItsLargestRecord(t *testing.T) {
 	reserve := &historypb.Record{Change: &historypb.Record_Reserve{}}
 	settle := &historypb.Record{Change: &historypb.Record_Settle{}}
 	turn := &historypb.Record{Change: &historypb.Record_Turn{}}
-	require.Equal(t, KindReserve, kindOf(writeOf(reserve)))
-	require.Equal(t, KindSettle, kindOf(writeOf(reserve, settle)))
-	require.Equal(t, KindKeep, kindOf(writeOf(settle, turn)))
-	require.Equal(t, KindPing, kindOf(&historypb.Request{Call: &historypb.Request_Ping{}}))
-	require.Equal(t, KindOther, kindOf(&historypb.Request{}))
+	require.Equal(t, KindReserve, requestKind(writeOf(reserve)))
+	require.Equal(t, KindSettle, requestKind(writeOf(reserve, settle)))
+	require.Equal(t, KindKeep, requestKind(writeOf(settle, turn)))
+	require.Equal(t, KindPing, requestKind(&historypb.Request{Call: &historypb.Request_Ping{}}))
+	require.Equal(t, KindOther, requestKind(&historypb.Request{}))
 }
 
-// Both ends count the same bytes, by kind, also where many calls are under way.
+// Client and server must count the same calls and bytes of each kind.
 func TestBothEndsCountTheSameBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	require.Eventually(t, func() bool {
 		return served.Sent(KindRead) == called.Received(KindRead) && served.Sent(KindKeep) == called.Received(KindKeep) &&
 			called.Sent(KindRead) == served.Received(KindRead) && called.Sent(KindKeep) == served.Received(KindKeep)
-	}, 5*time.Second, time.Millisecond, "both sides count a message once it is written")
+	}, 5*time.Second, time.Millisecond, "both sides count a message after it is written")
 	for _, k := range []Kind{KindRead, KindKeep} {
 		require.EqualValues(t, calls, called.Calls(k))
 		require.EqualValues(t, calls, served.Calls(k))
