--- a/ctl/roles/callers_test.go
+++ b/ctl/roles/callers_test.go
@@ -80,7 +80,7 @@
 	req.Host = "x"
 	req.Header.Set(ownheaders.ID, t.ID)
 	req.Header.Set(ownheaders.Program, program)
-	req.Header.Set(ownheaders.Left, strconv.FormatInt(turnPatience.Milliseconds(), 10))
+	req.Header.Set(ownheaders.Timeout, strconv.FormatInt(turnPatience.Milliseconds(), 10))
 	for name, v := range headers {
 		req.Header.Set(name, v)
 	}
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -19,7 +19,7 @@
 func TestPlainAnswerIsPassedOnWhole(t *testing.T) {
 	x := newTarget(t, "t1", func(_ int, r received, id string) (string, bool) { return whole(id, "answer to "+r.Body), false })
 	s := newSystem(t, x)
-	got := s.post("/plain/a%2Fb?q=1", "body", ownheaders.ID, "1", ownheaders.Left, "900")
+	got := s.post("/plain/a%2Fb?q=1", "body", ownheaders.ID, "1", ownheaders.Timeout, "900")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "answer to body", got.body)
 	require.Equal(t, "s", got.header.Get(ownheaders.Signature))
@@ -266,7 +266,7 @@
 		return streamed(id, 1, "a", "b"), false
 	})
 	s = newSystem(t, x)
-	got := s.post("/quick/", "in", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.Left, "1500", ownheaders.Budget, "100", ownheaders.MaxTokens, "12")
+	got := s.post("/quick/", "in", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.Timeout, "1500", ownheaders.Budget, "100", ownheaders.MaxTokens, "12")
 	require.NoError(t, got.err)
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", got.body)
@@ -302,7 +302,7 @@
 		return streamed(id, 1, "said"), false
 	})
 	s = newSystem(t, x)
-	got := s.post("/turn/", "input", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.Left, "30000", ownheaders.MaxTokens, "3")
+	got := s.post("/turn/", "input", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.Timeout, "30000", ownheaders.MaxTokens, "3")
 	require.Equal(t, http.StatusOK, got.status, "its events are passed on")
 	require.Error(t, got.err, "it does not look whole")
 }
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -85,7 +85,7 @@
 		}
 		r := received{
 			Target: req.Header.Get(ownheaders.Target), Method: req.Method, URI: req.RequestURI, Body: string(body),
-			LastEvent: req.Header.Get("Last-Event-Id"), LeftMs: req.Header.Get(ownheaders.Left),
+			LastEvent: req.Header.Get("Last-Event-Id"), LeftMs: req.Header.Get(ownheaders.Timeout),
 			Key: req.Header.Get(ownheaders.Key), Customer: req.Header.Get(ownheaders.Customer),
 		}
 		x.mu.Lock()
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -294,7 +294,7 @@
 	}
 	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
 	s.uneven(5)
-	got := s.post("/plain/", "x", ownheaders.ID, "1", ownheaders.Left, "150")
+	got := s.post("/plain/", "x", ownheaders.ID, "1", ownheaders.Timeout, "150")
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
 	s.settled()
 }
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -46,11 +46,11 @@
 	s := newSystem(t)
 	r, err := http.NewRequest(http.MethodPost, "/plain/", nil)
 	require.NoError(t, err)
-	r.Header.Set(ownheaders.Left, "5000")
+	r.Header.Set(ownheaders.Timeout, "5000")
 	x := &exchange{host: s.host, r: r, table: s.host.table.Load(), route: s.host.table.Load().Routes()[0], tried: map[string]bool{}}
 	for left, most := range map[time.Duration]int64{2 * time.Second: 2000, 400 * time.Microsecond: 1, -time.Second: 1} {
 		x.deadline = time.Now().Add(left)
-		got := number(x.outgoing(balance.Listed{ID: "t1"}, "").Header.Get(ownheaders.Left))
+		got := number(x.outgoing(balance.Listed{ID: "t1"}, "").Header.Get(ownheaders.Timeout))
 		require.Positive(t, got, "%v", left)
 		require.LessOrEqual(t, got, most, "%v", left)
 	}
@@ -68,7 +68,7 @@
 				return
 			}
 			mu.Lock()
-			left = append(left, number(req.Header.Get(ownheaders.Left)))
+			left = append(left, number(req.Header.Get(ownheaders.Timeout)))
 			n := len(left)
 			mu.Unlock()
 			time.Sleep(time.Second)
@@ -149,7 +149,7 @@
 		c := h.connect()
 		defer c.Close()
 		began := time.Now()
-		h.write(c, strings.Replace(requestHead("/plain/", 100), "\r\n\r\n", "\r\n"+ownheaders.Left+": 700\r\n\r\n", 1)+"half")
+		h.write(c, strings.Replace(requestHead("/plain/", 100), "\r\n\r\n", "\r\n"+ownheaders.Timeout+": 700\r\n\r\n", 1)+"half")
 		require.Equal(t, http.StatusServiceUnavailable, status(t, c))
 		require.LessOrEqual(t, time.Since(began), 700*time.Millisecond+slackTime)
 	})
--- a/wire/ownheaders/ownheaders.go
+++ b/wire/ownheaders/ownheaders.go
@@ -20,7 +20,7 @@
 	Budget     = "Pistachio-Budget"
 	MaxTokens  = "Pistachio-Max-Tokens"
 	Prompt     = "Pistachio-Prompt-Tokens"
-	Left       = "Pistachio-Left"
+	Timeout    = "Pistachio-Left"
 	LastEvent  = "Last-Event-Id"
 	Target     = "Pistachio-Target"
 	NotRun     = "Pistachio-Not-Run"
@@ -40,7 +40,7 @@
 		return c, failure.New(failure.BadRequest, "no %s", ID)
 	}
 	left := int64(0)
-	for name, to := range map[string]*int64{Left: &left, Budget: &c.Budget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
+	for name, to := range map[string]*int64{Timeout: &left, Budget: &c.Budget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
 		v := h.Get(name)
 		if v == "" {
 			continue
@@ -59,7 +59,7 @@
 func (Headers) Outgoing(in http.Header, s request.Send) http.Header {
 	out := in.Clone()
 	out.Set(Target, s.Target)
-	out.Set(Left, strconv.FormatInt(s.Left.Milliseconds(), 10))
+	out.Set(Timeout, strconv.FormatInt(s.Left.Milliseconds(), 10))
 	if s.LastEvent != "" {
 		out.Set(LastEvent, s.LastEvent)
 	}
