--- a/wire/api/api.go
+++ b/wire/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the JSON types of the callers' and operators' HTTP
-// interface, and its clients.
+// Package api defines the JSON types of the HTTP interface for callers and operators,
+// and its client.
 package api
 
 import (
@@ -14,17 +14,18 @@
 // CreateProgram is the body of POST /v1/programs.
 type CreateProgram struct {
 	Service string `json:"service"`
-	// Budget in tokens; 0 takes the caller's declared budget.
+	// Budget is the token budget; 0 selects the declared budget of the caller.
 	Budget *int64 `json:"budget,omitempty"`
-	// DeadlineMS bounds the whole program, 0 = none.
+	// DeadlineMS bounds the duration of the whole program in milliseconds; 0 means no bound.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
-	// Parent makes the program a sub-agent, which draws on its parent's budget.
+	// Parent is the program of which this one is a sub-agent. A sub-agent draws on the budget
+	// of its parent.
 	Parent string `json:"parent,omitempty"`
-	// Key makes the request idempotent.
+	// Key is an idempotency key.
 	Key string `json:"key,omitempty"`
 }
 
-// Program is the answer to CreateProgram.
+// Program is the response to CreateProgram.
 type Program struct {
 	Program string `json:"program"`
 }
@@ -35,8 +36,9 @@
 	Content string `json:"content"`
 }
 
-// Call is the body of POST /v1/programs/{id}/calls. An engine takes Messages,
-// the new ones only; a plain service takes Body as it is.
+// Call is the body of POST /v1/programs/{id}/calls. A call to an engine has Messages,
+// only those that are new since the previous call. A call to a plain service has Body,
+// which is passed on unchanged.
 type Call struct {
 	Sequence   uint32          `json:"sequence"`
 	Service    string          `json:"service,omitempty"`
@@ -55,7 +57,7 @@
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// Answer is the answer to a call.
+// Answer is the response to a call.
 type Answer struct {
 	Program  string `json:"program"`
 	Sequence uint32 `json:"sequence"`
@@ -64,7 +66,7 @@
 	Usage    Usage  `json:"usage"`
 }
 
-// Error is the body of every response that is not a success.
+// Error is the body of every unsuccessful response.
 type Error struct {
 	Type         failure.Kind `json:"type"`
 	Ran          failure.Ran  `json:"ran"`
@@ -77,8 +79,8 @@
 	Text string `json:"text"`
 }
 
-// The names of the SSE events of a streamed call. After "restart" what was
-// streamed so far is void; "answer" and "error" are final.
+// The names of the SSE events of a streamed call. "restart" invalidates all chunks
+// before it; "answer" and "error" are final.
 const (
 	EventChunk   = "chunk"
 	EventRestart = "restart"
@@ -86,17 +88,17 @@
 	EventError   = "error"
 )
 
-// ErrorOf gives the JSON form of a failure.
+// ErrorOf returns the JSON form of a failure.
 func ErrorOf(f *failure.Failure) Error {
 	return Error{Type: f.Kind, Ran: f.Ran, RetryAfterMS: f.RetryAfter.Milliseconds(), Detail: f.Detail}
 }
 
-// Failure gives the failure that e stands for.
+// Failure returns the failure that e describes.
 func (e Error) Failure() *failure.Failure {
 	return &failure.Failure{Kind: e.Type, Ran: e.Ran, Detail: e.Detail, RetryAfter: time.Duration(e.RetryAfterMS) * time.Millisecond}
 }
 
-var statuses = map[failure.Kind]int{
+var httpStatuses = map[failure.Kind]int{
 	failure.BadRequest:       http.StatusBadRequest,
 	failure.TooLarge:         http.StatusRequestEntityTooLarge,
 	failure.Unauthorized:     http.StatusUnauthorized,
@@ -120,13 +122,14 @@
 	failure.DeadlineExceeded: http.StatusGatewayTimeout,
 }
 
-// Status is the HTTP status of a failure.
+// Status returns the HTTP status for a kind of failure, 503 for kinds without a status of
+// their own.
 func Status(k failure.Kind) int {
-	if s, ok := statuses[k]; ok {
+	if s, ok := httpStatuses[k]; ok {
 		return s
 	}
 	return http.StatusServiceUnavailable
 }
 
-// Itoa formats an unsigned number.
+// Itoa formats an unsigned integer in base 10.
 func Itoa[N uint32 | uint64](n N) string { return strconv.FormatUint(uint64(n), 10) }
--- a/wire/api/client.go
+++ b/wire/api/client.go
@@ -14,24 +14,24 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// maxEventBytes bounds one line of an event stream.
+// maxEventBytes bounds the length of one line of an event stream.
 const maxEventBytes = 8 << 20
 
-// Client calls the HTTP interface of a host. Its errors are Failures; one whose
-// request may have reached the host says so in Ran.
+// Client calls the HTTP interface of a host. Its errors are Failures; their field Ran says
+// whether the request may have been executed.
 type Client struct {
 	base *sling.Sling
 	http *http.Client
 }
 
-// NewClient returns a client of the host at base (http://address) that shows
+// NewClient returns a client of the host at base (http://address) that authenticates with
 // the bearer token.
 func NewClient(h *http.Client, base, token string) *Client {
 	s := sling.New().Base(strings.TrimSuffix(base, "/")+"/").Set("Authorization", "Bearer "+token)
 	return &Client{base: s, http: h}
 }
 
-// Create makes a program.
+// Create creates a program.
 func (c *Client) Create(ctx context.Context, p CreateProgram) (Program, error) {
 	var out Program
 	return out, c.do(ctx, c.base.New().Post("v1/programs").BodyJSON(p), &out)
@@ -43,7 +43,7 @@
 	return out, c.do(ctx, c.base.New().Post("v1/programs/"+url.PathEscape(program)+"/calls").BodyJSON(call), &out)
 }
 
-// Fetch asks again for the answer of a call.
+// Fetch returns the answer to a call made earlier.
 func (c *Client) Fetch(ctx context.Context, program string, sequence uint32) (Answer, error) {
 	var out Answer
 	path := "v1/programs/" + url.PathEscape(program) + "/calls/" + Itoa(sequence)
@@ -55,7 +55,8 @@
 	return c.do(ctx, c.base.New().Delete("v1/programs/"+url.PathEscape(program)), nil)
 }
 
-// Operate calls an operator endpoint and decodes its JSON answer into out.
+// Operate calls an operator endpoint with POST, or with GET for any other method, and
+// decodes the JSON response into out.
 func (c *Client) Operate(ctx context.Context, method, path string, out any) error {
 	s := c.base.New().Get(path)
 	if method == http.MethodPost {
@@ -69,19 +70,19 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end, or of no use
+	defer func() { _ = resp.Body.Close() }() // the body was read to its end or is not needed
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return lost(err)
+		return transportError(err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return errorOf(resp.StatusCode, body)
+		return decodeError(resp.StatusCode, body)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return lost(err)
+		return transportError(err)
 	}
 	return nil
 }
@@ -93,27 +94,28 @@
 	}
 	resp, err := c.http.Do(req.WithContext(ctx))
 	if err != nil {
-		return nil, lost(err)
+		return nil, transportError(err)
 	}
 	return resp, nil
 }
 
-// Stream makes one call and gives each event to on until the final one.
-func (c *Client) Stream(ctx context.Context, program string, call Call, on func(event, data string)) (Answer, error) {
+// Stream makes one call with a streamed answer. It passes each event before the final one to
+// onEvent and returns the content of the final one.
+func (c *Client) Stream(ctx context.Context, program string, call Call, onEvent func(event, data string)) (Answer, error) {
 	call.Stream = true
 	resp, err := c.send(ctx, c.base.New().Post("v1/programs/"+url.PathEscape(program)+"/calls").BodyJSON(call))
 	if err != nil {
 		return Answer{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // the final event was read, or the stream is broken
+	defer func() { _ = resp.Body.Close() }() // the final event was read or the stream is broken
 	if resp.StatusCode >= http.StatusBadRequest {
-		body, _ := io.ReadAll(resp.Body) // a short body still has its status
-		return Answer{}, errorOf(resp.StatusCode, body)
+		body, _ := io.ReadAll(resp.Body) // if the body is truncated, the status is still reported
+		return Answer{}, decodeError(resp.StatusCode, body)
 	}
-	return readEvents(resp.Body, on)
+	return readEvents(resp.Body, onEvent)
 }
 
-func readEvents(r io.Reader, on func(event, data string)) (Answer, error) {
+func readEvents(r io.Reader, onEvent func(event, data string)) (Answer, error) {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, maxEventBytes)
 	event := ""
@@ -131,18 +133,18 @@
 		case EventAnswer:
 			var a Answer
 			if err := json.Unmarshal([]byte(data), &a); err != nil {
-				return a, lost(err)
+				return a, transportError(err)
 			}
 			return a, nil
 		case EventError:
-			return Answer{}, errorOf(0, []byte(data))
+			return Answer{}, decodeError(0, []byte(data))
 		}
-		on(event, data)
+		onEvent(event, data)
 	}
-	return Answer{}, failure.Unknown(failure.PeerUnavailable, "the event stream broke off")
+	return Answer{}, failure.Unknown(failure.PeerUnavailable, "event stream ended without a final event")
 }
 
-func lost(err error) error {
+func transportError(err error) error {
 	f := failure.Unknown(failure.PeerUnavailable, "%v", err)
 	if strings.Contains(err.Error(), "connection refused") {
 		f.Ran = failure.RanNo
@@ -150,10 +152,10 @@
 	return f
 }
 
-func errorOf(status int, body []byte) error {
+func decodeError(status int, body []byte) error {
 	var e Error
 	if json.Unmarshal(body, &e) != nil || e.Type == "" {
-		return failure.Unknown(failure.Internal, "status %d", status)
+		return failure.Unknown(failure.Internal, "invalid error body (HTTP status %d)", status)
 	}
 	return e.Failure()
 }
--- a/wire/delta/delta.go
+++ b/wire/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta encodes a version of an object as its difference from an earlier one: a Zstandard
-// frame (RFC 8878) whose dictionary is the earlier version.
+// Package delta encodes a version of an object as its difference from an earlier version: a
+// Zstandard frame (RFC 8878) whose dictionary is the earlier version.
 package delta
 
 import (
@@ -11,17 +11,18 @@
 )
 
 const (
-	// dictionary is the id of the dictionary in a frame, which has only one.
-	dictionary = 1
-	// MaxBytes bounds a version, so that a frame of a few bytes cannot fill the memory.
+	// dictionaryID is the id of the only dictionary of a frame.
+	dictionaryID = 1
+	// MaxBytes bounds the size of a decoded version, so that a frame of a few bytes cannot
+	// exhaust the memory.
 	MaxBytes = 8 << 20
-	// leastWindow is the least that the format allows, in bytes.
-	leastWindow = 1 << 10
+	// minWindowBytes is the smallest window that the format allows.
+	minWindowBytes = 1 << 10
 )
 
-// Make returns the difference that leads from base to next.
+// Make returns the difference from base to next, for use with Apply.
 func Make(base, next []byte) ([]byte, error) {
-	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(dictionary, base), zstd.WithWindowSize(window(len(base)+len(next))),
+	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(dictionaryID, base), zstd.WithWindowSize(windowSize(len(base)+len(next))),
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithZeroFrames(true))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "encoder of differences")
@@ -30,17 +31,19 @@
 	return e.EncodeAll(next, nil), nil
 }
 
-// window is a window that holds n bytes: all of base must be in reach from the end of next.
-func window(n int) int {
-	return min(max(leastWindow, 1<<bits.Len(uint(n))), zstd.MaxWindowSize)
+// windowSize returns a window size of at least n bytes, up to the maximum of the encoder. With
+// n the sum of both sizes, all of base can be referenced from the end of next.
+func windowSize(n int) int {
+	return min(max(minWindowBytes, 1<<bits.Len(uint(n))), zstd.MaxWindowSize)
 }
 
-// Apply returns the version to which a difference from base leads; the failure is Corrupt.
+// Apply returns the version that results from applying difference to base. A damaged
+// difference, or one whose result exceeds MaxBytes, is a failure of kind Corrupt.
 func Apply(base, difference []byte) ([]byte, error) {
 	if len(difference) == 0 {
-		return nil, failure.New(failure.Corrupt, "no difference")
+		return nil, failure.New(failure.Corrupt, "empty difference")
 	}
-	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(dictionary, base), zstd.WithDecoderMaxMemory(MaxBytes),
+	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(dictionaryID, base), zstd.WithDecoderMaxMemory(MaxBytes),
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "decoder of differences")
--- a/wire/delta/delta_test.go
+++ b/wire/delta/delta_test.go
@@ -11,7 +11,7 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-func TestAnyVersionComesBack(t *testing.T) {
+func TestApplyReversesMake(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "base")
 		next := bytes.Clone(base)
@@ -28,7 +28,7 @@
 	})
 }
 
-// document is a text of many entries, of which one has a value of its own.
+// document returns a text of many entries; the entry at index at has a different value.
 func document(entries, at int, value string) []byte {
 	var b bytes.Buffer
 	for i := range entries {
@@ -41,8 +41,8 @@
 	return b.Bytes()
 }
 
-// What a small change costs does not grow with the object.
-func TestASmallChangeIsSmall(t *testing.T) {
+// The size of the difference for a small change must not grow with the object.
+func TestSmallChangeHasSmallDifference(t *testing.T) {
 	for _, entries := range []int{100, 1000, 10000} {
 		base, next := document(entries, -1, ""), document(entries, entries/3, "other")
 		d, err := Make(base, next)
@@ -51,11 +51,11 @@
 	}
 }
 
-func TestDamagedDifferencesAreTold(t *testing.T) {
+func TestDamagedDifferenceIsCorrupt(t *testing.T) {
 	base, next := document(100, -1, ""), document(100, 40, "other")
 	d, err := Make(base, next)
 	require.NoError(t, err)
-	for name, damaged := range map[string][]byte{"empty": nil, "cut": d[:len(d)/2], "foreign": []byte("no frame")} {
+	for name, damaged := range map[string][]byte{"empty": nil, "truncated": d[:len(d)/2], "not a frame": []byte("no frame")} {
 		_, err := Apply(base, damaged)
 		require.True(t, failure.Is(err, failure.Corrupt), "%s: %v", name, err)
 	}
--- a/wire/frame/frame.go
+++ b/wire/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame reads and writes the messages between hosts: a four-byte
-// big-endian length, then a protobuf message.
+// Package frame reads and writes the messages between hosts. A message is a four-byte
+// big-endian length followed by a protobuf message of that length.
 package frame
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// MaxBytes bounds one message. A longer one is refused before it is read.
+// MaxBytes bounds one message. A longer one is rejected before it is read.
 const MaxBytes = 32 << 20
 
 const headerBytes = 4
 
-// The first byte of a stream tells what it carries.
+// The first byte of a stream identifies its content.
 const (
 	// StreamFrames carries peerpb.Frame messages in one direction.
 	StreamFrames byte = 'F'
@@ -24,13 +24,14 @@
 	StreamRequest byte = 'R'
 )
 
-// Write sends one message in a single write.
+// Write sends one message in a single write. The failure is TooLarge for a message of more
+// than MaxBytes, and PeerUnavailable if the write fails.
 func Write(w io.Writer, m proto.Message) error {
 	_, err := WriteCounted(w, m)
 	return err
 }
 
-// WriteCounted is Write that returns the bytes of the frame.
+// WriteCounted is Write that also returns the size of the frame in bytes.
 func WriteCounted(w io.Writer, m proto.Message) (int, error) {
 	buf, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, headerBytes, headerBytes+256), m)
 	if err != nil {
@@ -47,14 +48,15 @@
 	return len(buf), nil
 }
 
-// Read receives one message into m. io.EOF between messages is returned as it
-// is; anything else is a Failure.
+// Read receives one message into m. At the end of the stream between two messages it returns
+// io.EOF itself. Any other error is a Failure: TooLarge for a message of more than MaxBytes,
+// BadRequest for one that cannot be decoded, PeerUnavailable if the read fails.
 func Read(r io.Reader, m proto.Message) error {
 	_, err := ReadCounted(r, m)
 	return err
 }
 
-// ReadCounted is Read that returns the bytes of the frame.
+// ReadCounted is Read that also returns the size of the frame in bytes.
 func ReadCounted(r io.Reader, m proto.Message) (int, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/wire/frame/frame_test.go
+++ b/wire/frame/frame_test.go
@@ -23,16 +23,16 @@
 	assert.Equal(t, io.EOF, Read(&b, out))
 }
 
-func TestBadFrames(t *testing.T) {
+func TestBadFramesAreRejected(t *testing.T) {
 	oversize := binary.BigEndian.AppendUint32(nil, MaxBytes+1)
 	for name, c := range map[string]struct {
 		bytes []byte
 		kind  failure.Kind
 	}{
-		"oversize":    {oversize, failure.TooLarge},
-		"cut header":  {[]byte{0, 0}, failure.PeerUnavailable},
-		"half closed": {[]byte{0, 0, 0, 9, 1, 2}, failure.PeerUnavailable},
-		"not a frame": {[]byte{0, 0, 0, 2, 0xff, 0xff}, failure.BadRequest},
+		"oversize":         {oversize, failure.TooLarge},
+		"truncated header": {[]byte{0, 0}, failure.PeerUnavailable},
+		"truncated body":   {[]byte{0, 0, 0, 9, 1, 2}, failure.PeerUnavailable},
+		"not a message":    {[]byte{0, 0, 0, 2, 0xff, 0xff}, failure.BadRequest},
 	} {
 		err := Read(bytes.NewReader(c.bytes), &peerpb.Frame{})
 		assert.True(t, failure.Is(err, c.kind), "%s: %v", name, err)
--- a/wire/ownheaders/ownheaders.go
+++ b/wire/ownheaders/ownheaders.go
@@ -1,6 +1,6 @@
-// Package ownheaders is pistachioarch's own set of HTTP headers for programs'
-// requests, used where no platform brings another: with the stand-ins, and in
-// tests. Times are in milliseconds.
+// Package ownheaders defines pistachioarch's own set of HTTP headers for requests of
+// programs. It is used where no platform defines another set: with the stand-ins, and
+// in tests. Times are in milliseconds, except in RetryAfter.
 package ownheaders
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-// The names.
+// The header names.
 const (
 	ID         = "Pistachio-Request"
 	Program    = "Pistachio-Program"
@@ -30,28 +30,28 @@
 	Customer   = "Pistachio-Customer"
 )
 
-// Headers translates between the names and the terms of core/request.
+// Headers translates between the headers and the types of package request.
 type Headers struct{}
 
-// Call decodes a caller's request. The failure is of kind BadRequest.
+// Call decodes the headers of a caller's request. The failure is of kind BadRequest.
 func (Headers) Call(h http.Header) (request.Call, error) {
 	c := request.Call{ID: h.Get(ID), Program: h.Get(Program), Previous: h.Get(Previous), LastEvent: h.Get(LastEvent), Key: h.Get(Key)}
 	if c.ID == "" {
-		return c, failure.New(failure.BadRequest, "no %s", ID)
+		return c, failure.New(failure.BadRequest, "header %s is missing", ID)
 	}
-	left := int64(0)
-	for name, to := range map[string]*int64{Timeout: &left, Budget: &c.Budget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
+	timeoutMS := int64(0)
+	for name, to := range map[string]*int64{Timeout: &timeoutMS, Budget: &c.Budget, MaxTokens: &c.MaxTokens, Prompt: &c.PromptTokens} {
 		v := h.Get(name)
 		if v == "" {
 			continue
 		}
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 {
-			return c, failure.New(failure.BadRequest, "%s is %q", name, v)
+			return c, failure.New(failure.BadRequest, "header %s has the invalid value %q", name, v)
 		}
 		*to = n
 	}
-	c.Left = time.Duration(left) * time.Millisecond
+	c.Left = time.Duration(timeoutMS) * time.Millisecond
 	return c, nil
 }
 
@@ -73,7 +73,7 @@
 	return out
 }
 
-// Answer decodes the head of a target's answer.
+// Answer decodes the status and headers of a target's answer.
 func (Headers) Answer(status int, h http.Header) request.Answer {
 	return request.Answer{
 		ID: h.Get(ID), Signed: h.Get(Signature) != "", NotRun: h.Get(NotRun) != "",
@@ -81,12 +81,12 @@
 	}
 }
 
-// RetryAfter tells a caller when to come back, in seconds with fractions.
+// RetryAfter sets the delay after which the caller may retry, in seconds with three decimals.
 func (Headers) RetryAfter(h http.Header, d time.Duration) {
 	h.Set(RetryAfter, strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-// Echo names the request in an answer of the system's own.
+// Echo sets the id of the request in an answer that the system itself gives.
 func (Headers) Echo(h http.Header, id string) {
 	if id != "" {
 		h.Set(ID, id)
--- a/wire/platform/platform.go
+++ b/wire/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is the client of the platform's object API.
+// Package platform implements the client for the platform's object API.
 //
 // The protocol (HTTP/JSON):
 //
@@ -6,7 +6,7 @@
 //	PUT    /v1/objects/KEY  If-Match: "v" or If-None-Match: *   ETag; 412
 //	DELETE /v1/objects/KEY
 //	GET    /v1/list?prefix=P&bodies=1         List
-//	GET    /v1/watch?prefix=P&since=R         List, after a change or a time-out
+//	GET    /v1/watch?prefix=P&since=R         List, after a change or a timeout
 package platform
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/pistachioarch/pistachioarch/core/host"
 )
 
-// MaxObjectBytes bounds one object.
+// MaxObjectBytes bounds the size of an object.
 const MaxObjectBytes = 1 << 20
 
 // Object is an element of a List. Body is base64 in JSON.
@@ -36,21 +36,22 @@
 	Body    []byte `json:"body,omitempty"`
 }
 
-// List is the answer to a list or a watch. Revision is where a watch goes on.
+// List is the response to a list or a watch. The next watch starts from Revision.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// Client carries out the platform operations of package host.
+// Client executes the platform operations of package host.
 type Client struct {
 	base *sling.Sling
 	http *http.Client
-	// Timeout bounds one operation; a watch may wait for WatchTimeout.
+	// Timeout bounds an operation other than a watch, WatchTimeout a watch.
 	Timeout, WatchTimeout time.Duration
 }
 
-// New returns a client of the platform at base that shows the bearer token.
+// New returns a client of the platform at base (http://address) that authenticates with the
+// bearer token unless that is empty.
 func New(h *http.Client, base, token string) *Client {
 	s := sling.New().Base(strings.TrimSuffix(base, "/") + "/")
 	if token != "" {
@@ -65,8 +66,8 @@
 	Since  uint64 `url:"since,omitempty"`
 }
 
-// Do carries out one operation. It always returns a reply: an operation whose
-// outcome is not known has the status OpLost.
+// Do executes one operation. It always returns a reply; the status is OpLost if the outcome
+// of the operation is unknown.
 func (c *Client) Do(ctx context.Context, op host.PlatformOp) *host.PlatformReply {
 	timeout := c.Timeout
 	if op.Kind == host.OpWatch {
@@ -75,17 +76,17 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply := &host.PlatformReply{ID: op.ID}
-	req, err := c.request(op)
+	req, err := c.newRequest(op)
 	if err != nil {
 		reply.Status = host.OpUnavailable
 		return reply
 	}
 	resp, err := c.http.Do(req.WithContext(ctx))
 	if err != nil {
-		reply.Status = statusOf(err)
+		reply.Status = statusOfError(err)
 		return reply
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end below
+	defer func() { _ = resp.Body.Close() }() // the body is read to its end below
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 64<<20))
 	if err != nil {
 		reply.Status = host.OpLost
@@ -95,7 +96,7 @@
 	return reply
 }
 
-func (c *Client) request(op host.PlatformOp) (*http.Request, error) {
+func (c *Client) newRequest(op host.PlatformOp) (*http.Request, error) {
 	path := "v1/objects/" + op.Key
 	switch op.Kind {
 	case host.OpGet:
@@ -118,9 +119,9 @@
 	return c.base.New().Get("v1/list").QueryStruct(q).Request()
 }
 
-// statusOf tells an operation that surely did not reach the platform from one
-// that may have.
-func statusOf(err error) host.OpStatus {
+// statusOfError returns OpUnavailable for an operation that cannot have reached the platform,
+// and OpLost for one that may have.
+func statusOfError(err error) host.OpStatus {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return host.OpUnavailable
--- a/wire/target/target.go
+++ b/wire/target/target.go
@@ -1,15 +1,16 @@
-// Package target is the client of model engines and plain services.
+// Package target implements the client for model engines and plain services.
 //
-// An engine speaks OpenAI-style streaming chat completions, and takes orders:
+// An engine offers OpenAI-style streaming chat completions and endpoints for its load and
+// its cache:
 //
 //	POST   /v1/chat/completions   Completion; answers with SSE
 //	GET    /v1/load               Load
 //	GET    /v1/cache              Cache
 //	DELETE /v1/cache/PROGRAM      releases the program's KV cache
 //
-// Every request carries the call id and, as fencing token, slot and epoch. An
-// engine that checks fencing refuses an older epoch of the slot with 412.
-// 429, 412 and a 503 with NotStartedHeader prove that a call did not start.
+// Every call carries the call id and a fencing token of slot and epoch. An engine that
+// checks fencing tokens rejects an older epoch of the slot with 412. The statuses 429, 412
+// and, with NotStartedHeader, 503 prove that a call did not start.
 package target
 
 import (
@@ -33,18 +34,20 @@
 	"github.com/pistachioarch/pistachioarch/wire/api"
 )
 
-// Headers of a request to a target.
+// Headers of requests to targets and of their answers.
 const (
 	CallHeader         = "X-Call-Id"
 	FencingTokenHeader = "X-Fencing-Token" // "<slot>:<epoch>"
 	NotStartedHeader   = "X-Not-Started"
 )
 
-// maxAnswerBytes bounds an answer, maxLineBytes a line of its stream.
 const (
-	maxAnswerBytes = 256 << 10 // so that its record fits into an object of the platform
-	maxStreamBytes = 8 << 20   // of an answer with its framing, and of a report
-	maxLineBytes   = 1 << 20
+	// maxAnswerBytes bounds an answer, so that its record fits into an object of the platform.
+	maxAnswerBytes = 256 << 10
+	// maxStreamBytes bounds the event stream of an answer, framing included, and a report.
+	maxStreamBytes = 8 << 20
+	// maxLineBytes bounds one line of an event stream.
+	maxLineBytes = 1 << 20
 )
 
 // Completion is the body of a chat completion request.
@@ -52,21 +55,21 @@
 	Messages  []api.Message `json:"messages"`
 	MaxTokens int64         `json:"max_tokens"`
 	Stream    bool          `json:"stream"`
-	// Priority orders what waits inside the engine, higher first.
+	// Priority orders the requests that wait inside the engine, higher values first.
 	Priority int64 `json:"priority"`
-	// Program names the owner of the KV cache.
+	// Program is the program that owns the KV cache.
 	Program string `json:"program"`
 }
 
-// CompletionChunk is the data of one event of the answer. The last one before
-// [DONE] has Usage.
+// CompletionChunk is the data of one event of the answer. The last chunk before DoneMarker
+// has Usage.
 type CompletionChunk struct {
 	ID      string            `json:"id"`
 	Choices []CompletionDelta `json:"choices"`
 	Usage   *CompletionUsage  `json:"usage,omitempty"`
 }
 
-// CompletionDelta is a piece of the answer.
+// CompletionDelta is an increment of the answer.
 type CompletionDelta struct {
 	Delta        api.Message `json:"delta"`
 	FinishReason string      `json:"finish_reason,omitempty"`
@@ -79,31 +82,32 @@
 	CachedTokens     int64 `json:"cached_tokens"`
 }
 
-// Load is an engine's report of its load, which lags.
+// Load is the load report of an engine. It lags behind the actual load.
 type Load struct {
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 }
 
-// Cache lists the programs whose cache an engine keeps.
+// Cache lists the programs whose KV cache an engine holds.
 type Cache struct {
 	Programs []string `json:"programs"`
 }
 
-// DoneMarker is the last data line of a stream.
+// DoneMarker is the content of the last data line of an event stream.
 const DoneMarker = "[DONE]"
 
-// Client talks to targets.
+// Client sends requests to targets.
 type Client struct{ http *http.Client }
 
-// New returns a client.
+// New returns a client that uses h.
 func New(h *http.Client) *Client { return &Client{http: h} }
 
-// Call carries out one attempt. onChunk gets the text of an engine's answer as
-// it comes. The context's end makes the outcome TargetBroken.
+// Call makes one attempt at a call and returns its outcome. The text of an engine's answer is
+// passed to onChunk as it arrives. If the context ends after the target was dialled, the
+// outcome is TargetBroken.
 func (c *Client) Call(ctx context.Context, s *host.Send, onChunk func(string)) *host.TargetDone {
 	done := &host.TargetDone{Call: s.Call, Target: s.Target.Name}
-	req, err := request(s)
+	req, err := newRequest(s)
 	if err != nil {
 		done.Outcome, done.Detail = host.TargetInvalid, failure.From(err).Error()
 		return done
@@ -112,12 +116,12 @@
 	req.Header.Set(FencingTokenHeader, FencingToken(s.Slot, s.Epoch))
 	resp, err := c.http.Do(req.WithContext(ctx))
 	if err != nil {
-		done.Outcome, done.Detail = outcomeOf(err), err.Error()
+		done.Outcome, done.Detail = outcomeOfError(err), err.Error()
 		return done
 	}
-	defer func() { _ = resp.Body.Close() }() // what is left of a broken answer is of no use
+	defer func() { _ = resp.Body.Close() }() // the rest of a broken answer is not needed
 	if resp.StatusCode != http.StatusOK {
-		refusal(resp, done)
+		readRefusal(resp, done)
 		return done
 	}
 	if s.Kind == decl.Engine {
@@ -126,7 +130,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
-		err = failure.New(failure.TooLarge, "an answer has at most %d bytes", maxAnswerBytes)
+		err = failure.New(failure.TooLarge, "answer is longer than %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
 		done.Outcome, done.Detail = host.TargetBroken, err.Error()
@@ -136,10 +140,10 @@
 	return done
 }
 
-// FencingToken is the fencing token of a slot's epoch.
+// FencingToken returns the fencing token of an epoch of a slot, "<slot>:<epoch>".
 func FencingToken(slot ident.Slot, epoch uint64) string { return slot.String() + ":" + api.Itoa(epoch) }
 
-func request(s *host.Send) (*http.Request, error) {
+func newRequest(s *host.Send) (*http.Request, error) {
 	base := sling.New().Base(strings.TrimSuffix(s.Target.URL, "/") + "/")
 	if s.Kind == decl.Plain {
 		req, err := base.Post("").Body(bytes.NewReader(s.Prompt)).Set("Content-Type", "application/json").Request()
@@ -155,33 +159,34 @@
 	return req, failure.Wrap(err, failure.BadRequest, "request")
 }
 
-// conversation is the program's history at this service and the new messages.
+// conversation returns the program's earlier messages and answers at this service, followed
+// by the new messages.
 func conversation(s *host.Send) ([]api.Message, error) {
-	var all []api.Message
+	var messages []api.Message
 	for _, t := range s.History {
 		if t.Service != s.Target.Service {
 			continue
 		}
-		if err := appendMessages(&all, t.Prompt); err != nil {
+		if err := appendMessages(&messages, t.Prompt); err != nil {
 			return nil, err
 		}
-		all = append(all, api.Message{Role: "assistant", Content: string(t.Answer)})
+		messages = append(messages, api.Message{Role: "assistant", Content: string(t.Answer)})
 	}
-	return all, appendMessages(&all, s.Prompt)
+	return messages, appendMessages(&messages, s.Prompt)
 }
 
-func appendMessages(all *[]api.Message, raw []byte) error {
-	var some []api.Message
-	if err := json.Unmarshal(raw, &some); err != nil {
+func appendMessages(messages *[]api.Message, raw []byte) error {
+	var added []api.Message
+	if err := json.Unmarshal(raw, &added); err != nil {
 		return failure.Wrap(err, failure.BadRequest, "messages")
 	}
-	*all = append(*all, some...)
+	*messages = append(*messages, added...)
 	return nil
 }
 
-// outcomeOf tells a request that surely did not reach the target from one that
-// may have run.
-func outcomeOf(err error) host.TargetOutcome {
+// outcomeOfError returns TargetRefused for a request that cannot have reached the target, and
+// TargetBroken for one that may have run.
+func outcomeOfError(err error) host.TargetOutcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return host.TargetRefused
@@ -189,8 +194,8 @@
 	return host.TargetBroken
 }
 
-func refusal(resp *http.Response, done *host.TargetDone) {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // for the detail only
+func readRefusal(resp *http.Response, done *host.TargetDone) {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // used for the detail only
 	done.Detail = resp.Status + " " + strings.TrimSpace(string(text))
 	switch code := resp.StatusCode; {
 	case code == http.StatusPreconditionFailed:
@@ -204,20 +209,20 @@
 	}
 }
 
-// readCompletion reads the event stream. An answer is whole only if its last
-// chunk with the usage and the end mark came.
+// readCompletion reads the event stream of an answer into done. The answer is complete only
+// if the last chunk, which has the usage, and DoneMarker were received.
 func readCompletion(r io.Reader, done *host.TargetDone, onChunk func(string)) {
 	scan := bufio.NewScanner(io.LimitReader(r, maxStreamBytes))
 	scan.Buffer(nil, maxLineBytes)
 	var text strings.Builder
-	whole := false
+	hasUsage := false
 	for scan.Scan() {
 		data, ok := strings.CutPrefix(scan.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == DoneMarker {
-			if whole {
+			if hasUsage {
 				done.Answer = []byte(text.String())
 				return
 			}
@@ -230,7 +235,7 @@
 		done.Echo = chunk.ID
 		for _, d := range chunk.Choices {
 			if text.Len()+len(d.Delta.Content) > maxAnswerBytes {
-				done.Outcome, done.Detail = host.TargetBroken, "the answer is too large"
+				done.Outcome, done.Detail = host.TargetBroken, "answer is too long"
 				return
 			}
 			if d.Delta.Content != "" {
@@ -239,14 +244,15 @@
 			}
 		}
 		if u := chunk.Usage; u != nil {
-			whole = true
+			hasUsage = true
 			done.Usage = host.Usage{Prompt: u.PromptTokens, Output: u.CompletionTokens, Cached: u.CachedTokens}
 		}
 	}
-	done.Outcome, done.Detail = host.TargetBroken, "the answer broke off"
+	done.Outcome, done.Detail = host.TargetBroken, "answer stream ended early or could not be decoded"
 }
 
-// Release orders a target to drop a program's cache.
+// Release asks a target to release the KV cache of a program. OK of the result is false if
+// the request failed.
 func (c *Client) Release(ctx context.Context, r *host.Release) *host.ReleaseDone {
 	done := &host.ReleaseDone{Target: r.Target.Name, Program: r.Program}
 	s := sling.New().Base(strings.TrimSuffix(r.Target.URL, "/")+"/").Delete("v1/cache/"+url.PathEscape(string(r.Program))).
@@ -260,12 +266,13 @@
 		return done
 	}
 	_ = resp.Body.Close() // only the status matters
-	// A plain service has no cache, and says 404 or 405.
+	// A plain service has no cache and answers 404 or 405.
 	done.OK = resp.StatusCode < http.StatusMultipleChoices || resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusMethodNotAllowed
 	return done
 }
 
-// Get reads a JSON report of a target into out.
+// Get reads a JSON report of a target, such as Load or Cache, into out. The failure is of kind
+// TargetFailed, or BadRequest for an invalid address.
 func (c *Client) Get(ctx context.Context, t *decl.Target, path string, out any) error {
 	req, err := sling.New().Base(strings.TrimSuffix(t.URL, "/") + "/").Get(path).Request()
 	if err != nil {
@@ -275,7 +282,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.TargetFailed, "report of %s", t.Name)
 	}
-	defer func() { _ = resp.Body.Close() }() // decoded, or of no use
+	defer func() { _ = resp.Body.Close() }() // the body was decoded or is not needed
 	if resp.StatusCode != http.StatusOK {
 		return failure.New(failure.TargetFailed, "report of %s: %s", t.Name, resp.Status)
 	}
--- a/wire/targetpool/bytecounter.go
+++ b/wire/targetpool/bytecounter.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// ByteCounter counts what goes to targets and comes from them. Safe for concurrent use; a nil
-// *ByteCounter counts nothing.
+// ByteCounter counts the bytes sent to and received from targets. Safe for concurrent use.
+// Request.Bytes may be nil, which counts nothing.
 type ByteCounter struct {
 	sent, received atomic.Int64
 }
 
-// Sent is the bytes that went out.
+// Sent returns the number of bytes sent.
 func (b *ByteCounter) Sent() int64 { return b.sent.Load() }
 
-// Received is the bytes that came in.
+// Received returns the number of bytes received.
 func (b *ByteCounter) Received() int64 { return b.received.Load() }
 
-// Read implements net.Conn; it counts for the exchange under way.
+// Read implements net.Conn. It adds the bytes to the counter of the current exchange.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if b := c.bytes; b != nil {
@@ -23,7 +23,7 @@
 	return n, err
 }
 
-// Write implements net.Conn; it counts for the exchange under way.
+// Write implements net.Conn. It adds the bytes to the counter of the current exchange.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if b := c.bytes; b != nil {
--- a/wire/targetpool/bytecounter_test.go
+++ b/wire/targetpool/bytecounter_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A kept connection counts for the request that it carries, not for the one before.
-func TestBytesCountForTheRequestUnderWay(t *testing.T) {
+// The bytes on a reused connection must be added to the counter of the current request, not
+// to that of the previous one.
+func TestBytesAreCountedForTheCurrentRequest(t *testing.T) {
 	s := serve(t, answer("1", "one"), answer("2", "three"))
 	p := New(&net.Dialer{})
 	defer p.Close()
--- a/wire/targetpool/context_test.go
+++ b/wire/targetpool/context_test.go
@@ -10,8 +10,9 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// A request whose caller has left before it is sent reaches no target, and says so.
-func TestEndedContextSendsNothing(t *testing.T) {
+// A request whose context has ended before it is sent must reach no target, and the failure
+// must say that it did not run.
+func TestRequestWithEndedContextIsNotSent(t *testing.T) {
 	for range 20 {
 		s := serve(t, answer("1", "one"), answer("2", "two"))
 		p := New(&net.Dialer{})
--- a/wire/targetpool/exchange.go
+++ b/wire/targetpool/exchange.go
@@ -17,21 +17,22 @@
 type Request struct {
 	Address string
 	Method  string
-	// URI is the request target as the caller sent it.
+	// URI is the request URI exactly as the caller sent it.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is what the answer must echo, where it echoes anything.
+	// ID is the id that the answer must echo if it echoes one.
 	ID string
-	// MaxIdle bounds the idle time of a connection that may be reused; a request
-	// that must not be repeated takes a fresher one.
+	// MaxIdle bounds the idle time of a reused connection. Requests that must not be
+	// repeated set a smaller value.
 	MaxIdle time.Duration
-	// Bytes counts what the request and its answer take; it may be nil.
+	// Bytes counts the bytes of the request and its answer; it may be nil.
 	Bytes *ByteCounter
 }
 
-// Response is the answer of a target. Body must be read to its end or closed.
+// Response is the answer of a target. Body must be read to its end or closed, else the
+// connection is not released.
 type Response struct {
 	Status int
 	Header http.Header
@@ -40,34 +41,35 @@
 }
 
 const (
-	// inlineBody is the largest body that is written together with the head. A
-	// larger one is written while the answer is awaited: a target may answer before
-	// it has read all.
-	inlineBody = 8 << 10
-	// maxStray bounds the late answers that are skipped on one connection.
-	maxStray = 3
-	// maxStrayBody bounds the body of a late answer that is skipped.
-	maxStrayBody = 64 << 10
+	// maxInlineBodyBytes is the largest body that is written together with the head. A
+	// larger one is written while the client waits for the answer, as a target may answer
+	// before it has read the whole body.
+	maxInlineBodyBytes = 8 << 10
+	// maxSkippedAnswers bounds the late answers and informational responses that are skipped
+	// for one request.
+	maxSkippedAnswers = 3
+	// maxSkippedBodyBytes bounds the body of a late answer to be skipped.
+	maxSkippedBodyBytes = 64 << 10
 )
 
-// Do sends the request and returns the head of its answer. The error is a
-// Failure: RanNo if no byte was handed over, RanUnknown otherwise. The
+// Do sends the request and returns the head of its answer. The error is a Failure with
+// RanNo if no byte was passed to the connection, and with RanUnknown otherwise. The
 // connection is closed when the context ends.
 func (p *Pool) Do(ctx context.Context, r *Request, decode Decode) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, contextError(ctx, failure.Wrap(err, failure.CallerGone, "request to %s", r.Address))
 	}
-	c := p.take(r.Address, r.MaxIdle)
-	kept := c != nil
-	if !kept {
+	c := p.takeIdle(r.Address, r.MaxIdle)
+	reused := c != nil
+	if !reused {
 		var err error
 		if c, err = p.dial(ctx, r.Address); err != nil {
 			return nil, err
 		}
 	}
 	c.bytes = r.Bytes
-	x := &exchange{pool: p, conn: c, sent: make(chan struct{})}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	x := &exchange{pool: p, conn: c, sendDone: make(chan struct{})}
+	x.stopWatching = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := x.send(r); err != nil {
 		x.abort()
 		return nil, contextError(ctx, err)
@@ -75,9 +77,10 @@
 	resp, err := x.receive(r, decode)
 	if err != nil {
 		x.abort()
-		if kept && ctx.Err() == nil {
-			// The target's process may have ended without a word on its idle connections: a
-			// request on the next of them may have run, one whose dial is refused has not.
+		if reused && ctx.Err() == nil {
+			// The target's process may have ended without closing its idle connections. A
+			// request on another of them would be reported as possibly run, whereas one
+			// whose dial is refused certainly did not run.
 			p.CloseIdle(r.Address)
 		}
 		return nil, contextError(ctx, err)
@@ -85,8 +88,9 @@
 	return resp, nil
 }
 
-// contextError names the end of the context as the cause, where it is one: the
-// cause's own kind if it is a Failure.
+// contextError returns err with the kind that describes why the context ended: that of the
+// cause if it is a Failure, else Timeout or CallerGone. It returns err unchanged if the
+// context has not ended.
 func contextError(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
@@ -104,19 +108,21 @@
 	return &f
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its answer on one connection.
 type exchange struct {
 	pool *Pool
 	conn *conn
-	stop func() bool
-	// sent is closed when the whole request was written; complete says so without
-	// an error.
-	sent     chan struct{}
-	complete bool
+	// stopWatching ends the watch of the context; it returns false if the context has ended
+	// before.
+	stopWatching func() bool
+	// sendDone is closed when writing has ended; sentInFull is set before if the whole
+	// request was written without an error.
+	sendDone   chan struct{}
+	sentInFull bool
 }
 
 func (x *exchange) abort() {
-	x.stop()
+	x.stopWatching()
 	_ = x.conn.Close()
 }
 
@@ -130,7 +136,7 @@
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(r.Body))
 	}
 	head.WriteString("\r\n")
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBodyBytes {
 		head.Write(r.Body)
 	}
 	n, err := x.conn.Write(head.Bytes())
@@ -138,64 +144,64 @@
 		return failure.Wrap(err, failure.TargetFailed, "write to %s", r.Address)
 	}
 	if err != nil {
-		return unknown(err, "write to %s", r.Address)
+		return unknownOutcome(err, "write to %s", r.Address)
 	}
-	if len(r.Body) <= inlineBody {
-		x.complete = true
-		close(x.sent)
+	if len(r.Body) <= maxInlineBodyBytes {
+		x.sentInFull = true
+		close(x.sendDone)
 		return nil
 	}
 	go func() {
-		defer close(x.sent)
+		defer close(x.sendDone)
 		_, err := x.conn.Write(r.Body)
-		x.complete = err == nil
+		x.sentInFull = err == nil
 	}()
 	return nil
 }
 
-func unknown(err error, format string, args ...any) error {
+func unknownOutcome(err error, format string, args ...any) error {
 	return failure.Unknown(failure.TargetFailed, "%s: %v", fmt.Sprintf(format, args...), err)
 }
 
-// receive reads the head of the answer to r, skipping late answers to others.
+// receive reads the head of the answer to r, skipping late answers to other requests.
 func (x *exchange) receive(r *Request, decode Decode) (*Response, error) {
-	for range maxStray {
+	for range maxSkippedAnswers {
 		resp, err := http.ReadResponse(x.conn.in, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, unknown(err, "answer of %s", r.Address)
+			return nil, unknownOutcome(err, "answer of %s", r.Address)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		answer := decode(resp.StatusCode, resp.Header)
 		if answer.ID != "" && answer.ID != r.ID {
-			if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBody)); err != nil {
-				return nil, unknown(err, "late answer of %s", r.Address)
+			if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBodyBytes)); err != nil {
+				return nil, unknownOutcome(err, "late answer of %s", r.Address)
 			}
 			continue
 		}
 		if answer.IdleFor > 0 {
-			x.conn.keep = max(0, answer.IdleFor-idleMargin)
+			x.conn.idleTimeout = max(0, answer.IdleFor-idleMargin)
 		}
 		return &Response{
 			Status: resp.StatusCode, Header: resp.Header, Answer: answer,
-			Body: &body{x: x, from: resp.Body, last: resp.Close},
+			Body: &body{x: x, source: resp.Body, closeAfter: resp.Close},
 		}, nil
 	}
 	return nil, failure.Unknown(failure.BadAnswer, "only answers to other requests from %s", r.Address)
 }
 
-// body is the body of an answer; its end returns the connection to the pool.
+// body is the body of an answer. Reading it to its end returns the connection to the pool.
 type body struct {
-	x     *exchange
-	from  io.ReadCloser
-	last  bool // the target closes the connection after this answer
-	ended bool
+	x          *exchange
+	source     io.ReadCloser
+	closeAfter bool // whether the target closes the connection after this answer
+	ended      bool
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+	n, err := b.source.Read(p)
 	if err == io.EOF {
 		b.finish()
 	}
@@ -207,22 +213,21 @@
 		return
 	}
 	b.ended = true
-	alive := b.x.stop()
+	reusable := b.x.stopWatching()
 	select {
-	case <-b.x.sent:
+	case <-b.x.sendDone:
 	default:
-		alive = false
+		reusable = false
 	}
-	if !alive || b.last || !b.x.complete || b.x.conn.in.Buffered() > 0 {
+	if !reusable || b.closeAfter || !b.x.sentInFull || b.x.conn.in.Buffered() > 0 {
 		_ = b.x.conn.Close()
 		return
 	}
-	b.x.conn.used = time.Now()
+	b.x.conn.lastUsed = time.Now()
 	b.x.pool.put(b.x.conn)
 }
 
-// Close ends the exchange; an answer that was not read to its end costs the
-// connection.
+// Close ends the exchange. If the answer was not read to its end, the connection is closed.
 func (b *body) Close() error {
 	if b.ended {
 		return nil
--- a/wire/targetpool/pool.go
+++ b/wire/targetpool/pool.go
@@ -1,14 +1,13 @@
-// Package targetpool sends requests to targets over kept HTTP/1.1 connections.
+// Package targetpool sends requests to targets over pooled HTTP/1.1 connections.
 //
-// net/http parses; the connections are kept here because what a broken one means
-// decides whether a request may be sent again:
+// Parsing is done by net/http. This package manages the connections itself because the
+// way in which a connection breaks decides whether a request may be sent again:
 //
-//   - a failure before any byte was handed to the connection did not run;
-//   - anything later may have run, and is never repeated by this package;
-//   - an answer is matched by the id that it echoes: a late answer to an earlier
-//     request is read and thrown away;
-//   - a connection with bytes left over, or whose request was not fully sent, is
-//     closed.
+//   - a request that failed before any byte was passed to the connection did not run;
+//   - a request that failed later may have run, and this package never repeats it;
+//   - an answer is matched to its request by the id that it echoes: a late answer to an
+//     earlier request is read and discarded;
+//   - a connection with unread bytes, or whose request was not sent in full, is closed.
 package targetpool
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-// Dialer opens connections; *net.Dialer is one.
+// Dialer opens connections; *net.Dialer implements it.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -30,22 +29,22 @@
 const (
 	// maxIdlePerTarget bounds the idle connections to one target.
 	maxIdlePerTarget = 8
-	// reapEvery is how often idle connections past their time are closed.
-	reapEvery = time.Second
-	// idleMargin is kept before the end of a target's idle time, so that the target
-	// does not close the connection while a request is on its way.
+	// reapInterval is the interval at which expired idle connections are closed.
+	reapInterval = time.Second
+	// idleMargin is subtracted from a target's idle timeout, so that the target does not
+	// close the connection while a request is on its way.
 	idleMargin = time.Second
-	// idleDefault is assumed where a target does not say how long it keeps an idle
-	// connection.
-	idleDefault = 500 * time.Millisecond
-	// readBuffer holds a head and a plain answer.
-	readBuffer = 4 << 10
+	// defaultIdleTimeout is assumed for targets that do not announce how long they keep idle
+	// connections.
+	defaultIdleTimeout = 500 * time.Millisecond
+	// readBufferBytes is large enough for the head and body of a plain (not streamed) answer.
+	readBufferBytes = 4 << 10
 )
 
-// Decode reads what a target's answer says about itself.
+// Decode decodes the status and headers of a target's answer.
 type Decode func(status int, header map[string][]string) request.Answer
 
-// Pool keeps idle connections by address. Safe for concurrent use.
+// Pool holds idle connections by address. Safe for concurrent use.
 type Pool struct {
 	dialer Dialer
 	mu     sync.Mutex
@@ -60,23 +59,23 @@
 // conn is a connection that serves one request at a time.
 type conn struct {
 	net.Conn
-	address string
-	in      *bufio.Reader
-	bytes   *ByteCounter  // counts for the exchange under way
-	used    time.Time     // when the last answer was complete
-	keep    time.Duration // how long it may be idle
+	address     string
+	in          *bufio.Reader
+	bytes       *ByteCounter  // counts the bytes of the current exchange; may be nil
+	lastUsed    time.Time     // when the last answer was complete
+	idleTimeout time.Duration // how long the connection may be idle
 }
 
-// take returns an idle connection that was used within maxIdle and still lives,
-// or nil.
-func (p *Pool) take(address string, maxIdle time.Duration) *conn {
+// takeIdle removes and returns an idle connection that was used within maxIdle and is still
+// open, or returns nil.
+func (p *Pool) takeIdle(address string, maxIdle time.Duration) *conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		age := time.Since(c.used)
-		if age < min(c.keep, maxIdle) && quiet(c) {
+		idleFor := time.Since(c.lastUsed)
+		if idleFor < min(c.idleTimeout, maxIdle) && usable(c) {
 			return c
 		}
 		_ = c.Close()
@@ -106,18 +105,18 @@
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
-	raw, err := p.dialer.DialContext(ctx, "tcp", address)
+	tcp, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.TargetFailed, "dial %s", address)
 	}
-	c := &conn{Conn: raw, address: address, keep: idleDefault}
-	c.in = bufio.NewReaderSize(c, readBuffer)
+	c := &conn{Conn: tcp, address: address, idleTimeout: defaultIdleTimeout}
+	c.in = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
 
-// Reap closes idle connections past their time until the context ends.
+// Reap closes expired idle connections once per second until the context ends.
 func (p *Pool) Reap(ctx context.Context) {
-	tick := time.NewTicker(reapEvery)
+	tick := time.NewTicker(reapInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -129,7 +128,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address at which another target listens now.
+// CloseIdle closes the idle connections to an address, for example because another target
+// listens there now.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +139,7 @@
 	delete(p.idle, address)
 }
 
-// Close closes the idle connections.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +157,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.used) < c.keep {
+			if time.Since(c.lastUsed) < c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
--- a/wire/targetpool/targetpool_test.go
+++ b/wire/targetpool/targetpool_test.go
@@ -18,20 +18,20 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-// script answers the requests of one connection in turn: the n-th request gets
-// answers[n] as raw bytes; an empty one closes the connection unanswered.
-type script struct {
+// scriptedTarget answers the n-th request of each connection with the raw bytes answers[n]
+// of serve. An empty answer closes the connection.
+type scriptedTarget struct {
 	t        *testing.T
 	listener net.Listener
 	mu       sync.Mutex
-	bodies   []string
+	requests []string
 	conns    int
 }
 
-func serve(t *testing.T, answers ...string) *script {
+func serve(t *testing.T, answers ...string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{t: t, listener: l}
+	s := &scriptedTarget{t: t, listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -48,7 +48,7 @@
 	return s
 }
 
-func (s *script) answer(c net.Conn, answers []string) {
+func (s *scriptedTarget) answer(c net.Conn, answers []string) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for _, a := range answers {
@@ -61,7 +61,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.bodies = append(s.bodies, req.Method+" "+req.RequestURI+" "+string(body))
+		s.requests = append(s.requests, req.Method+" "+req.RequestURI+" "+string(body))
 		s.mu.Unlock()
 		if a == "" {
 			return
@@ -70,17 +70,17 @@
 			return
 		}
 	}
-	// Until the client leaves.
+	// Keep the connection open until the client closes it.
 	_, _ = io.Copy(io.Discard, in)
 }
 
-func (s *script) opened() int {
+func (s *scriptedTarget) opened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
 }
 
-func (s *script) request(id string) *Request {
+func (s *scriptedTarget) request(id string) *Request {
 	return &Request{
 		Address: s.listener.Addr().String(), Method: "POST", URI: "/a%2Fb?q=1", Host: "example",
 		Header: http.Header{"Id": {id}}, Body: []byte("hello"), ID: id, MaxIdle: time.Minute,
@@ -96,10 +96,10 @@
 }
 
 func answer(id, body string) string {
-	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + lengthOf(body) + "\r\n\r\n" + body
+	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + contentLength(body) + "\r\n\r\n" + body
 }
 
-func lengthOf(body string) string { return string(rune('0' + len(body))) }
+func contentLength(body string) string { return string(rune('0' + len(body))) }
 
 func roundTrip(t *testing.T, p *Pool, r *Request) (string, error) {
 	t.Helper()
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "two", got)
 	require.Equal(t, 1, s.opened())
-	require.Equal(t, []string{"POST /a%2Fb?q=1 hello", "POST /a%2Fb?q=1 hello"}, s.bodies)
+	require.Equal(t, []string{"POST /a%2Fb?q=1 hello", "POST /a%2Fb?q=1 hello"}, s.requests)
 }
 
 func TestLateAnswerToAnotherRequestIsSkipped(t *testing.T) {
@@ -137,7 +137,8 @@
 	require.Equal(t, "two", got)
 }
 
-func TestBytesAfterAnAnswerCostTheConnection(t *testing.T) {
+// A connection with unread bytes after an answer must not be reused.
+func TestExtraBytesAfterAnswerCloseConnection(t *testing.T) {
 	s := serve(t, answer("1", "one")+answer("1", "one"), answer("2", "two"))
 	p := New(&net.Dialer{})
 	_, err := roundTrip(t, p, s.request("1"))
@@ -145,11 +146,12 @@
 	require.Empty(t, p.idle[s.listener.Addr().String()])
 }
 
-func TestWhatMayHaveRunIsSaidToBeUnknown(t *testing.T) {
+// A request that was sent and got no valid answer must be reported as possibly run.
+func TestRequestWithoutValidAnswerIsRanUnknown(t *testing.T) {
 	cases := map[string]string{
 		"closed without an answer": "",
 		"not an answer":            "garbage\r\n\r\n",
-		"cut head":                 "HTTP/1.1 200 OK\r\nContent-Le",
+		"truncated head":           "HTTP/1.1 200 OK\r\nContent-Le",
 		"only other ids":           answer("7", "a") + answer("8", "b") + answer("9", "c"),
 	}
 	for name, raw := range cases {
@@ -161,8 +163,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			p := New(&net.Dialer{})
-			if name == "cut head" {
-				s = serveCut(t, raw)
+			if name == "truncated head" {
+				s = serveOnce(t, raw)
 			}
 			_, err := p.Do(ctx, s.request("1"), decode)
 			require.Equal(t, failure.RanUnknown, failure.From(err).Ran, "%v", err)
@@ -170,8 +172,8 @@
 	}
 }
 
-// serveCut answers one request with raw and closes.
-func serveCut(t *testing.T, raw string) *script {
+// serveOnce answers one request with the raw bytes and closes the connection.
+func serveOnce(t *testing.T, raw string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -188,33 +190,34 @@
 		_, _ = io.Copy(io.Discard, req.Body)
 		_, _ = io.WriteString(c, raw)
 	}()
-	return &script{t: t, listener: l}
+	return &scriptedTarget{t: t, listener: l}
 }
 
 func TestRefusedConnectionDidNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{t: t, listener: l}
+	s := &scriptedTarget{t: t, listener: l}
 	require.NoError(t, l.Close())
 	_, err = New(&net.Dialer{}).Do(t.Context(), s.request("1"), decode)
 	require.Equal(t, failure.RanNo, failure.From(err).Ran)
 }
 
-func TestCutBodyIsAnError(t *testing.T) {
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	for name, raw := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nshort",
 		"chunked": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serveCut(t, raw)
+			s := serveOnce(t, raw)
 			_, err := roundTrip(t, New(&net.Dialer{}), s.request("1"))
 			require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 		})
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
-	s := serveCut(t, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nwhole")
+// The body of an answer without a length ends with the connection, which must not be reused.
+func TestAnswerWithoutLengthIsReadToEndOfConnection(t *testing.T) {
+	s := serveOnce(t, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nwhole")
 	p := New(&net.Dialer{})
 	got, err := roundTrip(t, p, s.request("1"))
 	require.NoError(t, err)
@@ -222,7 +225,9 @@
 	require.Empty(t, p.idle)
 }
 
-func TestEarlyAnswerToALongBodyCostsTheConnection(t *testing.T) {
+// An answer that arrives before the request was sent in full must be returned, and the
+// connection must not be reused.
+func TestEarlyAnswerClosesConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -231,12 +236,12 @@
 		if err != nil {
 			return
 		}
-		// Answers without reading the body, and keeps the connection.
+		// Answers without reading the body and leaves the connection open.
 		_, _ = bufio.NewReaderSize(c, 16).ReadString('\n')
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
 	}()
 	p := New(&net.Dialer{})
-	r := (&script{t: t, listener: l}).request("1")
+	r := (&scriptedTarget{t: t, listener: l}).request("1")
 	r.Body = make([]byte, 64<<20)
 	resp, err := p.Do(t.Context(), r, decode)
 	require.NoError(t, err)
@@ -265,7 +270,7 @@
 		cancel()
 		_, _ = io.Copy(io.Discard, in) // returns when the client closes
 	}()
-	_, err = New(&net.Dialer{}).Do(ctx, (&script{t: t, listener: l}).request("1"), decode)
+	_, err = New(&net.Dialer{}).Do(ctx, (&scriptedTarget{t: t, listener: l}).request("1"), decode)
 	require.Equal(t, failure.CallerGone, failure.From(err).Kind)
 	require.Equal(t, failure.RanUnknown, failure.From(err).Ran)
 	<-closed
@@ -277,20 +282,21 @@
 	_, err := roundTrip(t, p, s.request("1"))
 	require.NoError(t, err)
 	c := p.idle[s.listener.Addr().String()][0]
-	require.True(t, quiet(c))
+	require.True(t, usable(c))
 	require.NoError(t, c.Conn.(*net.TCPConn).CloseRead())
-	require.False(t, quiet(c))
+	require.False(t, usable(c))
 }
 
-// silentlyDown hands out connections to a target whose process ends without a word on its
-// idle connections; from then on it refuses new ones.
-type silentlyDown struct {
+// crashingTarget is a Dialer that connects to a target. Once down is set, the target behaves
+// like one whose process has ended without closing its idle connections: these break at the
+// next request, and new connections are refused.
+type crashingTarget struct {
 	mu     sync.Mutex
 	down   bool
 	opened int
 }
 
-func (d *silentlyDown) DialContext(context.Context, string, string) (net.Conn, error) {
+func (d *crashingTarget) DialContext(context.Context, string, string) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down {
@@ -302,7 +308,7 @@
 	return near, nil
 }
 
-func (d *silentlyDown) serve(c net.Conn) {
+func (d *crashingTarget) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -322,8 +328,10 @@
 	}
 }
 
-func TestIdleConnectionsGoWithTheFirstThatBreaks(t *testing.T) {
-	d := &silentlyDown{}
+// When a reused connection breaks, the other idle connections to the target must be closed:
+// the next request then dials, and a refused dial proves that it did not run.
+func TestBrokenConnectionClosesOtherIdleConnections(t *testing.T) {
+	d := &crashingTarget{}
 	p := New(d)
 	request := func(id string) *Request {
 		return &Request{Address: "target", Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Id": {id}}, ID: id, MaxIdle: time.Minute}
@@ -344,5 +352,5 @@
 	_, err = p.Do(t.Context(), request("3"), decode)
 	require.Equal(t, failure.RanUnknown, failure.From(err).Ran)
 	_, err = p.Do(t.Context(), request("4"), decode)
-	require.Equal(t, failure.RanNo, failure.From(err).Ran, "its dial is refused")
+	require.Equal(t, failure.RanNo, failure.From(err).Ran, "the dial is refused")
 }
--- a/wire/targetpool/usable.go
+++ b/wire/targetpool/usable.go
@@ -4,9 +4,9 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read: a
-// target that closed it, or that sent bytes of no request, is found out here.
-func quiet(c *conn) bool {
+// usable reports whether an idle connection is open and has nothing to read. It detects a
+// target that closed the connection or sent bytes that belong to no request.
+func usable(c *conn) bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
--- a/wire/tcpopt/tcpopt_test.go
+++ b/wire/tcpopt/tcpopt_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestUnackedLimitIsSet(t *testing.T) {
+func TestUserTimeoutSetsSocketOption(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	var got int
 	var optErr error
-	require.NoError(t, raw.Control(func(fd uintptr) { got, optErr = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout) }))
+	require.NoError(t, raw.Control(func(fd uintptr) { got, optErr = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout) }))
 	require.NoError(t, optErr)
 	require.Equal(t, 900, got)
 }
