--- a/wire/targetpool/pool.go
+++ b/wire/targetpool/pool.go
@@ -105,11 +105,11 @@
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
-	tcp, err := p.dialer.DialContext(ctx, "tcp", address)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.TargetFailed, "dial %s", address)
 	}
-	c := &conn{Conn: tcp, address: address, idleTimeout: defaultIdleTimeout}
+	c := &conn{Conn: netConn, address: address, idleTimeout: defaultIdleTimeout}
 	c.in = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
