--- a/wire/rpc/traffic_test.go
+++ b/wire/rpc/traffic_test.go
@@ -14,31 +14,31 @@
 	return &historypb.Request{Call: &historypb.Request_Write{Write: &historypb.Write{Records: records}}}
 }
 
-func TestAWriteIsOfTheKindOfItsLargestRecord(t *testing.T) {
+func TestKindOfWriteIsThatOfItsLargestRecord(t *testing.T) {
 	reserve := &historypb.Record{Change: &historypb.Record_Reserve{}}
 	settle := &historypb.Record{Change: &historypb.Record_Settle{}}
 	turn := &historypb.Record{Change: &historypb.Record_Turn{}}
-	require.Equal(t, KindReserve, kindOf(writeOf(reserve)))
-	require.Equal(t, KindSettle, kindOf(writeOf(reserve, settle)))
-	require.Equal(t, KindKeep, kindOf(writeOf(settle, turn)))
-	require.Equal(t, KindPing, kindOf(&historypb.Request{Call: &historypb.Request_Ping{}}))
-	require.Equal(t, KindOther, kindOf(&historypb.Request{}))
+	require.Equal(t, KindReserve, requestKind(writeOf(reserve)))
+	require.Equal(t, KindSettle, requestKind(writeOf(reserve, settle)))
+	require.Equal(t, KindKeep, requestKind(writeOf(settle, turn)))
+	require.Equal(t, KindPing, requestKind(&historypb.Request{Call: &historypb.Request_Ping{}}))
+	require.Equal(t, KindOther, requestKind(&historypb.Request{}))
 }
 
-// Both ends count the same bytes, by kind, also where many calls are under way.
+// Client and server must count the same calls and bytes of each kind.
 func TestBothEndsCountTheSameBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	served, called := &Traffic{}, &Traffic{}
 	go func() { _ = ServeCounted(l, echo, served) }()
-	p := patientPool(t)
+	p := longTimeoutPool(t)
 	p.TrafficOf = func(address string) *Traffic {
 		require.Equal(t, l.Addr().String(), address)
 		return called
 	}
 	const calls = 20
-	var slow int64 // calls that lasted long enough for a ping
+	var slowCalls int64 // calls that lasted for at least pingDelay
 	for range calls {
 		for _, req := range []*historypb.Request{
 			{Call: &historypb.Request_Read{Read: &historypb.Read{Program: "p"}}},
@@ -47,23 +47,23 @@
 			begun := time.Now()
 			_, err := p.Client(l.Addr().String()).Call(t.Context(), req)
 			require.NoError(t, err)
-			if time.Since(begun) >= pingAfter {
-				slow++
+			if time.Since(begun) >= pingDelay {
+				slowCalls++
 			}
 		}
 	}
 	require.Eventually(t, func() bool {
 		return served.Sent(KindRead) == called.Received(KindRead) && served.Sent(KindKeep) == called.Received(KindKeep) &&
 			called.Sent(KindRead) == served.Received(KindRead) && called.Sent(KindKeep) == served.Received(KindKeep)
-	}, 5*time.Second, time.Millisecond, "both sides count a message once it is written")
+	}, 5*time.Second, time.Millisecond, "both sides count a message after it is written")
 	for _, k := range []Kind{KindRead, KindKeep} {
 		require.EqualValues(t, calls, called.Calls(k))
 		require.EqualValues(t, calls, served.Calls(k))
 		require.Equal(t, called.Sent(k), served.Received(k))
 	}
 	require.Greater(t, called.Sent(KindKeep), int64(calls*1000))
-	require.LessOrEqual(t, called.Calls(KindPing), slow, "a ping is sent only in a call that lasts for pingAfter, and once in each")
-	if slow == 0 {
+	require.LessOrEqual(t, called.Calls(KindPing), slowCalls, "a call sends at most one ping, and only after pingDelay")
+	if slowCalls == 0 {
 		require.Zero(t, called.Sent(KindPing))
 	}
 }
