--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -16,24 +16,24 @@
 )
 
 // firstBytes is the room for a body of unknown length, to begin with.
-const firstBytes = 4 << 10
+const initialReadBytes = 4 << 10
 
 // boundUpload bounds how long the caller may send nothing of its body, also where the
 // request is refused and the body is only read to reach the end of it.
-func (x *exchange) boundUpload() {
+func (x *exchange) limitUpload() {
 	if x.r.ContentLength == 0 {
 		return
 	}
-	x.readBefore(time.Now().Add(x.host.uploadPause()))
+	x.setReadDeadline(time.Now().Add(x.host.uploadIdleTimeout()))
 }
 
 // uploadPause is how long a caller may send nothing.
-func (h *Host) uploadPause() time.Duration {
+func (h *Host) uploadIdleTimeout() time.Duration {
 	return cmp.Or(h.limits().HeaderTimeout, defaultHeaderTimeout)
 }
 
 // readBefore bounds reads of the caller; a zero time ends the bound.
-func (x *exchange) readBefore(t time.Time) {
+func (x *exchange) setReadDeadline(t time.Time) {
 	if err := http.NewResponseController(x.w).SetReadDeadline(t); err != nil {
 		x.host.Log.Debug("no time limit for the caller", "request", x.call.ID, "error", err.Error())
 	}
@@ -47,30 +47,30 @@
 	}
 	limit := cmp.Or(x.table.Limits.BodyBytes, defaultBodyBytes)
 	if announced > limit {
-		return x.unread(failure.New(failure.TooLarge, "body over %d bytes", limit))
+		return x.closeAfterAnswer(failure.New(failure.TooLarge, "body over %d bytes", limit))
 	}
-	size := int64(firstBytes)
+	size := int64(initialReadBytes)
 	if announced > 0 {
 		// One byte more, so that the end is seen without growing.
 		size = announced + 1
 	}
 	if err := x.growBody(size); err != nil {
-		return x.unread(err)
+		return x.closeAfterAnswer(err)
 	}
 	from := http.MaxBytesReader(x.w, x.r.Body, limit)
 	for {
 		if len(x.body) == cap(x.body) {
 			if err := x.growBody(int64(2 * cap(x.body))); err != nil {
-				return x.unread(err)
+				return x.closeAfterAnswer(err)
 			}
 		}
-		err := x.readSome(from)
+		err := x.readBodyChunk(from)
 		if err == io.EOF {
-			x.readBefore(time.Time{})
+			x.setReadDeadline(time.Time{})
 			return nil
 		}
 		if err != nil {
-			return x.uploadFailed(err, limit)
+			return x.uploadFailure(err, limit)
 		}
 	}
 }
@@ -85,12 +85,12 @@
 }
 
 // readSome appends to the body what the caller has sent.
-func (x *exchange) readSome(from io.Reader) error {
-	limit := time.Now().Add(x.host.uploadPause())
+func (x *exchange) readBodyChunk(from io.Reader) error {
+	limit := time.Now().Add(x.host.uploadIdleTimeout())
 	if x.deadline.Before(limit) {
 		limit = x.deadline
 	}
-	x.readBefore(limit)
+	x.setReadDeadline(limit)
 	x.held.await()
 	n, err := from.Read(x.body[len(x.body):cap(x.body)])
 	x.held.arrived()
@@ -99,17 +99,17 @@
 }
 
 // uploadFailed tells why a body could not be read.
-func (x *exchange) uploadFailed(err error, limit int64) error {
+func (x *exchange) uploadFailure(err error, limit int64) error {
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
 		return failure.New(failure.TooLarge, "body over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		x.late = true
+		x.uploadTimedOut = true
 		x.host.Meter.Count("callers_ended", "unsent")
 		x.host.Log.Warn("caller ended because it did not send its body", "request", x.call.ID, "held_bytes", cap(x.body),
-			"read_bytes", len(x.body), "after_ms", time.Since(x.began).Milliseconds())
-		return x.unread(failure.Retry(failure.Timeout, retryLater, "%d bytes of the body came", len(x.body)))
+			"read_bytes", len(x.body), "after_ms", time.Since(x.startedAt).Milliseconds())
+		return x.closeAfterAnswer(failure.Retry(failure.Timeout, defaultRetryDelay, "%d bytes of the body came", len(x.body)))
 	case x.r.Context().Err() != nil:
 		return failure.Wrap(err, failure.CallerGone, "body")
 	default:
@@ -118,45 +118,45 @@
 }
 
 // unread has the connection closed after an answer to a request whose body was not read.
-func (x *exchange) unread(err error) error {
+func (x *exchange) closeAfterAnswer(err error) error {
 	x.w.Header().Set("Connection", "close")
 	return err
 }
 
 // maxPlainBytes bounds an answer that is not a stream; it is held in memory until
 // it is whole, so that a broken one can be told from a complete one.
-const maxPlainBytes = 8 << 20
+const maxPlainAnswerBytes = 8 << 20
 
 // pieces is a whole answer in the pieces in which it was read: one that grew would be held
 // twice while it grows.
-type pieces struct {
-	list [][]byte
-	size int64
+type bodyChunks struct {
+	chunks [][]byte
+	size   int64
 }
 
 // readAnswer reads a plain answer whole. Where there is no room it leaves the answer with
 // the target until there is some, up to answerWait. An announced length is charged at once:
 // answers that are read by turns, none to its end, would fill the room for good.
-func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*pieces, error) {
-	body := &pieces{}
+func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*bodyChunks, error) {
+	body := &bodyChunks{}
 	room, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
 	if err != nil {
-		room = firstBytes
+		room = initialReadBytes
 	}
 	// At least one byte: the end has to be read too.
-	for room = max(room, 1); body.size+room <= maxPlainBytes+chunkBytes; room = chunkBytes {
+	for room = max(room, 1); body.size+room <= maxPlainAnswerBytes+chunkBytes; room = chunkBytes {
 		if err := x.held.grow(ctx, held.Answer, room, answerWait); err != nil {
 			return nil, err
 		}
 		if err := body.read(resp.Body, room); err != nil {
-			return body, atEnd(err)
+			return body, ignoreEOF(err)
 		}
 	}
-	return nil, failure.New(failure.TooLarge, "answer over %d bytes", maxPlainBytes)
+	return nil, failure.New(failure.TooLarge, "answer over %d bytes", maxPlainAnswerBytes)
 }
 
 // atEnd is no error where the answer ended.
-func atEnd(err error) error {
+func ignoreEOF(err error) error {
 	if err == io.EOF {
 		return nil
 	}
@@ -165,11 +165,11 @@
 
 // read appends up to room bytes. It returns the reader's own error: that of a cut answer is
 // not that of a whole one.
-func (p *pieces) read(from io.Reader, room int64) error {
+func (p *bodyChunks) read(from io.Reader, room int64) error {
 	for room > 0 {
 		piece := make([]byte, min(room, chunkBytes))
-		n, err := fill(from, piece)
-		p.list = append(p.list, piece[:n])
+		n, err := readFull(from, piece)
+		p.chunks = append(p.chunks, piece[:n])
 		p.size += int64(n)
 		room -= int64(n)
 		if err != nil {
@@ -180,7 +180,7 @@
 }
 
 // fill reads until p is full or the reader ends.
-func fill(from io.Reader, p []byte) (n int, err error) {
+func readFull(from io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var more int
 		more, err = from.Read(p[n:])
@@ -190,22 +190,22 @@
 }
 
 // writeAnswer hands an answer to the caller and releases what the caller has taken.
-func (x *exchange) writeAnswer(body *pieces) error {
-	for i, piece := range body.list {
+func (x *exchange) writeAnswer(body *bodyChunks) error {
+	for i, piece := range body.chunks {
 		if _, err := x.w.Write(piece); err != nil {
 			return err
 		}
-		body.list[i] = nil
+		body.chunks[i] = nil
 		x.held.release(held.Answer, int64(cap(piece)))
 	}
 	return nil
 }
 
 // roomFor charges bytes of a kind that come with an answer.
-func (x *exchange) roomFor(ctx context.Context, k held.Kind) func(n int64) error {
+func (x *exchange) reserveFunc(ctx context.Context, k held.Kind) func(n int64) error {
 	return func(n int64) error {
 		if x.held.grow(ctx, k, n, answerWait) != nil {
-			return errNoRoom
+			return errNoMemory
 		}
 		return nil
 	}
--- a/daemon/entry/bytes.go
+++ b/daemon/entry/bytes.go
@@ -4,12 +4,12 @@
 
 // targetBytes counts what goes to targets of this data centre and of others, apart for
 // turns and for plain calls.
-type targetBytes struct {
+type targetByteCounters struct {
 	turnNear, turnFar, plainNear, plainFar targetpool.ByteCounter
 }
 
 // of returns the counter of a request.
-func (b *targetBytes) of(turn, far bool) *targetpool.ByteCounter {
+func (b *targetByteCounters) counter(turn, far bool) *targetpool.ByteCounter {
 	switch {
 	case turn && far:
 		return &b.turnFar
@@ -22,7 +22,7 @@
 }
 
 // bytesGauges serves the counters.
-func (h *Host) bytesGauges() {
+func (h *Host) registerByteGauges() {
 	for name, b := range map[string]*targetpool.ByteCounter{
 		"targets_near_turns": &h.targetBytes.turnNear, "targets_far_turns": &h.targetBytes.turnFar,
 		"targets_near_plain": &h.targetBytes.plainNear, "targets_far_plain": &h.targetBytes.plainFar,
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -13,24 +13,24 @@
 const (
 	// streamPatience is how long the caller of a stream may take nothing before its
 	// connection is closed: less than engines leave an answer unread.
-	streamPatience = 2 * time.Second
+	streamWriteTimeout = 2 * time.Second
 	// answerPatience is the same for other answers, with which no engine is at work any more.
-	answerPatience = 10 * time.Second
+	answerWriteTimeout = 10 * time.Second
 	// writeSlice is how often a write looks whether the caller has taken something.
-	writeSlice = 250 * time.Millisecond
+	writeCheckInterval = 250 * time.Millisecond
 )
 
 // callers hands out the connections of a listener as callerConns.
-type callers struct{ net.Listener }
+type callerListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l callers) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	x := &callerConn{Conn: c}
-	x.patience.Store(int64(answerPatience))
+	x.writeTimeout.Store(int64(answerWriteTimeout))
 	return x, nil
 }
 
@@ -40,31 +40,31 @@
 type callerConn struct {
 	net.Conn
 	idleness
-	patience atomic.Int64
-	request  atomic.Pointer[holding]
+	writeTimeout atomic.Int64
+	request      atomic.Pointer[holding]
 }
 
-type callerKey struct{}
+type callerConnKey struct{}
 
 // withCaller is an http.Server.ConnContext hook.
-func withCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+func withCallerConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
 // callerOf is the connection of a request, nil where the host did not accept it itself.
-func callerOf(r *http.Request) *callerConn {
-	c, _ := r.Context().Value(callerKey{}).(*callerConn)
+func callerConnOf(r *http.Request) *callerConn {
+	c, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	return c
 }
 
 // serves notes which request is being answered, nil for none.
-func (c *callerConn) serves(x *holding) {
-	c.patience.Store(int64(answerPatience))
+func (c *callerConn) setRequest(x *holding) {
+	c.writeTimeout.Store(int64(answerWriteTimeout))
 	c.request.Store(x)
 }
 
 // hurry bounds the writes of a stream.
-func (c *callerConn) hurry() { c.patience.Store(int64(streamPatience)) }
+func (c *callerConn) useStreamTimeout() { c.writeTimeout.Store(int64(streamWriteTimeout)) }
 
 // Write implements net.Conn.
 func (c *callerConn) Write(p []byte) (int, error) {
@@ -75,12 +75,12 @@
 	}
 	written, moved := 0, time.Now()
 	for {
-		n, err := c.writeFor(writeSlice, p[written:])
+		n, err := c.writeWithin(writeCheckInterval, p[written:])
 		written += n
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
-		patience := time.Duration(c.patience.Load())
+		patience := time.Duration(c.writeTimeout.Load())
 		switch {
 		case n > 0:
 			moved = time.Now()
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c *callerConn) writeFor(d time.Duration, p []byte) (int, error) {
+func (c *callerConn) writeWithin(d time.Duration, p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(d)); err != nil {
 		return 0, err
 	}
--- a/daemon/entry/caller_test.go
+++ b/daemon/entry/caller_test.go
@@ -11,22 +11,22 @@
 )
 
 // callerPair is a caller's connection on loopback, at the host and at the caller.
-func callerPair(t *testing.T) (host *callerConn, caller net.Conn) {
+func callerConnPair(t *testing.T) (host *callerConn, caller net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	caller, err = net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
-	c, err := callers{l}.Accept()
+	c, err := callerListener{l}.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	return c.(*callerConn), caller
 }
 
-func TestWriteEndsWhereTheCallerTakesNothing(t *testing.T) {
-	host, _ := callerPair(t)
-	host.patience.Store(int64(50 * time.Millisecond))
+func TestWriteTimesOutIfCallerStopsReading(t *testing.T) {
+	host, _ := callerConnPair(t)
+	host.writeTimeout.Store(int64(50 * time.Millisecond))
 	for {
 		if _, err := host.Write(make([]byte, 1<<20)); err != nil {
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -37,8 +37,8 @@
 
 // Half a connection is closed without the other: what the caller still sends must not cost
 // it the answer.
-func TestHalfCloseGoesThrough(t *testing.T) {
-	host, caller := callerPair(t)
+func TestCloseWriteKeepsReadSideOpen(t *testing.T) {
+	host, caller := callerConnPair(t)
 	_, err := io.WriteString(host, "answer")
 	require.NoError(t, err)
 	require.NoError(t, host.CloseWrite())
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -97,7 +97,7 @@
 // where others are no better off, when the platform may be back.
 func (h *Host) staleComeBack(stale time.Duration) time.Duration {
 	if h.alone() {
-		return max(retryLater, rotationTime-stale)
+		return max(defaultRetryDelay, rotationTime-stale)
 	}
 	return outagePause
 }
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	if age := x.host.configurationAge(); x.host.Keys.SureAge > 0 && age > x.host.Keys.SureAge {
-		return failure.Retry(failure.StaleConfiguration, retryLater, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
+		return failure.Retry(failure.StaleConfiguration, defaultRetryDelay, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
 	}
 	return failure.New(failure.Unauthorized, "unknown key in version %d", t.Version)
 }
@@ -38,7 +38,7 @@
 }
 
 // regions is where the request may be served and its turn kept, by its route and its customer.
-func (x *exchange) regions() routing.Regions {
+func (x *exchange) allowedRegions() routing.Regions {
 	if x.customer == nil {
 		return x.route.Regions
 	}
@@ -46,8 +46,8 @@
 }
 
 // dataCentres is those of the regions. One whose region the settings do not name is in none.
-func (x *exchange) dataCentres() balance.DataCentreSet {
-	regions := x.regions()
+func (x *exchange) allowedDataCentres() balance.DataCentreSet {
+	regions := x.allowedRegions()
 	if regions.Unrestricted() {
 		return nil
 	}
@@ -59,21 +59,21 @@
 }
 
 // program is the name under which the request's program has its budget.
-func (x *exchange) program() string { return x.owned(x.call.Program) }
+func (x *exchange) budgetProgram() string { return x.customerScoped(x.call.Program) }
 
 // keptAs is the program under which turns of the request's program are kept. Where they may be
 // kept in some regions only it is another one, in a region; the program's budget, which
 // tells nothing of what was said, stays with the common ones, so that it holds over all routes.
-func (x *exchange) keptAs() (program string, err error) {
-	regions := x.regions()
+func (x *exchange) historyProgram() (program string, err error) {
+	regions := x.allowedRegions()
 	if !x.route.Retained || regions.Unrestricted() {
-		return x.program(), nil
+		return x.budgetProgram(), nil
 	}
 	region, ok := x.host.History.RegionFor(x.host.Regions[x.host.DataCentre], regions.Allows)
 	if !ok {
-		return "", failure.Retry(failure.HistoryUnavailable, x.comeBack(), "no history host in the regions that may keep the turn")
+		return "", failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "no history host in the regions that may keep the turn")
 	}
-	return placement.RegionalName(region, x.program()), nil
+	return placement.RegionalName(region, x.budgetProgram()), nil
 }
 
 // priority ranks the request: the customer's goes before the route's.
@@ -86,7 +86,7 @@
 
 // owned is the name under which something of the caller's is kept: no caller reaches what
 // is kept for another customer. Callers cannot send the separator in a header.
-func (x *exchange) owned(name string) string {
+func (x *exchange) customerScoped(name string) string {
 	if name == "" || x.customer == nil {
 		return name
 	}
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -13,7 +13,7 @@
 )
 
 // keyed puts a newer version in force, with customers and the route /open/ that is public.
-func (s *system) keyed(customers ...*routing.Customer) {
+func (s *testSystem) requireKeys(customers ...*routing.Customer) {
 	s.t.Helper()
 	c, err := routing.NewCustomers(customers)
 	require.NoError(s.t, err)
@@ -30,12 +30,12 @@
 	return &routing.Customer{Name: name, Keys: []routing.KeyDigest{routing.DigestKey(name + "-key")}}
 }
 
-func answering(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false }
+func answerOK(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
 
-func TestKeyDecidesWhoseTheRequestIs(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestKeyIdentifiesCustomer(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	for name, c := range map[string]struct {
 		path, key, claimed string
 		status             int
@@ -62,44 +62,44 @@
 	}
 }
 
-func TestWithoutCustomersNoKeyIsNeeded(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestNoKeyRequiredWithoutCustomers(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "of another system").status)
 	require.Equal(t, "of another system", x.requests()[0].Key)
 }
 
-func TestRemovedKeyIsRefusedAtOnce(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestRemovedKeyIsRejectedImmediately(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
-	s.keyed(customer("b"))
+	s.requireKeys(customer("b"))
 	require.Equal(t, http.StatusUnauthorized, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "a-key").status)
 	require.Len(t, x.requests(), 1)
 }
 
 // A key that is taken away while a request is repeated is not used for the repeat.
-func TestRepeatNeedsTheKeyToo(t *testing.T) {
-	var s *system
+func TestRetryIsRejectedAfterKeyRemoval(t *testing.T) {
+	var s *testSystem
 	breaking := func(n int, _ received, id string) (string, bool) {
-		s.keyed(customer("b"))
-		return refused(id), false
+		s.requireKeys(customer("b"))
+		return refusedAnswer(id), false
 	}
-	a, b := newTarget(t, "t1", breaking), newTarget(t, "t2", breaking)
+	a, b := newFakeTarget(t, "t1", breaking), newFakeTarget(t, "t2", breaking)
 	s = newSystem(t, a, b)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	require.Equal(t, http.StatusUnauthorized, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
 	require.Equal(t, 1, len(a.requests())+len(b.requests()))
 }
 
 // A host that has not heard of the platform for the longest time allowed serves no keys,
 // says so, and serves public routes; the first sound word ends that.
-func TestStaleConfigurationServesNoKeys(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestStaleConfigurationRejectsKeys(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	require.False(t, s.host.Ready())
 	got := s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key")
@@ -112,10 +112,10 @@
 }
 
 // A host whose word of the platform is not new does not know that a key is unknown.
-func TestUnknownKeyIsSureOnlyWithANewWord(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", answering))
+func TestUnknownKeyIsUnauthorizedOnlyWithRecentConfiguration(t *testing.T) {
+	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Minute))
 	require.Equal(t, http.StatusServiceUnavailable, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "b-key").status)
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "a-key").status)
@@ -123,11 +123,11 @@
 
 // While the platform is away for all, a request waits for it: one that is answered soon is
 // served then.
-func TestRequestWaitsForTheConfiguration(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestRequestWaitsForConfirmedConfiguration(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	answers := make(chan answer)
 	go func() { answers <- s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key") }()
@@ -136,7 +136,7 @@
 	require.Equal(t, http.StatusOK, (<-answers).status)
 }
 
-func TestConfirmationNeverGoesBack(t *testing.T) {
+func TestConfirmationTimeIsMonotonic(t *testing.T) {
 	s := newSystem(t)
 	now := time.Now()
 	s.host.confirm(now)
@@ -146,10 +146,10 @@
 	require.Equal(t, at, s.host.confirmedAt.Load())
 }
 
-func TestTurnsBelongToTheirCustomer(t *testing.T) {
-	x := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return streamed(id, 1, "said"), false })
+func TestTurnsAreScopedToCustomer(t *testing.T) {
+	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okStream(id, 1, "said"), false })
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	turn := func(key, id, previous, input string) answer {
 		return s.post("/turn/", input, ownheaders.ID, id, ownheaders.Program, "p", ownheaders.Previous, previous,
 			ownheaders.Budget, "100", ownheaders.MaxTokens, "12", ownheaders.Key, key)
@@ -162,7 +162,7 @@
 	require.Equal(t, "one said\nthree", seen[1].Body)
 }
 
-func TestCustomersPriorityGoesFirst(t *testing.T) {
+func TestCustomerPriorityOverridesRoute(t *testing.T) {
 	x := &exchange{route: &routing.Route{Priority: 3}}
 	require.Equal(t, 3, x.priority())
 	x.customer = &routing.Customer{Priority: 1}
@@ -172,16 +172,16 @@
 }
 
 // limited has a quota of so many requests at once, and next to none later.
-func limited(name string, burst float64) *routing.Customer {
+func limitedCustomer(name string, burst float64) *routing.Customer {
 	c := customer(name)
 	c.Quota = routing.Quota{Rate: 0.001, Burst: burst}
 	return c
 }
 
-func TestRequestsBeyondTheQuotaAreRefused(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestRequestsOverQuotaAreRejected(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6), customer("b"))
+	s.requireKeys(limitedCustomer("a", 6), customer("b"))
 	s.aged.Store(true)
 	statuses := map[int]int{}
 	for i := range 10 {
@@ -197,10 +197,10 @@
 }
 
 // With a member silent, its part of the quota is lost and no more.
-func TestPartsOfTheOthersServeWhereAMemberIsSilent(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestSilentMemberCostsOnlyItsQuotaPart(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6))
+	s.requireKeys(limitedCustomer("a", 6))
 	s.aged.Store(true)
 	s.members[1].silent.Store(true)
 	served := 0
@@ -212,12 +212,12 @@
 	require.Equal(t, 4, served)
 }
 
-func TestWithoutHistoryHostsAQuotaCannotBeTold(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestQuotaRequestFailsWithoutHistoryHosts(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6), customer("b"))
+	s.requireKeys(limitedCustomer("a", 6), customer("b"))
 	s.aged.Store(true)
-	s.host.HistoryPatience = historyPatience
+	s.host.HistoryPatience = historyTimeout
 	for _, m := range s.members {
 		m.silent.Store(true)
 	}
@@ -227,10 +227,10 @@
 
 // History hosts that have just started do not know what they granted before: they begin
 // without tokens.
-func TestHistoryHostsBeginWithoutTokens(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestHistoryHostsStartWithoutTokens(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6))
+	s.requireKeys(limitedCustomer("a", 6))
 	require.Equal(t, http.StatusTooManyRequests, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
 	require.Empty(t, x.requests())
 }
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestAnEvacuationStaysInForceWhileThePlatformIsLost(t *testing.T) {
-	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
+	a, b := newFakeTarget(t, "t1", answerOK), newFakeTarget(t, "t2", answerOK)
 	s := newSystem(t, a, b)
 	s.host.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	view := NewEvacuationView(s.host)
@@ -41,7 +41,7 @@
 
 // What nobody may serve is refused at once, as not run.
 func TestWithAllDataCentresEvacuatedRequestsAreRefusedAtOnce(t *testing.T) {
-	a := newTarget(t, "t1", answering)
+	a := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, a)
 	view := NewEvacuationView(s.host)
 	view.Changed(objects.Changes{Events: []objects.Event{{Object: objects.Object{Name: "dc1"}}}})
--- a/daemon/entry/events.go
+++ b/daemon/entry/events.go
@@ -19,24 +19,24 @@
 
 // eventReader splits a stream into events.
 type eventReader struct {
-	from io.Reader
-	buf  []byte
-	err  error
+	source io.Reader
+	buf    []byte
+	err    error
 	// room charges what an unfinished event holds beyond charged bytes; nil charges nothing.
-	room    func(n int64) error
-	charged int64
+	reserve  func(n int64) error
+	reserved int64
 }
 
 // charge makes room for one more chunk.
-func (r *eventReader) charge(chunk int) error {
-	more := int64(len(r.buf)+chunk) - r.charged
-	if r.room == nil || more <= 0 {
+func (r *eventReader) reserveChunk(chunk int) error {
+	more := int64(len(r.buf)+chunk) - r.reserved
+	if r.reserve == nil || more <= 0 {
 		return nil
 	}
-	if err := r.room(more); err != nil {
+	if err := r.reserve(more); err != nil {
 		return err
 	}
-	r.charged += more
+	r.reserved += more
 	return nil
 }
 
@@ -59,10 +59,10 @@
 			return event{}, io.ErrShortBuffer
 		}
 		var chunk [2048]byte
-		if err := r.charge(len(chunk)); err != nil {
+		if err := r.reserveChunk(len(chunk)); err != nil {
 			return event{}, err
 		}
-		n, err := r.from.Read(chunk[:])
+		n, err := r.source.Read(chunk[:])
 		r.buf = append(r.buf, chunk[:n]...)
 		r.err = err
 	}
--- a/daemon/entry/events_test.go
+++ b/daemon/entry/events_test.go
@@ -10,7 +10,7 @@
 )
 
 func readEvents(from io.Reader) (list []event, err error) {
-	r := &eventReader{from: from}
+	r := &eventReader{source: from}
 	for {
 		e, err := r.next()
 		if err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestEventsAreSplitHoweverTheyArrive(t *testing.T) {
+func TestEventsAreSplitRegardlessOfReadSizes(t *testing.T) {
 	text := "id: 1\ndata: a\n\nx-weights: 4\nid: 2\ndata: b\ndata:c\n\n"
 	for name, from := range map[string]io.Reader{
 		"at once":     bytes.NewBufferString(text),
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestStreamThatEndsInsideAnEventIsCut(t *testing.T) {
+func TestStreamEndingInsideEventReturnsUnexpectedEOF(t *testing.T) {
 	for _, tail := range []string{"id: 2", "id: 2\n", "id: 2\ndata: b\n"} {
 		list, err := readEvents(bytes.NewBufferString("id: 1\ndata: a\n\n" + tail))
 		require.Len(t, list, 1)
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -23,7 +23,7 @@
 	// customerVersion is of the configuration that customer is from.
 	customerVersion uint64
 	engine          *routing.Engine // nil for plain services
-	began           time.Time
+	startedAt       time.Time
 	// deadline is the earlier of the caller's and the route's.
 	deadline time.Time
 	body     []byte
@@ -31,44 +31,44 @@
 	held *holding
 	// late is set when the caller did not send its body in time: its connection ends, but
 	// takes an answer before.
-	late bool
+	uploadTimedOut bool
 	// service is drawn once: a retry goes to the same one.
-	service string
-	tried   map[string]bool
-	sends   int
-	room    room
+	service      string
+	tried        map[string]bool
+	sendCount    int
+	capacityWait capacityWait
 	// answered is set once the head of an answer went to the caller, at firstByte.
-	answered  bool
-	firstByte time.Time
-	turn      *turn
+	headSent    bool
+	firstByteAt time.Time
+	turn        *turn
 	// underWay reports that the program has had an answer before.
-	underWay bool
-	target   string
+	programStarted bool
+	targetID       string
 	// born is of the start of target to which the request went.
-	born int64
+	targetStartedAtMs int64
 	// sent is when the request went to target, load the target's by then, in places, and
 	// missing the part of the prompt that it had to read. firstSent is of the first of two
 	// sends side by side.
-	sent, firstSent time.Time
-	load            float64
-	missing         int64
+	sentAt, firstSentAt time.Time
+	targetLoad          float64
+	uncachedTokens      int64
 }
 
 // retryLater is when a caller that was refused may come back: time for a target
 // to finish a request or a history host to be replaced as reader.
-const retryLater = 100 * time.Millisecond
+const defaultRetryDelay = 100 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (h *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{host: h, w: w, r: r, began: time.Now(), tried: map[string]bool{}}
+	x := &exchange{host: h, w: w, r: r, startedAt: time.Now(), tried: map[string]bool{}}
 	if !h.Ready() {
 		// The caller's next connection goes to a host that is ready.
 		w.Header().Set("Connection", "close")
 	}
-	x.boundUpload()
+	x.limitUpload()
 	var ok bool
 	if x.held, ok = h.held.enter(r); !ok {
-		x.fail(failure.Retry(failure.Overloaded, retryLater, "the host holds %d requests", h.active()))
+		x.fail(failure.Retry(failure.Overloaded, defaultRetryDelay, "the host holds %d requests", h.active()))
 		return
 	}
 	defer x.held.leave(r)
@@ -76,24 +76,24 @@
 		x.fail(failure.From(err))
 		return
 	}
-	x.logAnswer()
+	x.recordAnswer()
 }
 
 // logAnswer says how a request that was answered by a target went.
-func (x *exchange) logAnswer() {
+func (x *exchange) recordAnswer() {
 	first, events := time.Duration(0), int64(0)
 	m := x.host.Meter
 	m.Count("requests", "answered")
-	m.Observe("request", time.Since(x.began))
+	m.Observe("request", time.Since(x.startedAt))
 	if x.turn != nil {
-		events = x.turn.events
+		events = x.turn.eventCount
 	}
-	if !x.firstByte.IsZero() {
-		first = x.firstByte.Sub(x.began)
+	if !x.firstByteAt.IsZero() {
+		first = x.firstByteAt.Sub(x.startedAt)
 		m.Observe("first_event", first)
 	}
-	x.host.Log.Info("request answered", "request", x.call.ID, "program", x.call.Program, "target", x.target, "sends", x.sends,
-		"first_ms", first.Milliseconds(), "after_ms", time.Since(x.began).Milliseconds(), "events", events)
+	x.host.Log.Info("request answered", "request", x.call.ID, "program", x.call.Program, "target", x.targetID, "sends", x.sendCount,
+		"first_ms", first.Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds(), "events", events)
 }
 
 func (x *exchange) serve() error {
@@ -109,7 +109,7 @@
 	if x.isTurn() {
 		return x.serveTurn(ctx)
 	}
-	if err := x.withinQuota(ctx); err != nil {
+	if err := x.awaitQuotaToken(ctx); err != nil {
 		return err
 	}
 	return x.forward(ctx)
@@ -119,7 +119,7 @@
 func (x *exchange) accept() error {
 	x.table = x.host.table.Load()
 	if x.table == nil {
-		return failure.Retry(failure.NoConfiguration, retryLater, "no configuration yet")
+		return failure.Retry(failure.NoConfiguration, defaultRetryDelay, "no configuration yet")
 	}
 	var err error
 	if x.call, err = x.host.Headers.Call(x.r.Header); err != nil {
@@ -140,17 +140,17 @@
 	if s, ok := x.table.Service(x.service); ok {
 		x.engine = s.Engine
 	}
-	x.deadline = x.began.Add(patience(x.call.Timeout, route.Timeout))
+	x.deadline = x.startedAt.Add(effectiveTimeout(x.call.Timeout, route.Timeout))
 	return x.readBody()
 }
 
 // longest bounds a request for which neither the caller nor the route says how
 // long it may take.
-const longest = 60 * time.Second
+const maxRequestTimeout = 60 * time.Second
 
 // patience is the smaller of the two times that are given.
-func patience(caller, route time.Duration) time.Duration {
-	limit := longest
+func effectiveTimeout(caller, route time.Duration) time.Duration {
+	limit := maxRequestTimeout
 	if caller > 0 {
 		limit = min(limit, caller)
 	}
@@ -166,12 +166,12 @@
 	x.host.Meter.Count("requests", "failed", string(f.Kind))
 	x.host.Log.Info("request failed",
 		"request", x.call.ID, "program", x.call.Program, "customer", x.customerName(), "kind", string(f.Kind), "ran", string(f.Ran), "status", status,
-		"sends", x.sends, "target", x.target, "after_ms", time.Since(x.began).Milliseconds(), "detail", f.Detail)
-	if x.answered {
+		"sends", x.sendCount, "target", x.targetID, "after_ms", time.Since(x.startedAt).Milliseconds(), "detail", f.Detail)
+	if x.headSent {
 		// The head is out: only a broken connection tells that the rest is missing.
 		panic(http.ErrAbortHandler)
 	}
-	if f.Kind == failure.CallerGone || x.r.Context().Err() != nil && !x.late {
+	if f.Kind == failure.CallerGone || x.r.Context().Err() != nil && !x.uploadTimedOut {
 		panic(http.ErrAbortHandler)
 	}
 	head := x.w.Header()
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -28,7 +28,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-func number(v string) int64 {
+func parseNumber(v string) int64 {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
 		return 0
@@ -38,12 +38,12 @@
 
 // received is a request as a target saw it.
 type received struct {
-	Target, Method, URI, Body, LastEvent, LeftMs string
-	Key, Customer                                string
+	Target, Method, URI, Body, LastEvent, TimeoutMs string
+	Key, Customer                                   string
 }
 
 // target answers raw bytes per request; see answerFunc.
-type target struct {
+type fakeTarget struct {
 	id       string
 	listener net.Listener
 	mu       sync.Mutex
@@ -54,11 +54,11 @@
 // whether the connection is closed after it.
 type answerFunc func(n int, r received, id string) (raw string, closes bool)
 
-func newTarget(t *testing.T, id string, answer answerFunc) *target {
+func newFakeTarget(t *testing.T, id string, answer answerFunc) *fakeTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	x := &target{id: id, listener: l}
+	x := &fakeTarget{id: id, listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -71,7 +71,7 @@
 	return x
 }
 
-func (x *target) serve(c net.Conn, answer answerFunc) {
+func (x *fakeTarget) serve(c net.Conn, answer answerFunc) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -85,7 +85,7 @@
 		}
 		r := received{
 			Target: req.Header.Get(ownheaders.Target), Method: req.Method, URI: req.RequestURI, Body: string(body),
-			LastEvent: req.Header.Get("Last-Event-Id"), LeftMs: req.Header.Get(ownheaders.Left),
+			LastEvent: req.Header.Get("Last-Event-Id"), TimeoutMs: req.Header.Get(ownheaders.Left),
 			Key: req.Header.Get(ownheaders.Key), Customer: req.Header.Get(ownheaders.Customer),
 		}
 		x.mu.Lock()
@@ -99,30 +99,30 @@
 	}
 }
 
-func (x *target) requests() []received {
+func (x *fakeTarget) requests() []received {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return append([]received(nil), x.seen...)
 }
 
-func whole(id, body string) string {
+func okAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.Signature + ": s\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func refused(id string) string {
+func refusedAnswer(id string) string {
 	return "HTTP/1.1 503 Busy\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.NotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 }
 
 // streamed is a chunked stream of events with ids from first; cut ends it early.
-func streamed(id string, first int, data ...string) string {
-	return streamHead(id) + chunks(first, data...) + "0\r\n\r\n"
+func okStream(id string, first int, data ...string) string {
+	return streamHead(id) + eventChunks(first, data...) + "0\r\n\r\n"
 }
 
 func streamHead(id string) string {
 	return "HTTP/1.1 200 OK\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.Signature + ": s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-func chunks(first int, data ...string) string {
+func eventChunks(first int, data ...string) string {
 	var b strings.Builder
 	for i, d := range data {
 		e := "id: " + strconv.Itoa(first+i) + "\ndata: " + d + "\n\n"
@@ -132,17 +132,17 @@
 }
 
 // system is an entry host with targets and history hosts on loopback.
-type system struct {
+type testSystem struct {
 	t       *testing.T
 	host    *Host
 	server  *httptest.Server
-	past    *quorum.Client
+	history *quorum.Client
 	members []*member
 	// aged makes the history hosts a day old, so that they hold all tokens of quotas.
 	aged atomic.Bool
 }
 
-func (s *system) elapsed() time.Duration {
+func (s *testSystem) elapsed() time.Duration {
 	if s.aged.Load() {
 		return 24 * time.Hour
 	}
@@ -154,40 +154,40 @@
 	// silent members read requests and answer none.
 	silent atomic.Bool
 	// other answers in place of the server, if it is set.
-	other atomic.Pointer[rpc.Handler]
+	handler atomic.Pointer[rpc.Handler]
 }
 
-func (m *member) setHandler(h rpc.Handler) { m.other.Store(&h) }
+func (m *member) setHandler(h rpc.Handler) { m.handler.Store(&h) }
 
 func (m *member) handle(req *historypb.Request, answer func(*historypb.Reply)) {
 	if m.silent.Load() {
 		return
 	}
-	if other := m.other.Load(); other != nil {
+	if other := m.handler.Load(); other != nil {
 		(*other)(req, answer)
 		return
 	}
 	m.server.Handle(req, answer)
 }
 
-func quietLog() *log.Logger { return log.New(io.Discard) }
+func discardLog() *log.Logger { return log.New(io.Discard) }
 
 // memberPatience is how long a silent history host is waited for, in place of 0.3 s: tests
 // in which one is silent wait for it.
-const memberPatience = 3 * time.Second
+const memberTimeout = 3 * time.Second
 
 // harnessPatience is how long the tests' host waits for its history hosts: on a busy machine
 // a process of theirs may stand still for longer than a deployment's host would wait.
-const harnessPatience = 20 * time.Second
+const harnessTimeout = 20 * time.Second
 
 // newSystem starts an entry host with the routes /plain/ (idempotent), /once/,
 // /turn/ (retained) and /quick/ (resumable), all to service "s".
-func newSystem(t *testing.T, targets ...*target) *system {
-	s := &system{t: t, past: quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)}
-	s.past.Patient(memberPatience)
+func newSystem(t *testing.T, targets ...*fakeTarget) *testSystem {
+	s := &testSystem{t: t, history: quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)}
+	s.history.Patient(memberTimeout)
 	s.startHistory(3)
-	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.past, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: quietLog(),
-		HistoryPatience: harnessPatience})
+	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.history, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: discardLog(),
+		HistoryPatience: harnessTimeout})
 	engine := &routing.Engine{Capacity: 4, TokensPerEvent: 3}
 	route := func(prefix string, r routing.Route) *routing.Route {
 		r.Host, r.Prefix, r.Services = "example", prefix, []routing.WeightedService{{Service: "s", Weight: 1}}
@@ -210,13 +210,13 @@
 }
 
 // startHistory starts n history hosts and gives the client their slot map.
-func (s *system) startHistory(n int) { s.startHistoryIn(make([]string, n)...) }
+func (s *testSystem) startHistory(n int) { s.startHistoryInRegions(make([]string, n)...) }
 
 // startHistoryIn starts a history host in each of some regions.
-func (s *system) startHistoryIn(regions ...string) {
+func (s *testSystem) startHistoryInRegions(regions ...string) {
 	m := placement.New(1)
 	for i, region := range regions {
-		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Log: quietLog(), Elapsed: s.elapsed})
+		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Log: discardLog(), Elapsed: s.elapsed})
 		require.NoError(s.t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(s.t, err)
@@ -234,13 +234,13 @@
 }
 
 // adopt gives a slot map to the history hosts and to the client.
-func (s *system) adopt(m *placement.Map) {
+func (s *testSystem) adopt(m *placement.Map) {
 	for _, x := range s.members {
 		require.NoError(s.t, x.server.Adopt(m))
 	}
 	text, err := json.Marshal(m)
 	require.NoError(s.t, err)
-	s.past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
+	s.history.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
 }
 
 // answer is what a caller got.
@@ -251,7 +251,7 @@
 	err    error // of reading the body
 }
 
-func (s *system) post(path, body string, headers ...string) answer {
+func (s *testSystem) post(path, body string, headers ...string) answer {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(s.t.Context(), http.MethodPost, s.server.URL+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -268,6 +268,6 @@
 	return answer{resp.StatusCode, resp.Header, string(got), err}
 }
 
-func (s *system) turn(path, id, previous, input string) answer {
+func (s *testSystem) postTurn(path, id, previous, input string) answer {
 	return s.post(path, input, ownheaders.ID, id, ownheaders.Program, "p", ownheaders.Previous, previous, ownheaders.Budget, "100", ownheaders.MaxTokens, "12")
 }
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -12,18 +12,18 @@
 )
 
 // reply is what came of one send of a plain call.
-type reply struct {
+type sendResult struct {
 	target balance.TargetInfo
-	sent   time.Time
+	sentAt time.Time
 	// resp is nil if err is of the send itself; else err is of reading the body.
 	resp *targetpool.Response
-	body *pieces
+	body *bodyChunks
 	err  error
 }
 
 // whole reports whether the reply can go to the caller while another send is under way.
-func (r *reply) whole() bool {
-	if r.resp == nil || r.err != nil || r.resp.Answer.NotRun || r.resp.Status >= http.StatusInternalServerError || promise(r.resp.Status) {
+func (r *sendResult) deliverable() bool {
+	if r.resp == nil || r.err != nil || r.resp.Answer.NotRun || r.resp.Status >= http.StatusInternalServerError || statusImpliesNotRun(r.resp.Status) {
 		return false
 	}
 	return r.resp.Status >= http.StatusMultipleChoices || r.resp.Answer.Signed
@@ -34,7 +34,7 @@
 // attempts of their route.
 func (x *exchange) hedgeDelay() (time.Duration, bool) {
 	twice := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
-	if !twice || x.room.waited > 0 || x.sends+2 > x.route.MaxAttempts {
+	if !twice || x.capacityWait.waited > 0 || x.sendCount+2 > x.route.MaxAttempts {
 		return 0, false
 	}
 	h := x.host
@@ -47,10 +47,10 @@
 // tryTwice sends the call to one target, and to another one if the first has not answered
 // after a delay. The first whole answer goes to the caller; the other send is broken off,
 // so that its target drops the work.
-func (x *exchange) tryTwice(ctx context.Context, t balance.TargetInfo, delay time.Duration) (again bool, err error) {
-	replies := make(chan *reply, 2)
+func (x *exchange) attemptHedged(ctx context.Context, t balance.TargetInfo, delay time.Duration) (again bool, err error) {
+	replies := make(chan *sendResult, 2)
 	began := time.Now()
-	x.firstSent = began
+	x.firstSentAt = began
 	var stops []context.CancelFunc
 	stop := func() {
 		for _, s := range stops {
@@ -58,7 +58,7 @@
 		}
 	}
 	defer stop()
-	stops = append(stops, x.launch(ctx, t, replies))
+	stops = append(stops, x.startSend(ctx, t, replies))
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	pending, second := 1, ""
@@ -66,29 +66,29 @@
 	for {
 		select {
 		case <-timer.C:
-			other, ok := x.pickSecond(t, delay)
+			other, ok := x.pickSecondTarget(t, delay)
 			if !ok {
 				continue
 			}
-			stops = append(stops, x.launch(ctx, other, replies))
+			stops = append(stops, x.startSend(ctx, other, replies))
 			pending, second = pending+1, other.ID
 		case r := <-replies:
 			pending--
-			if pending > 0 && !r.whole() {
-				failed = x.failedSend(ctx, r)
+			if pending > 0 && !r.deliverable() {
+				failed = x.recordFailedSend(ctx, r)
 				continue
 			}
 			if pending > 0 {
-				go x.host.abandoned(replies)
+				go x.host.recordAbandoned(replies)
 			}
-			if r.target.ID == second && r.whole() {
+			if r.target.ID == second && r.deliverable() {
 				x.host.Meter.Count("second_sends", "won")
 				x.host.Log.Info("second send answered first", "request", x.call.ID, "target", second, "instead_of", t.ID, "after_ms", time.Since(began).Milliseconds())
 			}
 			stop()
-			again, err = x.conclude(ctx, r, failed)
+			again, err = x.finishAttempt(ctx, r, failed)
 			if err != nil && failed != nil {
-				err = worse(failed, err)
+				err = failureToReport(failed, err)
 			}
 			return again, err
 		}
@@ -97,12 +97,12 @@
 
 // launch sends the call to a target beside the caller's wait. The returned function breaks
 // it off.
-func (x *exchange) launch(ctx context.Context, t balance.TargetInfo, replies chan<- *reply) context.CancelFunc {
+func (x *exchange) startSend(ctx context.Context, t balance.TargetInfo, replies chan<- *sendResult) context.CancelFunc {
 	guarded, release := x.host.reach.guard(ctx, t)
-	out := x.outgoing(t, x.call.LastEventID)
+	out := x.newTargetRequest(t, x.call.LastEventID)
 	go func() {
-		r := &reply{target: t, sent: time.Now()}
-		r.resp, r.err = x.host.ask(guarded, t, out)
+		r := &sendResult{target: t, sentAt: time.Now()}
+		r.resp, r.err = x.host.roundTrip(guarded, t, out)
 		if r.err == nil {
 			r.body, r.err = x.readAnswer(guarded, r.resp)
 			_ = r.resp.Body.Close() // what is left of it is of no use
@@ -113,9 +113,9 @@
 }
 
 // pickSecond chooses the target of a second send, if there is a token and a target for it.
-func (x *exchange) pickSecond(first balance.TargetInfo, delay time.Duration) (balance.TargetInfo, bool) {
+func (x *exchange) pickSecondTarget(first balance.TargetInfo, delay time.Duration) (balance.TargetInfo, bool) {
 	h := x.host
-	if !x.hasOther() {
+	if !x.hasUntriedTarget() {
 		h.Meter.Count("second_sends", "no_target")
 		return balance.TargetInfo{}, false
 	}
@@ -126,10 +126,10 @@
 		h.Meter.Count("second_sends", "no_token")
 		return balance.TargetInfo{}, false
 	}
-	x.sends++ // the first is under way
-	other, err := x.pick()
+	x.sendCount++ // the first is under way
+	other, err := x.pickTarget()
 	if err != nil {
-		x.sends--
+		x.sendCount--
 		h.Log.Info("call not sent a second time", "request", x.call.ID, "target", first.ID, "error", err.Error())
 		return balance.TargetInfo{}, false
 	}
@@ -139,59 +139,59 @@
 }
 
 // failedSend notes a send that came to nothing while the other one is under way.
-func (x *exchange) failedSend(ctx context.Context, r *reply) error {
+func (x *exchange) recordFailedSend(ctx context.Context, r *sendResult) error {
 	h := x.host
 	switch {
 	case r.resp == nil:
-		h.ended(r.target, outcomeOf(ctx, failure.From(r.err)))
+		h.recordOutcome(r.target, failureOutcome(ctx, failure.From(r.err)))
 		return r.err
 	case r.err == nil && r.resp.Answer.NotRun:
-		h.ended(r.target, refusal(r.resp.Answer))
+		h.recordOutcome(r.target, refusalOutcome(r.resp.Answer))
 		if !r.resp.Answer.Misdirected {
-			x.room.refused(r.target.ID)
+			x.capacityWait.addFull(r.target.ID)
 		}
-		return failure.Retry(failure.TargetFull, retryLater, "target %s refused with %d", r.target.ID, r.resp.Status)
+		return failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused with %d", r.target.ID, r.resp.Status)
 	case failure.Is(r.err, failure.Overloaded):
-		h.ended(r.target, balance.Abandoned) // it is this host that has no room
+		h.recordOutcome(r.target, balance.Abandoned) // it is this host that has no room
 		return failure.Unknown(failure.Overloaded, "answer of %s: %v", r.target.ID, r.err)
 	default:
 		f := failure.Unknown(failure.BadAnswer, "answer of %s with %d beside a second send: %v", r.target.ID, r.resp.Status, r.err)
-		h.ended(r.target, r.outcome(ctx, f))
+		h.recordOutcome(r.target, r.outcome(ctx, f))
 		return f
 	}
 }
 
 // outcome is what a reply that is not passed on says of its target.
-func (r *reply) outcome(ctx context.Context, f *failure.Failure) balance.Outcome {
+func (r *sendResult) outcome(ctx context.Context, f *failure.Failure) balance.Outcome {
 	refuses := r.resp.Status >= http.StatusMultipleChoices && r.resp.Status < http.StatusInternalServerError
 	if r.err == nil && refuses {
 		return balance.Served
 	}
-	return outcomeOf(ctx, f)
+	return failureOutcome(ctx, f)
 }
 
 // conclude ends the try with a reply, as if its target had been the only one. Only the word
 // that the call has not run is not passed on where the other send failed and may have.
-func (x *exchange) conclude(ctx context.Context, r *reply, other error) (again bool, err error) {
-	x.target, x.born, x.sent = r.target.ID, r.target.StartedAtMs, r.sent
+func (x *exchange) finishAttempt(ctx context.Context, r *sendResult, other error) (again bool, err error) {
+	x.targetID, x.targetStartedAtMs, x.sentAt = r.target.ID, r.target.StartedAtMs, r.sentAt
 	if r.resp == nil {
-		return x.unanswered(ctx, r.target, r.err)
+		return x.handleSendError(ctx, r.target, r.err)
 	}
-	x.sends++
+	x.sendCount++
 	if r.resp.Answer.NotRun {
-		return x.putBack(r.target, r.resp)
+		return x.handleNotRun(r.target, r.resp)
 	}
 	mayHaveRun := other != nil && failure.From(other).Ran != failure.RanNo
-	if mayHaveRun && r.err == nil && promise(r.resp.Status) {
+	if mayHaveRun && r.err == nil && statusImpliesNotRun(r.resp.Status) {
 		f := failure.Unknown(failure.BadAnswer, "target %s answered %d beside a send that may have run", r.target.ID, r.resp.Status)
-		x.done(r.target.ID, r.outcome(ctx, f))
+		x.recordOutcome(r.target.ID, r.outcome(ctx, f))
 		return true, f
 	}
-	return x.plain(ctx, r.target, r.resp, r.body, r.err)
+	return x.deliverPlain(ctx, r.target, r.resp, r.body, r.err)
 }
 
 // abandoned notes the end of a send that was broken off.
-func (h *Host) abandoned(replies <-chan *reply) {
+func (h *Host) recordAbandoned(replies <-chan *sendResult) {
 	r := <-replies
-	h.ended(r.target, balance.Abandoned)
+	h.recordOutcome(r.target, balance.Abandoned)
 }
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -25,11 +25,11 @@
 )
 
 // soon is how long calls of the tests are waited for before they are sent again.
-const soon = time.Millisecond
+const testHedgeDelay = time.Millisecond
 
 // uneven makes the host one that knows its calls, with n tokens at most, and its targets such
 // that tell their slowdown.
-func (s *system) uneven(tokens int) {
+func (s *testSystem) enableHedging(tokens int) {
 	h := s.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 	h.hedger = hedge.New()
 	for range max(100, tokens*int(1/hedge.BudgetRatio)+1) {
-		h.hedger.RecordAnswer("s", "", soon)
+		h.hedger.RecordAnswer("s", "", testHedgeDelay)
 	}
 	for range max(0, hedge.Burst-tokens) {
 		h.hedger.TakeToken("s")
@@ -48,7 +48,7 @@
 }
 
 // inFlight is the host's own requests at all targets.
-func (s *system) inFlight() int {
+func (s *testSystem) inFlight() int {
 	n := 0
 	for _, t := range s.host.State().Targets {
 		n += t.InFlight
@@ -57,35 +57,35 @@
 }
 
 // settled waits until the sends that were broken off are noted as ended.
-func (s *system) settled() {
+func (s *testSystem) awaitNoneInFlight() {
 	s.t.Helper()
-	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessPatience, time.Millisecond)
+	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessTimeout, time.Millisecond)
 }
 
 // stalls answers the first request of all targets once release is closed, others at once.
-func stalls(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
+func stallFirst(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
 	asked = &atomic.Int32{}
 	return func(_ int, r received, id string) (string, bool) {
 		if asked.Add(1) == 1 {
 			<-release
-			return whole(id, "late"), false
+			return okAnswer(id, "late"), false
 		}
-		return whole(id, "answer to "+id), false
+		return okAnswer(id, "answer to "+id), false
 	}, asked
 }
 
 // The first answer that is whole goes to the caller; what the stalled target writes later
 // reaches neither this caller nor the next ones.
-func TestStalledCallIsSentToAnotherTarget(t *testing.T) {
+func TestStalledCallIsHedged(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stalls(release)
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(5)
+	answer, asked := stallFirst(release)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(5)
 	got := s.post("/plain/", "x", ownheaders.ID, "1")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "answer to 1", got.body)
 	require.EqualValues(t, 2, asked.Load())
-	s.settled()
+	s.awaitNoneInFlight()
 	close(release)
 	for _, id := range []string{"2", "3", "4", "5"} {
 		require.Equal(t, "answer to "+id, s.post("/plain/", "x", ownheaders.ID, id).body)
@@ -94,9 +94,9 @@
 
 // A call that must run at most once is sent once, however long it takes. The other call
 // shows that the time for a second send has passed.
-func TestCallsAtMostOnceAreNeverSentTwice(t *testing.T) {
+func TestAtMostOnceCallsAreNotHedged(t *testing.T) {
 	release := make(chan struct{})
-	plain, asked := stalls(release)
+	plain, asked := stallFirst(release)
 	var once atomic.Int32
 	answer := func(n int, r received, id string) (string, bool) {
 		if r.URI != "/once/" {
@@ -104,13 +104,13 @@
 		}
 		once.Add(1)
 		<-release
-		return whole(id, "done"), false
+		return okAnswer(id, "done"), false
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer), newTarget(t, "t3", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
+	s.enableHedging(5)
 	got := make(chan int)
 	go func() { got <- s.post("/once/", "x", ownheaders.ID, "1").status }()
-	require.Eventually(t, func() bool { return once.Load() == 1 }, harnessPatience, time.Millisecond)
+	require.Eventually(t, func() bool { return once.Load() == 1 }, harnessTimeout, time.Millisecond)
 	require.Equal(t, "answer to 2", s.post("/plain/", "x", ownheaders.ID, "2").body)
 	require.EqualValues(t, 2, asked.Load())
 	close(release)
@@ -119,10 +119,10 @@
 }
 
 // Which calls are sent twice, and which never are.
-func TestOnlyIdempotentPlainCallsMayBeSentTwice(t *testing.T) {
-	fresh := newSystem(t, newTarget(t, "t1", nil), newTarget(t, "t2", nil))
-	s := newSystem(t, newTarget(t, "t1", nil), newTarget(t, "t2", nil))
-	s.uneven(5)
+func TestOnlyIdempotentPlainCallsAreHedged(t *testing.T) {
+	fresh := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
+	s := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
+	s.enableHedging(5)
 	call := func(change func(*exchange)) bool {
 		x := &exchange{host: s.host, service: "s", deadline: time.Now().Add(time.Hour), route: &routing.Route{MaxAttempts: 2}}
 		change(x)
@@ -138,27 +138,27 @@
 		"a stream":                 func(x *exchange) { x.route.Kind = routing.Streaming },
 		"a prompt":                 func(x *exchange) { x.call.PromptTokens = 1 },
 		"one attempt":              func(x *exchange) { x.route.MaxAttempts = 1 },
-		"the last attempt":         func(x *exchange) { x.sends = 1 },
-		"after a wait for room":    func(x *exchange) { x.room.waited = time.Millisecond },
+		"the last attempt":         func(x *exchange) { x.sendCount = 1 },
+		"after a wait for room":    func(x *exchange) { x.capacityWait.waited = time.Millisecond },
 		"less time than the delay": func(x *exchange) { x.deadline = time.Now() },
 		"a kind that is not known": func(x *exchange) { x.route.Name = "other" },
-		"no attempts left":         func(x *exchange) { x.sends = 2 },
+		"no attempts left":         func(x *exchange) { x.sendCount = 2 },
 	} {
 		require.False(t, call(change), why)
 	}
 }
 
 // Without a token a call waits for its first target.
-func TestSecondSendsNeedAToken(t *testing.T) {
+func TestSecondSendRequiresToken(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stalls(release)
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(0)
+	answer, asked := stallFirst(release)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(0)
 	s.host.Meter = meter.New()
 	got := make(chan answerBody, 1)
 	go func() { got <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
 	decided := func() bool { return s.host.Meter.Value("second_sends_no_token") == 1 }
-	require.Eventually(t, decided, harnessPatience, time.Millisecond)
+	require.Eventually(t, decided, harnessTimeout, time.Millisecond)
 	require.Equal(t, 1, s.inFlight())
 	close(release)
 	require.EqualValues(t, "late", <-got)
@@ -170,11 +170,11 @@
 
 // A second target that refuses, fails or breaks off does not end the call: the first one's
 // answer is still waited for.
-func TestFailedSecondSendLeavesTheFirst(t *testing.T) {
+func TestFailedSecondSendDoesNotEndCall(t *testing.T) {
 	for name, raw := range map[string]func(id string) (string, bool){
-		"refuses":    func(id string) (string, bool) { return refused(id), false },
+		"refuses":    func(id string) (string, bool) { return refusedAnswer(id), false },
 		"fails":      func(id string) (string, bool) { return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false },
-		"breaks off": func(id string) (string, bool) { return whole(id, "whole")[:60], true },
+		"breaks off": func(id string) (string, bool) { return okAnswer(id, "whole")[:60], true },
 		"closes":     func(string) (string, bool) { return "", true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -183,31 +183,31 @@
 			answer := func(_ int, _ received, id string) (string, bool) {
 				if asked.Add(1) == 1 {
 					<-release
-					return whole(id, "first"), false
+					return okAnswer(id, "first"), false
 				}
 				defer close(release)
 				return raw(id)
 			}
-			s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-			s.uneven(5)
+			s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+			s.enableHedging(5)
 			got := s.post("/plain/", "x", ownheaders.ID, "1")
 			require.Equal(t, http.StatusOK, got.status)
 			require.Equal(t, "first", got.body)
 			require.EqualValues(t, 2, asked.Load())
-			s.settled()
+			s.awaitNoneInFlight()
 		})
 	}
 }
 
 // unsaid is an answer whose status promises that the call has not run, though its target
 // does not say so.
-func unsaid(id string) string {
+func unmarkedRefusal(id string) string {
 	return "HTTP/1.1 429 Limited\r\n" + ownheaders.ID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
 // No caller is told that its call has not run while the other send is at work, nor after that
 // one broke off and may have run.
-func TestNoPromiseBesideAnotherSend(t *testing.T) {
+func TestNotRunStatusIsWithheldWhileOtherSendMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		breaks bool
 		status int
@@ -220,32 +220,32 @@
 			var asked atomic.Int32
 			answer := func(_ int, _ received, id string) (string, bool) {
 				if asked.Add(1) > 1 {
-					return unsaid(id), false
+					return unmarkedRefusal(id), false
 				}
 				<-release
 				if c.breaks {
 					return "", true
 				}
-				return whole(id, "first"), false
+				return okAnswer(id, "first"), false
 			}
-			s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-			s.uneven(5)
+			s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+			s.enableHedging(5)
 			s.host.Meter = meter.New()
 			got := make(chan int, 1)
 			go func() { got <- s.post("/plain/", "x", ownheaders.ID, "1").status }()
 			heard := func() bool { return s.host.Meter.Value("sends_served") > 0 || len(got) > 0 }
-			require.Eventually(t, heard, harnessPatience, time.Millisecond)
+			require.Eventually(t, heard, harnessTimeout, time.Millisecond)
 			close(release)
 			require.Equal(t, c.status, <-got)
 			require.EqualValues(t, 2, asked.Load())
-			s.settled()
+			s.awaitNoneInFlight()
 		})
 	}
 }
 
 // A target is not taken to fail where the caller left while its answer was read, or where this
 // host had no room for the answer.
-func TestSendsThatEndForOtherReasonsAreNotHeldAgainstTheirTarget(t *testing.T) {
+func TestCallerOrHostFailuresAreNotTargetFailures(t *testing.T) {
 	left, leave := context.WithCancel(t.Context())
 	leave()
 	for name, c := range map[string]struct {
@@ -253,14 +253,14 @@
 		err error
 	}{
 		"the caller left":      {left, context.Canceled},
-		"the host has no room": {t.Context(), failure.Retry(failure.Overloaded, soon, "no room")},
+		"the host has no room": {t.Context(), failure.Retry(failure.Overloaded, testHedgeDelay, "no room")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSystem(t, newTarget(t, "t1", nil))
+			s := newSystem(t, newFakeTarget(t, "t1", nil))
 			s.host.Meter = meter.New()
 			x := &exchange{host: s.host}
-			r := &reply{target: balance.TargetInfo{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
-			require.NotEqual(t, failure.RanNo, failure.From(x.failedSend(c.ctx, r)).Ran)
+			r := &sendResult{target: balance.TargetInfo{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
+			require.NotEqual(t, failure.RanNo, failure.From(x.recordFailedSend(c.ctx, r)).Ran)
 			require.EqualValues(t, 1, s.host.Meter.Value("sends_abandoned"))
 		})
 	}
@@ -277,34 +277,34 @@
 		<-both
 		return "", true
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer), newTarget(t, "t3", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
+	s.enableHedging(5)
 	require.Equal(t, http.StatusBadGateway, s.post("/plain/", "x", ownheaders.ID, "1").status)
 	require.EqualValues(t, 2, asked.Load())
-	s.settled()
+	s.awaitNoneInFlight()
 }
 
 // Two stalled targets hold a call no longer than its caller waits.
-func TestBothSendsEndAtTheDeadline(t *testing.T) {
+func TestBothSendsEndAtDeadline(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	answer := func(int, received, string) (string, bool) {
 		<-release
 		return "", true
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(5)
 	got := s.post("/plain/", "x", ownheaders.ID, "1", ownheaders.Left, "150")
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
-	s.settled()
+	s.awaitNoneInFlight()
 }
 
 // The state says when calls are sent again and what is left for it.
 func TestStateShowsSecondSends(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", nil))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", nil))
+	s.enableHedging(5)
 	state := s.host.State()
-	require.Equal(t, soon.Milliseconds(), state.SecondSends.Kinds[0].DelayMs)
+	require.Equal(t, testHedgeDelay.Milliseconds(), state.SecondSends.Kinds[0].DelayMs)
 	require.Equal(t, "s", state.SecondSends.Services[0].Service)
 	require.InDelta(t, 1, state.Targets[0].Slowdown, 0.01)
 	_, told := s.host.registry.Pick(balance.Query{Service: "s"}, s.host.now())
@@ -312,19 +312,19 @@
 }
 
 // lines is a log that can be read while it is written.
-type lines struct {
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
 // first is the first line.
-func (l *lines) first() string {
+func (l *logBuffer) firstLine() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	line, _, _ := strings.Cut(l.buf.String(), "\n")
@@ -333,12 +333,12 @@
 
 // The line of a request that was routed says what decided: the target's slowdown, the time
 // predicted there, and the target at home that was left for another data centre.
-func TestRoutingLineSaysWhatDecided(t *testing.T) {
-	answer := func(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false }
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	var out lines
+func TestRequestRoutedLogExplainsChoice(t *testing.T) {
+	answer := func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	var out logBuffer
 	s.host.Log = log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})
-	s.uneven(0)
+	s.enableHedging(0)
 	h := s.host
 	h.mu.Lock()
 	home, _ := h.registry.Target("t1")
@@ -349,7 +349,7 @@
 	home.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
-	line := out.first()
+	line := out.firstLine()
 	var said struct {
 		Target     string  `json:"target"`
 		DataCentre string  `json:"data_centre"`
--- a/daemon/entry/held.go
+++ b/daemon/entry/held.go
@@ -56,9 +56,9 @@
 		return nil, false
 	}
 	x := &holding{of: b, holder: holder}
-	if c := callerOf(r); c != nil {
+	if c := callerConnOf(r); c != nil {
 		x.end = func() { _ = c.Close() }
-		c.serves(x)
+		c.setRequest(x)
 	}
 	b.by[holder] = x
 	return x, true
@@ -66,8 +66,8 @@
 
 // leave ends the request.
 func (x *holding) leave(r *http.Request) {
-	if c := callerOf(r); c != nil {
-		c.serves(nil)
+	if c := callerConnOf(r); c != nil {
+		c.setRequest(nil)
 	}
 	x.of.mu.Lock()
 	defer x.of.mu.Unlock()
@@ -119,7 +119,7 @@
 	charged := b.book.ChargedBytes()
 	b.mu.Unlock()
 	b.host.Meter.Count("bytes", "refused", k.String())
-	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, k)
+	return failure.Retry(failure.Overloaded, defaultRetryDelay, "the host holds %d bytes, no room for %d more of %s", charged, n, k)
 }
 
 // try charges n more bytes, if there is room.
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -79,7 +79,7 @@
 	server      atomic.Pointer[http.Server]
 	listener    net.Listener
 	pool        *targetpool.Pool
-	targetBytes targetBytes
+	targetBytes targetByteCounters
 	reach       *reach
 	start       time.Time
 	teller      *teller
@@ -98,7 +98,7 @@
 
 // New returns a host without configuration and targets.
 func New(o Options) *Host {
-	o.HistoryPatience = cmp.Or(o.HistoryPatience, historyPatience)
+	o.HistoryPatience = cmp.Or(o.HistoryPatience, historyTimeout)
 	registry := balance.NewRegistry(o.DataCentre, balance.DefaultWeights())
 	h := &Host{
 		Options:    o,
@@ -150,11 +150,11 @@
 			ReadHeaderTimeout: cmp.Or(limits.HeaderTimeout, defaultHeaderTimeout),
 			IdleTimeout:       idleBackstop,
 			ConnState:         newIdleConns(h.idleTimeout).state,
-			ConnContext:       withCaller,
+			ConnContext:       withCallerConn,
 			ErrorLog:          h.Log.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 		}
 		h.server.Store(server)
-		if err := server.Serve(callers{listener}); err != nil && err != http.ErrServerClosed {
+		if err := server.Serve(callerListener{listener}); err != nil && err != http.ErrServerClosed {
 			h.Log.Error("callers' listener failed", "error", err.Error())
 		}
 	}()
@@ -201,12 +201,12 @@
 func (h *Host) comeBack() time.Duration {
 	isolated := h.History.Isolated()
 	if isolated == 0 {
-		return retryLater
+		return defaultRetryDelay
 	}
 	if takeover := h.History.TakeoverIn(); takeover > 0 {
-		return max(retryLater, takeover)
+		return max(defaultRetryDelay, takeover)
 	}
-	return max(retryLater, rotationTime-isolated)
+	return max(defaultRetryDelay, rotationTime-isolated)
 }
 
 // turnPause is when the caller of a turn comes back while this host alone is cut off. Unlike a
--- a/daemon/entry/idle_test.go
+++ b/daemon/entry/idle_test.go
@@ -64,7 +64,7 @@
 			Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}),
 			ConnState: newIdleConns(func() time.Duration { return 15 * time.Second }).state,
 		}
-		go func() { _ = server.Serve(callers{listener}) }()
+		go func() { _ = server.Serve(callerListener{listener}) }()
 		defer func() { _ = server.Close() }()
 		defer close(listener.conns)
 		answers := bufio.NewReader(far)
--- a/daemon/entry/ingress_test.go
+++ b/daemon/entry/ingress_test.go
@@ -16,7 +16,7 @@
 
 // raw sends bytes on one connection and returns the statuses of the first n
 // answers, fewer if the host closes it before.
-func (s *system) raw(text string, n int) []int {
+func (s *testSystem) postRaw(text string, n int) []int {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	require.NoError(s.t, err)
@@ -38,7 +38,7 @@
 	return statuses
 }
 
-func head(id string, extra ...string) string {
+func postHead(id string, extra ...string) string {
 	return "POST /plain/ HTTP/1.1\r\nHost: example\r\n" + ownheaders.ID + ": " + id + "\r\n" + strings.Join(extra, "")
 }
 
@@ -47,19 +47,19 @@
 		text string
 		want []int
 	}{
-		"bad chunk":         {head("1", "Transfer-Encoding: chunked\r\n\r\n", "zz\r\nbody\r\n0\r\n\r\n"), []int{http.StatusBadRequest}},
-		"cut body":          {head("1", "Content-Length: 10\r\n\r\n", "short"), nil},
-		"two lengths":       {head("1", "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", "body!"), []int{http.StatusBadRequest}},
-		"negative length":   {head("1", "Content-Length: -4\r\n\r\n"), []int{http.StatusBadRequest}},
-		"unknown encoding":  {head("1", "Transfer-Encoding: zip\r\n\r\n"), []int{http.StatusNotImplemented}},
-		"space in a name":   {head("1", "Transfer-Encoding : chunked\r\n\r\n"), []int{http.StatusBadRequest}},
+		"bad chunk":         {postHead("1", "Transfer-Encoding: chunked\r\n\r\n", "zz\r\nbody\r\n0\r\n\r\n"), []int{http.StatusBadRequest}},
+		"cut body":          {postHead("1", "Content-Length: 10\r\n\r\n", "short"), nil},
+		"two lengths":       {postHead("1", "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", "body!"), []int{http.StatusBadRequest}},
+		"negative length":   {postHead("1", "Content-Length: -4\r\n\r\n"), []int{http.StatusBadRequest}},
+		"unknown encoding":  {postHead("1", "Transfer-Encoding: zip\r\n\r\n"), []int{http.StatusNotImplemented}},
+		"space in a name":   {postHead("1", "Transfer-Encoding : chunked\r\n\r\n"), []int{http.StatusBadRequest}},
 		"no request at all": {"hello\r\n\r\n", []int{http.StatusBadRequest}},
-		"header too large":  {head("1", "X: "+strings.Repeat("a", 2<<20)+"\r\n\r\n"), []int{http.StatusRequestHeaderFieldsTooLarge}},
+		"header too large":  {postHead("1", "X: "+strings.Repeat("a", 2<<20)+"\r\n\r\n"), []int{http.StatusRequestHeaderFieldsTooLarge}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false })
+			x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false })
 			s := newSystem(t, x)
-			require.Equal(t, c.want, s.raw(c.text, len(c.want)))
+			require.Equal(t, c.want, s.postRaw(c.text, len(c.want)))
 			require.Empty(t, x.requests())
 		})
 	}
@@ -67,27 +67,27 @@
 
 // A request inside another's body stays a body, whichever length a lax reader
 // would take.
-func TestSmuggledRequestStaysABody(t *testing.T) {
-	x := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false })
+func TestSmuggledRequestIsTreatedAsBody(t *testing.T) {
+	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false })
 	s := newSystem(t, x)
 	inner := "GET /plain/secret HTTP/1.1\r\nHost: example\r\n" + ownheaders.ID + ": 2\r\n\r\n"
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(inner), inner)
-	require.Equal(t, []int{http.StatusOK}, s.raw(head("1", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", chunked), 1))
+	require.Equal(t, []int{http.StatusOK}, s.postRaw(postHead("1", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", chunked), 1))
 	seen := x.requests()
 	require.Len(t, seen, 1)
 	require.Equal(t, inner, seen[0].Body)
 }
 
-func TestRequestsOnOneConnectionAreAnsweredInOrder(t *testing.T) {
-	x := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false })
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false })
 	s := newSystem(t, x)
-	two := head("1", "Content-Length: 1\r\n\r\n", "a") + head("2", "Transfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n0\r\n\r\n")
-	require.Equal(t, []int{http.StatusOK, http.StatusOK}, s.raw(two, 2))
+	two := postHead("1", "Content-Length: 1\r\n\r\n", "a") + postHead("2", "Transfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n0\r\n\r\n")
+	require.Equal(t, []int{http.StatusOK, http.StatusOK}, s.postRaw(two, 2))
 	require.Equal(t, "a", x.requests()[0].Body)
 	require.Equal(t, "b", x.requests()[1].Body)
 }
 
-func TestWithoutAConfigurationRequestsComeBackLater(t *testing.T) {
+func TestRequestsWithoutConfigurationAreRetriable(t *testing.T) {
 	s := newSystem(t)
 	s.host.table.Store(nil)
 	got := s.post("/plain/", "", ownheaders.ID, "1")
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -35,7 +35,7 @@
 	f := &fleet{t: t, members: map[string]*member{}, listens: map[string]net.Listener{}}
 	m := placement.New(1)
 	for range members {
-		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
+		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: discardLog()})
 		require.NoError(t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -49,10 +49,10 @@
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
 	for range entries {
-		past := quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
+		past := quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
 		past.Patient(boardPatience)
 		past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
-		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: quietLog()})
+		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: discardLog()})
 		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 1})
 		f.hosts = append(f.hosts, h)
 	}
@@ -152,7 +152,7 @@
 	f.exchange()
 	before := f.hosts[1].State().Loads.Board
 	id := f.board()
-	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
+	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: discardLog()})
 	require.NoError(t, err)
 	again := server.Member()
 	f.members[id].setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
--- a/daemon/entry/plain.go
+++ b/daemon/entry/plain.go
@@ -13,36 +13,36 @@
 )
 
 // plain passes on an answer that is not a stream, of which readAnswer has returned the body.
-func (x *exchange) plain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *pieces, err error) (again bool, _ error) {
+func (x *exchange) deliverPlain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *bodyChunks, err error) (again bool, _ error) {
 	if failure.Is(err, failure.Overloaded) {
-		x.done(t.ID, balance.Abandoned)
+		x.recordOutcome(t.ID, balance.Abandoned)
 		return false, failure.Unknown(failure.Overloaded, "answer of %s: %v", t.ID, err)
 	}
 	if err != nil {
 		f := failure.Unknown(failure.BadAnswer, "body of the answer of %s: %v", t.ID, err)
-		f.Kind = endedBy(ctx, f.Kind)
-		x.done(t.ID, outcomeOf(ctx, f))
+		f.Kind = failureKind(ctx, f.Kind)
+		x.recordOutcome(t.ID, failureOutcome(ctx, f))
 		return x.repeatable(), f
 	}
 	if resp.Status < http.StatusMultipleChoices && !resp.Answer.Signed {
-		x.done(t.ID, balance.Failed)
+		x.recordOutcome(t.ID, balance.Failed)
 		return x.repeatable(), failure.Unknown(failure.BadAnswer, "unsigned answer of %s", t.ID)
 	}
 	if resp.Status < http.StatusInternalServerError {
-		x.done(t.ID, balance.Served)
-		x.took(time.Since(x.sent))
+		x.recordOutcome(t.ID, balance.Served)
+		x.recordDuration(time.Since(x.sentAt))
 	} else {
-		x.done(t.ID, balance.Failed)
-		if x.repeatable() && x.sends < x.route.MaxAttempts && x.hasOther() {
+		x.recordOutcome(t.ID, balance.Failed)
+		if x.repeatable() && x.sendCount < x.route.MaxAttempts && x.hasUntriedTarget() {
 			return true, failure.Unknown(failure.TargetFailed, "target %s answered %d", t.ID, resp.Status)
 		}
 	}
-	if !x.repeatable() && x.promises(resp.Status) {
+	if !x.repeatable() && x.impliesNotRun(resp.Status) {
 		return false, failure.Unknown(failure.BadAnswer, "target %s answered %d and did not say that the request has not run", t.ID, resp.Status)
 	}
-	x.copyHead(resp.Header)
+	x.copyHeader(resp.Header)
 	x.w.Header().Set("Content-Length", strconv.FormatInt(body.size, 10))
-	x.answered = true
+	x.headSent = true
 	x.w.WriteHeader(resp.Status)
 	if err := x.writeAnswer(body); err != nil {
 		return false, failure.Unknown(failure.CallerGone, "answer of %s not taken: %v", t.ID, err)
@@ -52,16 +52,16 @@
 
 // promises reports whether callers take a status as the word that the request has not run
 // and never will. It is the system's to give, or a target's that says so expressly.
-func (x *exchange) promises(status int) bool {
+func (x *exchange) impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusPaymentRequired, http.StatusNotFound, http.StatusGone:
 		return x.turn != nil
 	}
-	return promise(status)
+	return statusImpliesNotRun(status)
 }
 
 // promise reports whether a status is such a word for requests of all kinds.
-func promise(status int) bool {
+func statusImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -70,13 +70,13 @@
 }
 
 // copyHead copies a target's headers but those of its connection.
-func (x *exchange) copyHead(from http.Header) {
+func (x *exchange) copyHeader(from http.Header) {
 	to := x.w.Header()
 	closing := to.Get("Connection") == "close"
 	for name, values := range from {
 		to[name] = values
 	}
-	stripHop(to)
+	removeHopByHopHeaders(to)
 	if closing {
 		to.Set("Connection", "close")
 	}
--- a/daemon/entry/ran.go
+++ b/daemon/entry/ran.go
@@ -31,11 +31,11 @@
 // ran says where the turn ran, nil if it did not.
 func (t *turn) ran() *historypb.Ran {
 	prefix := t.x.call.Prefix
-	if t.events == 0 || len(prefix) == 0 {
+	if t.eventCount == 0 || len(prefix) == 0 {
 		return nil
 	}
 	return &historypb.Ran{
-		Target: t.x.target, Born: t.x.born, Part: prefix[len(prefix)-1].ID, Prompt: t.x.call.PromptTokens,
+		Target: t.x.targetID, Born: t.x.targetStartedAtMs, Part: prefix[len(prefix)-1].ID, Prompt: t.x.call.PromptTokens,
 	}
 }
 
--- a/daemon/entry/ran_test.go
+++ b/daemon/entry/ran_test.go
@@ -13,8 +13,8 @@
 )
 
 // turnOf is a turn of program p with a prompt of these parts.
-func (s *system) turnOf(id string, parts ...request.Part) *turn {
-	x := &exchange{host: s.host, route: &routing.Route{Retention: time.Minute}, service: "s", began: time.Now(), engine: &routing.Engine{TokensPerEvent: 3}}
+func (s *testSystem) turnOf(id string, parts ...request.Part) *turn {
+	x := &exchange{host: s.host, route: &routing.Route{Retention: time.Minute}, service: "s", startedAt: time.Now(), engine: &routing.Engine{TokensPerEvent: 3}}
 	x.call = request.Call{ID: id, Program: "p", Prefix: parts}
 	for _, p := range parts {
 		x.call.PromptTokens += int64(p.Tokens)
@@ -36,10 +36,10 @@
 func TestTurnFollowsItsProgramThroughAnotherHost(t *testing.T) {
 	shared, own, more := request.Part{ID: "shared", Tokens: 2500}, request.Part{ID: "own", Tokens: 900}, request.Part{ID: "more", Tokens: 400}
 	for _, target := range []string{"t1", "t2", "t3"} {
-		s := newSystem(t, newTarget(t, "t1", answering), newTarget(t, "t2", answering), newTarget(t, "t3", answering))
+		s := newSystem(t, newFakeTarget(t, "t1", answerOK), newFakeTarget(t, "t2", answerOK), newFakeTarget(t, "t3", answerOK))
 		before := s.turnOf("1", shared, own)
-		before.x.target, before.events = target, 4
-		require.NoError(t, s.past.Write(t.Context(), "p", time.Minute, before.settlement()))
+		before.x.targetID, before.eventCount = target, 4
+		require.NoError(t, s.history.Write(t.Context(), "p", time.Minute, before.settlementRecord()))
 		next := s.turnOf("2", shared, own, more)
 		require.NoError(t, next.begin(t.Context()))
 		require.Equal(t, target, next.pick())
@@ -47,15 +47,15 @@
 }
 
 func TestWhatDidNotRunSaysNothing(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", answering))
+	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
 	x := s.turnOf("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 5})
-	x.x.target = "t1"
+	x.x.targetID = "t1"
 	require.Nil(t, x.ran())
 }
 
 // A target that has started again since has read nothing.
 func TestTargetThatStartedAgainHasReadNothing(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", answering))
+	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
 	x := s.turnOf("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
 	x.learn([]*historypb.Ran{{Target: "t1", Born: 7, Part: "own"}, {Target: "gone", Part: "own"}, {Target: "t1", Part: "unknown"}})
 	known, _ := s.host.registry.Target("t1")
--- a/daemon/entry/reach_test.go
+++ b/daemon/entry/reach_test.go
@@ -31,7 +31,7 @@
 }
 
 func newReachHost(d *lineDialer) *Host {
-	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
+	h := New(Options{Dialer: d, DataCentre: "dc1", Log: discardLog()})
 	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 	return h
 }
@@ -123,22 +123,22 @@
 		_, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a", DataCentre: "far"})
 		defer release()
 		h.reach.heard("t1")
-		time.Sleep(farSilence)
-		require.True(t, h.reach.heardFrom("far", farSilence))
+		time.Sleep(farSilenceTimeout)
+		require.True(t, h.reach.heardFrom("far", farSilenceTimeout))
 		time.Sleep(time.Millisecond)
-		require.False(t, h.reach.heardFrom("far", farSilence))
-		require.False(t, h.reach.heardFrom("dc1", farSilence))
-		require.False(t, h.heardFrom("far", farSilence), "no history hosts are known")
+		require.False(t, h.reach.heardFrom("far", farSilenceTimeout))
+		require.False(t, h.reach.heardFrom("dc1", farSilenceTimeout))
+		require.False(t, h.heardFrom("far", farSilenceTimeout), "no history hosts are known")
 	})
 }
 
 // A target that starts again under its id knows nothing of the requests that it had: they
 // end at once, and what may be repeated is.
 func TestRequestsAtATargetThatStartsAgainEnd(t *testing.T) {
-	var s *system
-	var b *target
+	var s *testSystem
+	var b *fakeTarget
 	ended := make(chan struct{})
-	a := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
+	a := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
 		view := NewTargetView(s.host, func(id string, spec []byte) (balance.TargetInfo, error) {
 			return balance.TargetInfo{ID: id, StartedAtMs: 2, Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc1", Capacity: 4}, nil
 		})
@@ -146,7 +146,7 @@
 		<-ended
 		return "", true
 	})
-	b = newTarget(t, "t1", answering)
+	b = newFakeTarget(t, "t1", answerOK)
 	s = newSystem(t, a)
 	got := s.post("/plain/", "", ownheaders.ID, "1")
 	close(ended)
@@ -158,7 +158,7 @@
 // An entry that cannot be read names no target: the one that was listed under its name is
 // not used any more, the others are.
 func TestUnreadableEntryEndsItsTarget(t *testing.T) {
-	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
+	a, b := newFakeTarget(t, "t1", answerOK), newFakeTarget(t, "t2", answerOK)
 	s := newSystem(t, a, b)
 	view := NewTargetView(s.host, func(id string, _ []byte) (balance.TargetInfo, error) {
 		return balance.TargetInfo{}, failure.New(failure.InvalidDeclaration, "not readable")
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -20,8 +20,8 @@
 )
 
 // regional is a system with a target in each of two regions; the host is in the north.
-func regional(t *testing.T, answer answerFunc) (s *system, north, south *target) {
-	north, south = newTarget(t, "north", answer), newTarget(t, "south", answer)
+func regional(t *testing.T, answer answerFunc) (s *testSystem, north, south *fakeTarget) {
+	north, south = newFakeTarget(t, "north", answer), newFakeTarget(t, "south", answer)
 	s = newSystem(t, north)
 	s.host.Regions = map[string]string{"dc1": "north", "dc2": "south", "0": "north", "1": "north", "2": "south"}
 	s.host.registry.SetTarget(balance.TargetInfo{ID: "south", Service: "s", Address: south.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
@@ -29,7 +29,7 @@
 }
 
 // bind puts a newer version in force in which a route is bound to regions.
-func (s *system) bind(prefix string, regions routing.Regions) {
+func (s *testSystem) bind(prefix string, regions routing.Regions) {
 	old := s.host.table.Load()
 	var routes []*routing.Route
 	for _, r := range old.Routes() {
@@ -44,14 +44,14 @@
 }
 
 func TestBoundRequestsAreServedInTheirRegionsOnly(t *testing.T) {
-	s, north, south := regional(t, answering)
+	s, north, south := regional(t, answerOK)
 	a := customer("a")
 	a.Regions = routing.NewRegions("north")
-	s.keyed(a, customer("b"))
+	s.requireKeys(a, customer("b"))
 	for name, c := range map[string]struct {
 		regions routing.Regions
 		key     string
-		by      *target
+		by      *fakeTarget
 	}{
 		"route":              {routing.NewRegions("south"), "b-key", south},
 		"route, near":        {routing.NewRegions("north"), "b-key", north},
@@ -62,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s.bind("/once/", c.regions)
-			seen := map[*target]int{north: len(north.requests()), south: len(south.requests())}
+			seen := map[*fakeTarget]int{north: len(north.requests()), south: len(south.requests())}
 			for i := range 6 {
 				got := s.post("/once/", "", ownheaders.ID, name+strconv.Itoa(i), ownheaders.Key, c.key)
 				if c.by == nil {
@@ -81,7 +81,7 @@
 // A service that is full in the regions of a request is full for it, however much room there is
 // in others.
 func TestLoadCountsInTheRegionsOfTheRequest(t *testing.T) {
-	s, north, south := regional(t, answering)
+	s, north, south := regional(t, answerOK)
 	s.bind("/quick/", routing.NewRegions("north"))
 	x, _ := s.host.registry.Target("north")
 	for range 6 {
@@ -106,18 +106,18 @@
 }
 
 // newRegions replaces the history hosts by two in the north and three in the south.
-func (s *system) newRegions() (north, south []*member) {
+func (s *testSystem) newRegions() (north, south []*member) {
 	s.members = nil
-	s.past = quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
-	s.past.Patient(memberPatience)
-	s.host.History = s.past
-	s.startHistoryIn("north", "north", "south", "south", "south")
+	s.history = quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
+	s.history.Patient(memberTimeout)
+	s.host.History = s.history
+	s.startHistoryInRegions("north", "north", "south", "south", "south")
 	return s.members[:2], s.members[2:]
 }
 
 func TestTurnsOfABoundRouteAreKeptInItsRegion(t *testing.T) {
 	s, _, engine := regional(t, func(n int, _ received, id string) (string, bool) {
-		return streamed(id, 0, "answer"+strconv.Itoa(n)), false
+		return okStream(id, 0, "answer"+strconv.Itoa(n)), false
 	})
 	north, south := s.newRegions()
 	s.bind("/turn/", routing.NewRegions("south"))
@@ -133,7 +133,7 @@
 		if i > 0 {
 			previous = "t" + strconv.Itoa(i-1)
 		}
-		require.Equal(t, http.StatusOK, s.turn("/turn/", "t"+strconv.Itoa(i), previous, "secret"+strconv.Itoa(i)).status)
+		require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t"+strconv.Itoa(i), previous, "secret"+strconv.Itoa(i)).status)
 	}
 	require.Equal(t, "secret0answer0\nsecret1answer1\nsecret2answer2\nsecret3answer3\nsecret4answer4\nsecret5", engine.requests()[5].Body)
 	told := int64(0)
@@ -145,28 +145,28 @@
 		require.Zero(t, n.Load())
 	}
 	s.host.work.Wait()
-	past, err := s.past.Read(t.Context(), "p", "")
+	past, err := s.history.Read(t.Context(), "p", "")
 	require.NoError(t, err)
 	require.EqualValues(t, 18, past.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
 }
 
 func TestTurnsThatNoRegionMayKeepAreRefusedAtOnce(t *testing.T) {
-	s, north, south := regional(t, answering)
+	s, north, south := regional(t, answerOK)
 	s.newRegions()
 	s.bind("/turn/", routing.NewRegions("west"))
-	require.Equal(t, http.StatusServiceUnavailable, s.turn("/turn/", "t", "", "secret").status)
+	require.Equal(t, http.StatusServiceUnavailable, s.postTurn("/turn/", "t", "", "secret").status)
 	require.Empty(t, north.requests())
 	require.Empty(t, south.requests())
 }
 
 // Where the operators move a route to another region, turns that were kept go on being found.
 func TestTurnsKeptBeforeARouteWasBoundAreFound(t *testing.T) {
-	s, north, _ := regional(t, func(_ int, _ received, id string) (string, bool) { return streamed(id, 0, "a"), false })
+	s, north, _ := regional(t, func(_ int, _ received, id string) (string, bool) { return okStream(id, 0, "a"), false })
 	s.newRegions()
-	require.Equal(t, http.StatusOK, s.turn("/turn/", "t0", "", "first").status)
+	require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t0", "", "first").status)
 	s.bind("/turn/", routing.NewRegions("north"))
-	require.Equal(t, http.StatusOK, s.turn("/turn/", "t1", "t0", "second").status)
+	require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t1", "t0", "second").status)
 	requests := north.requests()
 	require.Equal(t, "firsta\nsecond", requests[len(requests)-1].Body)
-	require.Equal(t, http.StatusNotFound, s.turn("/turn/", "t2", "never", "third").status)
+	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "t2", "never", "third").status)
 }
--- a/daemon/entry/room.go
+++ b/daemon/entry/room.go
@@ -11,57 +11,57 @@
 const (
 	// roomPause is between two tries at plain targets that are full: one to three of
 	// their requests.
-	roomPause = 50 * time.Millisecond
+	capacityRetryDelay = 50 * time.Millisecond
 	// roomMost and roomShare bound the wait, in all and as a part of the time that the
 	// caller has: what finds no room by then is refused while there is time to come back.
-	roomMost  = 400 * time.Millisecond
-	roomShare = 3
+	maxCapacityWait     = 400 * time.Millisecond
+	capacityWaitDivisor = 3
 )
 
 // room is the wait of a program's call for room at plain targets. A call that is refused
 // is tried once more by its caller and then ends its program; behind a cut the few
 // targets that are left are full for a moment.
-type room struct {
+type capacityWait struct {
 	// full is the targets that refused the call as full.
-	full   map[string]bool
-	waited time.Duration
+	fullTargets map[string]bool
+	waited      time.Duration
 }
 
 // refused notes a target that is full.
-func (r *room) refused(target string) {
-	if r.full == nil {
-		r.full = map[string]bool{}
+func (r *capacityWait) addFull(target string) {
+	if r.fullTargets == nil {
+		r.fullTargets = map[string]bool{}
 	}
-	r.full[target] = true
+	r.fullTargets[target] = true
 }
 
 // only is the targets that may be tried after a wait: those that said that they are full,
 // so that no call is sent to more targets than its route allows.
-func (r *room) only() map[string]bool {
+func (r *capacityWait) retryTargets() map[string]bool {
 	if r.waited == 0 {
 		return nil
 	}
-	return r.full
+	return r.fullTargets
 }
 
 // awaitRoom waits for room at the targets that refused a program's call to a plain
 // service, and lets them be tried again. It reports false if there is nothing to wait
 // for: some target may have run the call, none was merely full, or the time is up.
-func (x *exchange) awaitRoom(ctx context.Context, err error) bool {
-	if x.route.Kind == routing.Streaming || x.call.Program == "" || len(x.room.full) == 0 || failure.From(err).Ran != failure.RanNo {
+func (x *exchange) awaitCapacity(ctx context.Context, err error) bool {
+	if x.route.Kind == routing.Streaming || x.call.Program == "" || len(x.capacityWait.fullTargets) == 0 || failure.From(err).Ran != failure.RanNo {
 		return false
 	}
-	if x.room.waited >= min(roomMost, x.deadline.Sub(x.began)/roomShare) {
+	if x.capacityWait.waited >= min(maxCapacityWait, x.deadline.Sub(x.startedAt)/capacityWaitDivisor) {
 		return false
 	}
-	pause := roomPause + time.Duration(x.draw()*float64(roomPause))
-	x.room.waited += pause
+	pause := capacityRetryDelay + time.Duration(x.draw()*float64(capacityRetryDelay))
+	x.capacityWait.waited += pause
 	if !sleep(ctx, pause) {
 		return false
 	}
 	x.host.Meter.Count("waits", "room")
 	x.host.Log.Info("call waited for room", "request", x.call.ID, "program", x.call.Program, "service", x.service,
-		"full", len(x.room.full), "waited_ms", x.room.waited.Milliseconds())
-	x.tried, x.sends = map[string]bool{}, 0
+		"full", len(x.capacityWait.fullTargets), "waited_ms", x.capacityWait.waited.Milliseconds())
+	x.tried, x.sendCount = map[string]bool{}, 0
 	return true
 }
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -23,11 +23,11 @@
 )
 
 // smallMemory is that of the smallest hosts.
-const smallMemory = 112 << 20
+const smallHostMemoryBytes = 112 << 20
 
 // pipes is a network of unbuffered connections in virtual time: what one side does not read,
 // the other cannot write.
-type pipes struct {
+type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
@@ -35,7 +35,7 @@
 	target func(net.Conn)
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.accepted:
 		return c, nil
@@ -44,14 +44,14 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeNetwork) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) DialContext(context.Context, string, string) (net.Conn, error) {
+func (p *pipeNetwork) DialContext(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go p.target(far)
 	return near, nil
@@ -61,21 +61,21 @@
 // (idempotent) and /quick/ (a stream) ask for.
 type slowHost struct {
 	*Host
-	t     *testing.T
-	pipes *pipes
-	meter *meter.Meter
+	t       *testing.T
+	network *pipeNetwork
+	meter   *meter.Meter
 }
 
-const slowTimeout = 20 * time.Second
+const slowRouteTimeout = 20 * time.Second
 
 func newSlowHost(t *testing.T, target func(net.Conn)) *slowHost {
-	p := &pipes{accepted: make(chan net.Conn), closed: make(chan struct{}), target: target}
+	p := &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{}), target: target}
 	m := meter.New()
-	h := New(Options{Headers: ownheaders.Headers{}, History: quorum.New(p, "dc1", quietLog(), nil), Dialer: p, DataCentre: "dc1",
-		Log: quietLog(), MemoryBytes: smallMemory, Meter: m})
+	h := New(Options{Headers: ownheaders.Headers{}, History: quorum.New(p, "dc1", discardLog(), nil), Dialer: p, DataCentre: "dc1",
+		Log: discardLog(), MemoryBytes: smallHostMemoryBytes, Meter: m})
 	route := func(prefix string, r routing.Route) *routing.Route {
 		r.Host, r.Prefix, r.Services = "example", prefix, []routing.WeightedService{{Service: "s", Weight: 1}}
-		r.MaxAttempts, r.Timeout = 2, slowTimeout
+		r.MaxAttempts, r.Timeout = 2, slowRouteTimeout
 		return &r
 	}
 	h.SetTable(routing.NewTable(1, routing.Limits{}, []*routing.Service{{Name: "s", Engine: &routing.Engine{Capacity: 4}}}, []*routing.Route{
@@ -85,13 +85,13 @@
 	}))
 	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "t1", DataCentre: "dc1", Capacity: 4000})
 	h.Serve(p)
-	return &slowHost{Host: h, t: t, pipes: p, meter: m}
+	return &slowHost{Host: h, t: t, network: p, meter: m}
 }
 
 // stop ends the host, so that nothing of it goes on.
 func (h *slowHost) stop() {
 	h.Close()
-	_ = h.pipes.Close()
+	_ = h.network.Close()
 	close(h.reach.done)
 	h.pool.Close()
 	// http.Server waits a little between the two halves of closing a connection.
@@ -101,12 +101,12 @@
 // connect opens a caller's connection.
 func (h *slowHost) connect() net.Conn {
 	near, far := net.Pipe()
-	h.pipes.accepted <- far
+	h.network.accepted <- far
 	return near
 }
 
 // ask sends a request without a body on a connection of its own.
-func (h *slowHost) ask(path string) net.Conn {
+func (h *slowHost) sendRequest(path string) net.Conn {
 	c := h.connect()
 	h.write(c, requestHead(path, 0))
 	return c
@@ -121,11 +121,11 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: example\r\n" + ownheaders.ID + ": 1\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n"
 }
 
-func (h *slowHost) charged() int64 {
+func (h *slowHost) chargedBytes() int64 {
 	return h.held.state().ChargedBytes
 }
 
-func status(t *testing.T, c net.Conn) int {
+func readStatus(t *testing.T, c net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
@@ -134,7 +134,7 @@
 }
 
 // answerOf returns a target that reads requests whole and answers each with raw.
-func answerOf(raw string) func(net.Conn) {
+func answerWith(raw string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
@@ -154,7 +154,7 @@
 }
 
 // endless streams events until its connection ends, and says when that was.
-func endless(ended *atomic.Int64) func(net.Conn) {
+func endlessStream(ended *atomic.Int64) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
@@ -164,7 +164,7 @@
 		_, err := io.WriteString(c, streamHead("1"))
 		for i := 0; err == nil; i++ {
 			time.Sleep(20 * time.Millisecond)
-			_, err = io.WriteString(c, chunks(i, strings.Repeat("x", 100)))
+			_, err = io.WriteString(c, eventChunks(i, strings.Repeat("x", 100)))
 		}
 	}
 }
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -20,20 +20,20 @@
 
 // The engine of a stream whose caller reads no more is set free before it cuts the answer
 // off itself, and what the caller did is not held against it.
-func TestCallerThatReadsNoMoreReleasesItsEngine(t *testing.T) {
+func TestCallerThatStopsReadingReleasesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ended atomic.Int64
-		h := newSlowHost(t, endless(&ended))
+		h := newSlowHost(t, endlessStream(&ended))
 		defer h.stop()
-		c := h.ask("/quick/")
+		c := h.sendRequest("/quick/")
 		defer c.Close()
 		_, err := io.ReadFull(c, make([]byte, 500))
 		require.NoError(t, err)
 		stopped := time.Now()
-		time.Sleep(streamPatience + 2*writeSlice)
+		time.Sleep(streamWriteTimeout + 2*writeCheckInterval)
 		require.NotZero(t, ended.Load())
-		require.LessOrEqual(t, time.Unix(0, ended.Load()).Sub(stopped), streamPatience+2*writeSlice)
-		require.Zero(t, h.charged())
+		require.LessOrEqual(t, time.Unix(0, ended.Load()).Sub(stopped), streamWriteTimeout+2*writeCheckInterval)
+		require.Zero(t, h.chargedBytes())
 		require.EqualValues(t, 1, h.meter.Value("callers_ended_unread"))
 		require.EqualValues(t, 1, h.meter.Value("sends_abandoned"))
 		require.Zero(t, h.meter.Value("sends_failed"))
@@ -41,16 +41,16 @@
 }
 
 // A caller that reads slowly but steadily gets its whole stream, however long that takes.
-func TestSteadyCallerIsServed(t *testing.T) {
+func TestSlowSteadyCallerIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newSlowHost(t, answerOf(streamed("1", 0, "one", "two", "three")))
+		h := newSlowHost(t, answerWith(okStream("1", 0, "one", "two", "three")))
 		defer h.stop()
-		c := h.ask("/quick/")
+		c := h.sendRequest("/quick/")
 		defer c.Close()
 		var got []byte
 		one := make([]byte, 25)
 		for !strings.HasSuffix(string(got), "0\r\n\r\n") {
-			time.Sleep(streamPatience / 2)
+			time.Sleep(streamWriteTimeout / 2)
 			n, err := c.Read(one)
 			require.NoError(t, err)
 			got = append(got, one[:n]...)
@@ -63,12 +63,12 @@
 // Hundreds of callers that read nothing fill the account, never beyond its bound, whether
 // their answers come one after the other or all at once; a caller that reads is served beside
 // them, and all is released when they are gone.
-func TestSlowCallersFillTheAccountAndNoMore(t *testing.T) {
+func TestSlowCallersStayWithinMemoryBound(t *testing.T) {
 	const callers, size = 400, 400 << 10
-	answer := answerOf(whole("1", strings.Repeat("x", size)))
+	answer := answerWith(okAnswer("1", strings.Repeat("x", size)))
 	for name, target := range map[string]func(net.Conn){
 		"one after the other": answer,
-		"all at once":         delayed(300*time.Millisecond, answer),
+		"all at once":         delayTarget(300*time.Millisecond, answer),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,21 +76,21 @@
 				defer h.stop()
 				var open []net.Conn
 				for range callers {
-					open = append(open, h.ask("/plain/"))
+					open = append(open, h.sendRequest("/plain/"))
 				}
 				for range 30 {
-					require.LessOrEqual(t, h.charged(), h.held.state().AnswerBoundBytes)
+					require.LessOrEqual(t, h.chargedBytes(), h.held.state().AnswerBoundBytes)
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.Greater(t, h.charged(), h.held.state().RequestBoundBytes*9/10, "the account is full")
+				require.Greater(t, h.chargedBytes(), h.held.state().RequestBoundBytes*9/10, "the account is full")
 				require.Zero(t, h.meter.Value("requests_answered"))
-				require.True(t, h.served("/plain/"))
+				require.True(t, h.servedWithRetries("/plain/"))
 				require.Positive(t, h.meter.Value("callers_ended_no_room"))
 				for _, c := range open {
 					_ = c.Close()
 				}
 				synctest.Wait()
-				require.Zero(t, h.charged())
+				require.Zero(t, h.chargedBytes())
 				for _, k := range held.Kinds() {
 					require.Zero(t, h.held.state().Bytes[k.String()], k.String())
 				}
@@ -100,7 +100,7 @@
 }
 
 // delayed is a target that takes its time before it begins with a connection.
-func delayed(d time.Duration, target func(net.Conn)) func(net.Conn) {
+func delayTarget(d time.Duration, target func(net.Conn)) func(net.Conn) {
 	return func(c net.Conn) {
 		time.Sleep(d)
 		target(c)
@@ -108,27 +108,27 @@
 }
 
 // served reports whether a caller that reads gets its answer within a few tries.
-func (h *slowHost) served(path string) bool {
+func (h *slowHost) servedWithRetries(path string) bool {
 	for range 5 {
-		c := h.ask(path)
-		got := status(h.t, c)
+		c := h.sendRequest(path)
+		got := readStatus(h.t, c)
 		_ = c.Close()
 		if got == http.StatusOK {
 			return true
 		}
-		time.Sleep(retryLater)
+		time.Sleep(defaultRetryDelay)
 	}
 	return false
 }
 
 // A host that stops does so within its grace, whatever its callers and targets do.
-func TestDrainEndsBesideTheSlow(t *testing.T) {
+func TestDrainEndsWithinGraceDespiteSlowPeers(t *testing.T) {
 	const grace = 8 * time.Second
 	silent := func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 	var ended atomic.Int64
 	for name, target := range map[string]func(net.Conn){
-		"slow callers": answerOf(whole("1", strings.Repeat("x", 100<<10))),
-		"slow streams": endless(&ended),
+		"slow callers": answerWith(okAnswer("1", strings.Repeat("x", 100<<10))),
+		"slow streams": endlessStream(&ended),
 		"slow target":  silent,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 					path = "/quick/"
 				}
 				for range 300 {
-					c := h.ask(path)
+					c := h.sendRequest(path)
 					defer c.Close()
 				}
 				synctest.Wait()
@@ -149,14 +149,14 @@
 				require.LessOrEqual(t, time.Since(began), grace)
 				h.Close()
 				time.Sleep(time.Minute)
-				require.Zero(t, h.charged())
+				require.Zero(t, h.chargedBytes())
 			})
 		})
 	}
 }
 
 // A caller that does not send the rest of its body is refused in time, and reaches no target.
-func TestBodyThatDoesNotComeIsRefused(t *testing.T) {
+func TestStalledUploadIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, func(c net.Conn) { t.Error("sent to a target"); _ = c.Close() })
 		defer h.stop()
@@ -169,21 +169,21 @@
 			if path == "/nowhere/" {
 				want = http.StatusNotFound
 			}
-			require.Equal(t, want, status(t, c))
+			require.Equal(t, want, readStatus(t, c))
 			require.LessOrEqual(t, time.Since(began), defaultHeaderTimeout)
 			_, err := c.Read(make([]byte, 1))
 			require.Error(t, err, "closed")
 			synctest.Wait()
-			require.Zero(t, h.charged())
+			require.Zero(t, h.chargedBytes())
 		}
 		require.EqualValues(t, 1, h.meter.Value("callers_ended_unsent"))
 	})
 }
 
 // A body that comes slowly but steadily is read to its end.
-func TestBodyThatComesSteadilyIsRead(t *testing.T) {
+func TestSlowSteadyUploadIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newSlowHost(t, answerOf(whole("1", "done")))
+		h := newSlowHost(t, answerWith(okAnswer("1", "done")))
 		defer h.stop()
 		c := h.connect()
 		defer c.Close()
@@ -192,13 +192,13 @@
 			time.Sleep(defaultHeaderTimeout * 9 / 10)
 			h.write(c, "x")
 		}
-		require.Equal(t, http.StatusOK, status(t, c))
+		require.Equal(t, http.StatusOK, readStatus(t, c))
 	})
 }
 
 // A target that reads no more of a request costs its caller the route's time and no more,
 // and the body is released with it.
-func TestTargetThatReadsNoMore(t *testing.T) {
+func TestTargetThatStopsReadingEndsAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan struct{}, 1)
 		h := newSlowHost(t, func(c net.Conn) {
@@ -206,7 +206,7 @@
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			time.Sleep(slowTimeout + time.Second)
+			time.Sleep(slowRouteTimeout + time.Second)
 			if _, err := io.Copy(io.Discard, in); err == nil {
 				ended <- struct{}{}
 			}
@@ -217,10 +217,10 @@
 		const size = 200 << 10
 		began := time.Now()
 		h.write(c, requestHead("/once/", size)+strings.Repeat("x", size))
-		require.Equal(t, http.StatusGatewayTimeout, status(t, c))
-		require.LessOrEqual(t, time.Since(began), slowTimeout+500*time.Millisecond)
+		require.Equal(t, http.StatusGatewayTimeout, readStatus(t, c))
+		require.LessOrEqual(t, time.Since(began), slowRouteTimeout+500*time.Millisecond)
 		synctest.Wait()
-		require.Zero(t, h.charged())
+		require.Zero(t, h.chargedBytes())
 		time.Sleep(2 * time.Second)
 		require.Len(t, ended, 1, "the connection was closed")
 	})
@@ -228,9 +228,9 @@
 
 // Where bodies fill the account, the next one is refused soon and has not run; the slow
 // callers end, and there is room again.
-func TestUploadsBeyondTheBoundAreRefused(t *testing.T) {
+func TestUploadsOverMemoryBoundAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newSlowHost(t, answerOf(whole("1", "done")))
+		h := newSlowHost(t, answerWith(okAnswer("1", "done")))
 		defer h.stop()
 		const size = defaultBodyBytes
 		for range 60 {
@@ -239,7 +239,7 @@
 			go func() { _, _ = io.WriteString(c, requestHead("/plain/", size)+"the rest never comes") }()
 		}
 		synctest.Wait()
-		require.LessOrEqual(t, h.charged(), h.held.state().RequestBoundBytes)
+		require.LessOrEqual(t, h.chargedBytes(), h.held.state().RequestBoundBytes)
 		began := time.Now()
 		c := h.connect()
 		defer c.Close()
@@ -253,34 +253,34 @@
 		again := h.connect()
 		defer again.Close()
 		go func() { _, _ = fmt.Fprint(again, requestHead("/once/", size), strings.Repeat("x", size)) }()
-		require.Equal(t, http.StatusOK, status(t, again))
+		require.Equal(t, http.StatusOK, readStatus(t, again))
 	})
 }
 
 // What a request with an ordinary prompt costs the runtime, the bytes that it holds included,
 // is within what it is charged at least.
-func TestOrdinaryRequestFitsItsFloor(t *testing.T) {
+func TestOrdinaryRequestFitsMinimumCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers, prompt = 300, 12 << 10
 		var ended atomic.Int64
-		h := newSlowHost(t, endless(&ended))
+		h := newSlowHost(t, endlessStream(&ended))
 		defer h.stop()
-		before := inUse()
+		before := memoryInUse()
 		for range callers {
 			c := h.connect()
 			defer c.Close()
 			h.write(c, requestHead("/quick/", prompt)+strings.Repeat("x", prompt))
 		}
-		time.Sleep(streamPatience / 2)
+		time.Sleep(streamWriteTimeout / 2)
 		require.Equal(t, callers, h.active())
-		bytes := (inUse() - before) / callers
+		bytes := (memoryInUse() - before) / callers
 		t.Logf("%d bytes a request, with those of its caller and target", bytes)
 		require.Less(t, bytes, int64(held.MinRequestBytes))
 	})
 }
 
 // inUse is the memory in use for the heap and for stacks.
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -14,7 +14,7 @@
 
 // gauges serves what the host holds.
 func (h *Host) gauges() {
-	h.bytesGauges()
+	h.registerByteGauges()
 	h.Meter.Gauge("requests_active", func() int64 { return int64(h.active()) })
 	h.held.gauges()
 	h.Meter.Gauge("targets_listed", func() int64 {
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -15,22 +15,22 @@
 
 // stream passes events on as they come. A stream that breaks is resumed at other
 // targets where the route allows it.
-func (x *exchange) stream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (again bool, err error) {
+func (x *exchange) deliverStream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (again bool, err error) {
 	last := x.call.LastEventID
 	for {
-		err = x.pump(ctx, resp, &last)
+		err = x.deliverEvents(ctx, resp, &last)
 		if err == nil {
-			x.done(t.ID, balance.Served)
+			x.recordOutcome(t.ID, balance.Served)
 			return false, x.finishStream(ctx, resp)
 		}
-		if ours := endedHere(err); ours != nil {
+		if ours := localFailure(err); ours != nil {
 			// Says nothing of the target.
-			x.done(t.ID, balance.Abandoned)
+			x.recordOutcome(t.ID, balance.Abandoned)
 			return false, failure.Unknown(ours.Kind, "stream of %s: %v", t.ID, err)
 		}
 		f := failure.Unknown(failure.BadAnswer, "stream of %s broke off: %v", t.ID, err)
-		f.Kind = endedBy(ctx, f.Kind)
-		x.done(t.ID, outcomeOf(ctx, f))
+		f.Kind = failureKind(ctx, f.Kind)
+		x.recordOutcome(t.ID, failureOutcome(ctx, f))
 		_ = resp.Body.Close()
 		if !x.route.Resumable || ctx.Err() != nil {
 			return false, f
@@ -48,12 +48,12 @@
 // there is no room for what it has not taken.
 var (
 	errCallerWrite = failure.New(failure.CallerGone, "write to the caller")
-	errNoRoom      = failure.New(failure.Overloaded, "no room for the stream")
+	errNoMemory    = failure.New(failure.Overloaded, "no room for the stream")
 )
 
 // endedHere returns the failure if it lies on this side of the stream.
-func endedHere(err error) *failure.Failure {
-	for _, f := range []*failure.Failure{errCallerWrite, errNoRoom} {
+func localFailure(err error) *failure.Failure {
+	for _, f := range []*failure.Failure{errCallerWrite, errNoMemory} {
 		if errors.Is(err, f) {
 			return f
 		}
@@ -62,10 +62,10 @@
 }
 
 // pump passes whole events on until the stream ends.
-func (x *exchange) pump(ctx context.Context, resp *targetpool.Response, last *string) error {
+func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, last *string) error {
 	flush := http.NewResponseController(x.w)
-	events := &eventReader{from: resp.Body, room: x.roomFor(ctx, held.Events)}
-	defer func() { x.held.release(held.Events, events.charged) }()
+	events := &eventReader{source: resp.Body, reserve: x.reserveFunc(ctx, held.Events)}
+	defer func() { x.held.release(held.Events, events.reserved) }()
 	var heard time.Time
 	for {
 		e, err := events.next()
@@ -75,17 +75,17 @@
 		if err != nil {
 			return err
 		}
-		x.begin(resp)
-		x.host.reach.heard(x.target)
+		x.writeHead(resp)
+		x.host.reach.heard(x.targetID)
 		now := time.Now()
 		if heard.IsZero() {
-			x.firstEvent(now.Sub(x.sent))
+			x.recordFirstEvent(now.Sub(x.sentAt))
 		} else {
-			x.streamed(now.Sub(heard))
+			x.recordEvent(now.Sub(heard))
 		}
 		heard = now
-		if x.turn != nil && !x.turn.note(ctx, e) {
-			return errNoRoom
+		if x.turn != nil && !x.turn.addEvent(ctx, e) {
+			return errNoMemory
 		}
 		if _, err := x.w.Write(e.raw); err != nil {
 			return errCallerWrite
@@ -101,14 +101,14 @@
 
 // begin sends the head of the answer, once: that of the first target. Until then
 // a failure is answered by a head of our own.
-func (x *exchange) begin(resp *targetpool.Response) {
-	if x.answered {
+func (x *exchange) writeHead(resp *targetpool.Response) {
+	if x.headSent {
 		return
 	}
-	x.copyHead(resp.Header)
-	x.answered, x.firstByte = true, time.Now()
-	if c := callerOf(x.r); c != nil {
-		c.hurry()
+	x.copyHeader(resp.Header)
+	x.headSent, x.firstByteAt = true, time.Now()
+	if c := callerConnOf(x.r); c != nil {
+		c.useStreamTimeout()
 	}
 	x.w.WriteHeader(resp.Status)
 }
@@ -116,8 +116,8 @@
 // resume sends the request to another target, after the last event passed on. The
 // caller releases the guard of the new target.
 func (x *exchange) resume(ctx context.Context, last string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
-	for x.sends < x.route.MaxAttempts {
-		t, err := x.pick()
+	for x.sendCount < x.route.MaxAttempts {
+		t, err := x.pickTarget()
 		if err != nil {
 			return balance.TargetInfo{}, nil, nil, err
 		}
@@ -128,26 +128,26 @@
 		if err != nil {
 			release()
 			f := failure.From(err)
-			x.done(t.ID, outcomeOf(ctx, f))
+			x.recordOutcome(t.ID, failureOutcome(ctx, f))
 			if f.Ran != failure.RanNo {
-				x.sends++
+				x.sendCount++
 			}
 			continue
 		}
-		x.sends++
+		x.sendCount++
 		if resp.Status == http.StatusOK {
 			return t, resp, release, nil
 		}
-		x.done(t.ID, balance.Refused)
+		x.recordOutcome(t.ID, balance.Refused)
 		_ = resp.Body.Close()
 		release()
 	}
-	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sends)
+	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sendCount)
 }
 
 // finishStream makes a turn durable before its caller sees it end.
 func (x *exchange) finishStream(ctx context.Context, resp *targetpool.Response) error {
-	x.begin(resp)
+	x.writeHead(resp)
 	if x.turn == nil {
 		return nil
 	}
--- a/daemon/entry/suspect_test.go
+++ b/daemon/entry/suspect_test.go
@@ -43,7 +43,7 @@
 // manyTargets is a host before so many targets of one data centre, whose addresses are numbers.
 func manyTargets(n int, dark func(address string) bool) (*Host, *someDialer) {
 	d := &someDialer{dark: dark}
-	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
+	h := New(Options{Dialer: d, DataCentre: "dc1", Log: discardLog()})
 	for i := range n {
 		h.registry.SetTarget(balance.TargetInfo{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint(i), DataCentre: "dc1"})
 	}
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -15,27 +15,27 @@
 const (
 	// historyPatience bounds the wait for history hosts before a turn is sent: a
 	// caller that is refused comes back to another host.
-	historyPatience = 800 * time.Millisecond
+	historyTimeout = 800 * time.Millisecond
 	// settlementWait is how long a refusal for want of budget waits for settlements on
 	// their way: one takes some 5 ms, and the refusal ends the program.
-	settlementWait = 300 * time.Millisecond
-	settlementPoll = 30 * time.Millisecond
+	maxSettlementWait      = 300 * time.Millisecond
+	settlementPollInterval = 30 * time.Millisecond
 	// cutPatience is how long history hosts may be out of reach until a turn that cannot be
 	// kept is broken off: its caller sends it again elsewhere, and would else wait for the end
 	// of the cut, or give up after two seconds and more.
-	cutPatience = 500 * time.Millisecond
+	unreachableHistoryTimeout = 500 * time.Millisecond
 	// settlePatience bounds the settling of a budget after an answer.
-	settlePatience = 3 * time.Second
+	settleTimeout = 3 * time.Second
 )
 
 // turn is one turn of a program while it runs.
 type turn struct {
-	x      *exchange
-	input  []byte
-	output []byte
-	events int64
+	x          *exchange
+	input      []byte
+	output     []byte
+	eventCount int64
 	// kept is the program under which the turn and those before it are kept; see keptAs.
-	kept string
+	historyProgram string
 }
 
 // defaultRetention is for routes that do not say how long programs are kept.
@@ -45,7 +45,7 @@
 // begins at its end.
 func (x *exchange) retention() time.Duration {
 	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
-	return keep + x.host.History.Outlast(patience(0, x.route.Timeout))
+	return keep + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
 }
 
 func (x *exchange) isTurn() bool {
@@ -54,7 +54,7 @@
 
 // note counts an event that is about to go to the caller, or reports that there is no
 // room to keep it.
-func (t *turn) note(ctx context.Context, e event) bool {
+func (t *turn) addEvent(ctx context.Context, e event) bool {
 	if t.x.route.Retained {
 		// Once here, once in the record of the turn.
 		copies := 2 * int64(len(e.data)+1)
@@ -64,25 +64,25 @@
 		t.output = append(t.output, e.data...)
 		t.output = append(t.output, '\n')
 	}
-	t.events++
+	t.eventCount++
 	return true
 }
 
 // tokens is what was handed to the caller so far.
-func (t *turn) tokens() int64 { return t.events * t.x.engine.TokensPerEvent }
+func (t *turn) deliveredTokens() int64 { return t.eventCount * t.x.engine.TokensPerEvent }
 
 // serveTurn reserves budget, rebuilds the prompt, and forwards the turn.
 func (x *exchange) serveTurn(ctx context.Context) error {
 	t := &turn{x: x, input: x.body}
 	var err error
-	if t.kept, err = x.keptAs(); err != nil {
+	if t.historyProgram, err = x.historyProgram(); err != nil {
 		return err
 	}
 	err = t.begin(ctx)
 	if err == nil {
-		err = x.withinQuota(ctx)
+		err = x.awaitQuotaToken(ctx)
 	}
-	x.host.Meter.Observe("turn_begin", time.Since(x.began))
+	x.host.Meter.Observe("turn_begin", time.Since(x.startedAt))
 	if err != nil {
 		t.settle()
 		return err
@@ -98,8 +98,8 @@
 // of the program reserved before and the chain that this one continues.
 func (t *turn) begin(ctx context.Context) error {
 	x := t.x
-	if !x.host.History.Servable(x.program()) || !x.host.History.Servable(t.kept) {
-		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "history hosts of the program are out of reach")
+	if !x.host.History.Servable(x.budgetProgram()) || !x.host.History.Servable(t.historyProgram) {
+		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are out of reach")
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
@@ -107,37 +107,37 @@
 		Reserve: &historypb.Reserve{Turn: x.call.ID, Tokens: x.call.MaxTokens},
 	}}
 	history := x.host.History
-	if err := history.Write(ctx, x.program(), x.retention(), reserve); err != nil {
-		return t.later(err)
+	if err := history.Write(ctx, x.budgetProgram(), x.retention(), reserve); err != nil {
+		return t.historyFailure(err)
 	}
-	past, err := t.past(ctx)
+	past, err := t.readPast(ctx)
 	if err != nil {
-		return t.later(err)
+		return t.historyFailure(err)
 	}
-	if past, err = t.afford(ctx, past); err != nil {
+	if past, err = t.checkBudget(ctx, past); err != nil {
 		return err
 	}
 	x.learn(past.Ran)
-	x.underWay = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
-	return t.prepend(ctx, past.Chain, past.Elsewhere)
+	x.programStarted = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
+	return t.prependChain(ctx, past.Chain, past.Elsewhere)
 }
 
 // past reads the budget use of the program, where its turns ran, and the chain that the turn
 // continues.
-func (t *turn) past(ctx context.Context) (*quorum.Past, error) {
+func (t *turn) readPast(ctx context.Context) (*quorum.Past, error) {
 	x := t.x
 	previous := ""
 	if x.route.Retained {
-		previous = x.owned(x.call.PreviousTurn)
+		previous = x.customerScoped(x.call.PreviousTurn)
 	}
-	if t.kept == x.program() || previous == "" {
-		return x.host.History.Read(ctx, x.program(), previous, x.ownParts()...)
+	if t.historyProgram == x.budgetProgram() || previous == "" {
+		return x.host.History.Read(ctx, x.budgetProgram(), previous, x.ownParts()...)
 	}
-	past, err := x.host.History.Read(ctx, x.program(), "", x.ownParts()...)
+	past, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.ownParts()...)
 	if err != nil {
 		return nil, err
 	}
-	chain, err := x.host.History.Read(ctx, t.kept, previous)
+	chain, err := x.host.History.Read(ctx, t.historyProgram, previous)
 	if err != nil {
 		return nil, err
 	}
@@ -147,20 +147,20 @@
 
 // afford refuses the turn if the budget does not allow it, once no settlement that
 // would make room can be on its way any more. It returns the newest reading.
-func (t *turn) afford(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
+func (t *turn) checkBudget(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
 	call := &t.x.call
-	for end := time.Now().Add(settlementWait); ; {
+	for end := time.Now().Add(maxSettlementWait); ; {
 		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
 			return past, nil
 		}
 		wait := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(end)
-		if !wait || !sleep(ctx, settlementPoll) {
+		if !wait || !sleep(ctx, settlementPollInterval) {
 			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
 				past.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
 		}
-		newer, err := t.x.host.History.Read(ctx, t.x.program(), "")
+		newer, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
 		if err != nil {
-			return nil, t.later(err)
+			return nil, t.historyFailure(err)
 		}
 		past.Usage = newer.Usage
 	}
@@ -179,17 +179,17 @@
 }
 
 // later tells the caller to come back, unless trying again cannot help.
-func (t *turn) later(err error) error {
+func (t *turn) historyFailure(err error) error {
 	f := *failure.From(err)
 	if f.Kind == failure.UnknownTurn {
 		return &f
 	}
-	f.Kind, f.Ran, f.RetryAfter = failure.HistoryUnavailable, failure.RanNo, t.x.comeBack()
+	f.Kind, f.Ran, f.RetryAfter = failure.HistoryUnavailable, failure.RanNo, t.x.historyRetryDelay()
 	return &f
 }
 
 // comeBack is when the caller should try again after history hosts could not serve it.
-func (x *exchange) comeBack() time.Duration {
+func (x *exchange) historyRetryDelay() time.Duration {
 	if x.isTurn() && x.host.History.CutAlone() {
 		return turnPause
 	}
@@ -198,8 +198,8 @@
 
 // prepend puts the chain, oldest turn first, before the new input. A chain that
 // another program kept is copied, so that it lives as long as this program.
-func (t *turn) prepend(ctx context.Context, chain []*historypb.Turn, elsewhere bool) error {
-	kept, err := t.hold(ctx, chain)
+func (t *turn) prependChain(ctx context.Context, chain []*historypb.Turn, elsewhere bool) error {
+	kept, err := t.reserveMemory(ctx, chain)
 	if err != nil || len(chain) == 0 {
 		return err
 	}
@@ -217,15 +217,15 @@
 	for _, c := range chain {
 		records = append(records, &historypb.Record{Change: &historypb.Record_Turn{Turn: c}})
 	}
-	if err := t.x.host.History.Write(ctx, t.kept, t.x.retention(), records...); err != nil {
-		return t.later(err)
+	if err := t.x.host.History.Write(ctx, t.historyProgram, t.x.retention(), records...); err != nil {
+		return t.historyFailure(err)
 	}
 	return nil
 }
 
 // hold makes room for the chain, which is kept bytes long, the prompt that is built of it,
 // and the input in the record of the turn.
-func (t *turn) hold(ctx context.Context, chain []*historypb.Turn) (kept int64, err error) {
+func (t *turn) reserveMemory(ctx context.Context, chain []*historypb.Turn) (kept int64, err error) {
 	for _, c := range chain {
 		kept += int64(len(c.Content))
 	}
@@ -251,22 +251,22 @@
 	began := time.Now()
 	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(began)) }()
 	content := append(append([]byte(nil), t.input...), t.output...)
-	records := []*historypb.Record{t.settlement(), {Change: &historypb.Record_Turn{
-		Turn: &historypb.Turn{Turn: t.x.owned(t.x.call.ID), Previous: t.x.owned(t.x.call.PreviousTurn), Content: content},
+	records := []*historypb.Record{t.settlementRecord(), {Change: &historypb.Record_Turn{
+		Turn: &historypb.Turn{Turn: t.x.customerScoped(t.x.call.ID), Previous: t.x.customerScoped(t.x.call.PreviousTurn), Content: content},
 	}}}
-	if t.kept != t.x.program() {
+	if t.historyProgram != t.x.budgetProgram() {
 		// The settlement beside the turn only makes all replicas there keep the turns before it.
 		defer t.settle()
 	}
-	if err := t.x.host.History.WriteWithin(ctx, cutPatience, t.kept, t.x.retention(), records...); err != nil {
+	if err := t.x.host.History.WriteWithin(ctx, unreachableHistoryTimeout, t.historyProgram, t.x.retention(), records...); err != nil {
 		return failure.Unknown(failure.HistoryUnavailable, "turn not kept: %v", err)
 	}
 	return nil
 }
 
-func (t *turn) settlement() *historypb.Record {
+func (t *turn) settlementRecord() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
-		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.tokens(), Ran: t.ran()},
+		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.ran()},
 	}}
 }
 
@@ -275,11 +275,11 @@
 func (t *turn) settle() {
 	h := t.x.host
 	h.work.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settlePatience)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
-		if err := h.History.Write(ctx, t.x.program(), t.x.retention(), t.settlement()); err != nil {
+		if err := h.History.Write(ctx, t.x.budgetProgram(), t.x.retention(), t.settlementRecord()); err != nil {
 			h.Meter.Count("budgets", "unsettled")
-			h.Log.Warn("budget not settled", "request", t.x.call.ID, "program", t.x.call.Program, "tokens", t.tokens(), "error", err.Error())
+			h.Log.Warn("budget not settled", "request", t.x.call.ID, "program", t.x.call.Program, "tokens", t.deliveredTokens(), "error", err.Error())
 		}
 	})
 }
