--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -33,38 +33,38 @@
 }
 
 // readBefore bounds reads of the caller; a zero time ends the bound.
-func (x *exchange) setReadDeadline(t time.Time) {
-	if err := http.NewResponseController(x.w).SetReadDeadline(t); err != nil {
+func (x *exchange) setReadDeadline(deadline time.Time) {
+	if err := http.NewResponseController(x.w).SetReadDeadline(deadline); err != nil {
 		x.host.Log.Debug("no time limit for the caller", "request", x.call.ID, "error", err.Error())
 	}
 }
 
 // readBody reads the request's body. What it holds is charged before it is read.
 func (x *exchange) readBody() error {
-	announced := x.r.ContentLength
-	if announced == 0 {
+	contentLength := x.r.ContentLength
+	if contentLength == 0 {
 		return nil
 	}
 	limit := cmp.Or(x.table.Limits.BodyBytes, defaultBodyBytes)
-	if announced > limit {
+	if contentLength > limit {
 		return x.closeAfterAnswer(failure.New(failure.TooLarge, "body over %d bytes", limit))
 	}
 	size := int64(initialReadBytes)
-	if announced > 0 {
+	if contentLength > 0 {
 		// One byte more, so that the end is seen without growing.
-		size = announced + 1
+		size = contentLength + 1
 	}
 	if err := x.growBody(size); err != nil {
 		return x.closeAfterAnswer(err)
 	}
-	from := http.MaxBytesReader(x.w, x.r.Body, limit)
+	source := http.MaxBytesReader(x.w, x.r.Body, limit)
 	for {
 		if len(x.body) == cap(x.body) {
 			if err := x.growBody(int64(2 * cap(x.body))); err != nil {
 				return x.closeAfterAnswer(err)
 			}
 		}
-		err := x.readBodyChunk(from)
+		err := x.readBodyChunk(source)
 		if err == io.EOF {
 			x.setReadDeadline(time.Time{})
 			return nil
@@ -85,14 +85,14 @@
 }
 
 // readSome appends to the body what the caller has sent.
-func (x *exchange) readBodyChunk(from io.Reader) error {
-	limit := time.Now().Add(x.host.uploadIdleTimeout())
-	if x.deadline.Before(limit) {
-		limit = x.deadline
+func (x *exchange) readBodyChunk(source io.Reader) error {
+	deadline := time.Now().Add(x.host.uploadIdleTimeout())
+	if x.deadline.Before(deadline) {
+		deadline = x.deadline
 	}
-	x.setReadDeadline(limit)
+	x.setReadDeadline(deadline)
 	x.held.await()
-	n, err := from.Read(x.body[len(x.body):cap(x.body)])
+	n, err := source.Read(x.body[len(x.body):cap(x.body)])
 	x.held.arrived()
 	x.body = x.body[:len(x.body)+n]
 	return err
@@ -100,9 +100,9 @@
 
 // uploadFailed tells why a body could not be read.
 func (x *exchange) uploadFailure(err error, limit int64) error {
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return failure.New(failure.TooLarge, "body over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		x.uploadTimedOut = true
@@ -139,16 +139,16 @@
 // answers that are read by turns, none to its end, would fill the room for good.
 func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*bodyChunks, error) {
 	body := &bodyChunks{}
-	room, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
+	size, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
 	if err != nil {
-		room = initialReadBytes
+		size = initialReadBytes
 	}
 	// At least one byte: the end has to be read too.
-	for room = max(room, 1); body.size+room <= maxPlainAnswerBytes+chunkBytes; room = chunkBytes {
-		if err := x.held.grow(ctx, held.Answer, room, answerWait); err != nil {
+	for size = max(size, 1); body.size+size <= maxPlainAnswerBytes+chunkBytes; size = chunkBytes {
+		if err := x.held.grow(ctx, held.Answer, size, answerWait); err != nil {
 			return nil, err
 		}
-		if err := body.read(resp.Body, room); err != nil {
+		if err := body.read(resp.Body, size); err != nil {
 			return body, ignoreEOF(err)
 		}
 	}
@@ -165,13 +165,13 @@
 
 // read appends up to room bytes. It returns the reader's own error: that of a cut answer is
 // not that of a whole one.
-func (p *bodyChunks) read(from io.Reader, room int64) error {
-	for room > 0 {
-		piece := make([]byte, min(room, chunkBytes))
-		n, err := readFull(from, piece)
-		p.chunks = append(p.chunks, piece[:n])
+func (p *bodyChunks) read(source io.Reader, size int64) error {
+	for size > 0 {
+		chunk := make([]byte, min(size, chunkBytes))
+		n, err := readFull(source, chunk)
+		p.chunks = append(p.chunks, chunk[:n])
 		p.size += int64(n)
-		room -= int64(n)
+		size -= int64(n)
 		if err != nil {
 			return err
 		}
@@ -180,31 +180,31 @@
 }
 
 // fill reads until p is full or the reader ends.
-func readFull(from io.Reader, p []byte) (n int, err error) {
+func readFull(source io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
-		var more int
-		more, err = from.Read(p[n:])
-		n += more
+		var read int
+		read, err = source.Read(p[n:])
+		n += read
 	}
 	return n, err
 }
 
 // writeAnswer hands an answer to the caller and releases what the caller has taken.
 func (x *exchange) writeAnswer(body *bodyChunks) error {
-	for i, piece := range body.chunks {
-		if _, err := x.w.Write(piece); err != nil {
+	for i, chunk := range body.chunks {
+		if _, err := x.w.Write(chunk); err != nil {
 			return err
 		}
 		body.chunks[i] = nil
-		x.held.release(held.Answer, int64(cap(piece)))
+		x.held.release(held.Answer, int64(cap(chunk)))
 	}
 	return nil
 }
 
 // roomFor charges bytes of a kind that come with an answer.
-func (x *exchange) reserveFunc(ctx context.Context, k held.Kind) func(n int64) error {
+func (x *exchange) reserveFunc(ctx context.Context, kind held.Kind) func(n int64) error {
 	return func(n int64) error {
-		if x.held.grow(ctx, k, n, answerWait) != nil {
+		if x.held.grow(ctx, kind, n, answerWait) != nil {
 			return errNoMemory
 		}
 		return nil
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -29,9 +29,9 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &callerConn{Conn: c}
-	x.writeTimeout.Store(int64(answerWriteTimeout))
-	return x, nil
+	conn := &callerConn{Conn: c}
+	conn.writeTimeout.Store(int64(answerWriteTimeout))
+	return conn, nil
 }
 
 // callerConn is a caller's connection. A write ends when the caller has taken nothing of it
@@ -58,9 +58,9 @@
 }
 
 // serves notes which request is being answered, nil for none.
-func (c *callerConn) setRequest(x *holding) {
+func (c *callerConn) setRequest(request *holding) {
 	c.writeTimeout.Store(int64(answerWriteTimeout))
-	c.request.Store(x)
+	c.request.Store(request)
 }
 
 // hurry bounds the writes of a stream.
@@ -68,36 +68,36 @@
 
 // Write implements net.Conn.
 func (c *callerConn) Write(p []byte) (int, error) {
-	x := c.request.Load()
-	if x != nil {
-		x.await()
-		defer x.arrived()
+	request := c.request.Load()
+	if request != nil {
+		request.await()
+		defer request.arrived()
 	}
-	written, moved := 0, time.Now()
+	written, lastProgress := 0, time.Now()
 	for {
 		n, err := c.writeWithin(writeCheckInterval, p[written:])
 		written += n
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
-		patience := time.Duration(c.writeTimeout.Load())
+		timeout := time.Duration(c.writeTimeout.Load())
 		switch {
 		case n > 0:
-			moved = time.Now()
-			if x != nil {
-				x.await()
+			lastProgress = time.Now()
+			if request != nil {
+				request.await()
 			}
-		case time.Since(moved) >= patience:
-			if x != nil {
-				x.stalled(patience)
+		case time.Since(lastProgress) >= timeout:
+			if request != nil {
+				request.stalled(timeout)
 			}
 			return written, err
 		}
 	}
 }
 
-func (c *callerConn) writeWithin(d time.Duration, p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(d)); err != nil {
+func (c *callerConn) writeWithin(timeout time.Duration, p []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/daemon/entry/caller_test.go
+++ b/daemon/entry/caller_test.go
@@ -18,10 +18,10 @@
 	caller, err = net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
-	c, err := callerListener{l}.Accept()
+	conn, err := callerListener{l}.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() })
-	return c.(*callerConn), caller
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn.(*callerConn), caller
 }
 
 func TestWriteTimesOutIfCallerStopsReading(t *testing.T) {
--- a/daemon/entry/room.go
+++ b/daemon/entry/capacity_wait.go
@@ -54,9 +54,9 @@
 	if x.capacityWait.waited >= min(maxCapacityWait, x.deadline.Sub(x.startedAt)/capacityWaitDivisor) {
 		return false
 	}
-	pause := capacityRetryDelay + time.Duration(x.draw()*float64(capacityRetryDelay))
-	x.capacityWait.waited += pause
-	if !sleep(ctx, pause) {
+	delay := capacityRetryDelay + time.Duration(x.draw()*float64(capacityRetryDelay))
+	x.capacityWait.waited += delay
+	if !sleep(ctx, delay) {
 		return false
 	}
 	x.host.Meter.Count("waits", "room")
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -11,22 +11,22 @@
 // configuration. It is called before each send, so that a key that was taken away is used
 // by no repeat either.
 func (x *exchange) authorise() error {
-	t := x.host.table.Load()
-	if !t.RequiresKey() || x.route.Public {
+	table := x.host.table.Load()
+	if !table.RequiresKey() || x.route.Public {
 		return nil
 	}
-	if stale := x.host.staleFor(); stale > 0 {
-		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(stale), "the configuration was confirmed %d ms ago", x.host.configurationAge().Milliseconds())
+	if staleFor := x.host.staleFor(); staleFor > 0 {
+		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(staleFor), "the configuration was confirmed %d ms ago", x.host.configurationAge().Milliseconds())
 	}
-	customer, known := t.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
+	customer, known := table.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
 	if known && (x.customer == nil || x.customer.Name == customer.Name) {
-		x.customer, x.customerVersion = customer, t.Version
+		x.customer, x.customerVersion = customer, table.Version
 		return nil
 	}
 	if age := x.host.configurationAge(); x.host.Keys.SureAge > 0 && age > x.host.Keys.SureAge {
 		return failure.Retry(failure.StaleConfiguration, defaultRetryDelay, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
 	}
-	return failure.New(failure.Unauthorized, "unknown key in version %d", t.Version)
+	return failure.New(failure.Unauthorized, "unknown key in version %d", table.Version)
 }
 
 // customerName is the caller's customer, empty where there is none.
@@ -51,11 +51,11 @@
 	if regions.Unrestricted() {
 		return nil
 	}
-	in := balance.DataCentreSet{}
+	allowed := balance.DataCentreSet{}
 	for dataCentre, region := range x.host.Regions {
-		in[dataCentre] = regions.Allows(region)
+		allowed[dataCentre] = regions.Allows(region)
 	}
-	return in
+	return allowed
 }
 
 // program is the name under which the request's program has its budget.
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -15,13 +15,13 @@
 // keyed puts a newer version in force, with customers and the route /open/ that is public.
 func (s *testSystem) requireKeys(customers ...*routing.Customer) {
 	s.t.Helper()
-	c, err := routing.NewCustomers(customers)
+	byKey, err := routing.NewCustomers(customers)
 	require.NoError(s.t, err)
-	old := s.host.table.Load()
-	open := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Public: true}
-	service, _ := old.Service("s")
-	routes := append(old.Routes(), open)
-	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, []*routing.Service{service}, routes).RequireKeys(c))
+	current := s.host.table.Load()
+	public := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Public: true}
+	service, _ := current.Service("s")
+	routes := append(current.Routes(), public)
+	s.host.SetTable(routing.NewTable(current.Version+1, current.Limits, []*routing.Service{service}, routes).RequireKeys(byKey))
 	s.host.confirm(time.Now())
 }
 
@@ -82,15 +82,15 @@
 // A key that is taken away while a request is repeated is not used for the repeat.
 func TestRetryIsRejectedAfterKeyRemoval(t *testing.T) {
 	var s *testSystem
-	breaking := func(n int, _ received, id string) (string, bool) {
+	refusing := func(n int, _ received, id string) (string, bool) {
 		s.requireKeys(customer("b"))
 		return refusedAnswer(id), false
 	}
-	a, b := newFakeTarget(t, "t1", breaking), newFakeTarget(t, "t2", breaking)
-	s = newSystem(t, a, b)
+	first, second := newFakeTarget(t, "t1", refusing), newFakeTarget(t, "t2", refusing)
+	s = newSystem(t, first, second)
 	s.requireKeys(customer("a"), customer("b"))
 	require.Equal(t, http.StatusUnauthorized, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
-	require.Equal(t, 1, len(a.requests())+len(b.requests()))
+	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
 // A host that has not heard of the platform for the longest time allowed serves no keys,
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -72,13 +72,13 @@
 	s := newSystem(t, a, b, c)
 	got := s.post("/once/", "", ownheaders.ID, "1", ownheaders.Program, "p")
 	require.Equal(t, http.StatusOK, got.status)
-	asked := 0
+	targetsAsked := 0
 	for _, x := range []*fakeTarget{a, b, c} {
 		if len(x.requests()) > 0 {
-			asked++
+			targetsAsked++
 		}
 	}
-	require.Equal(t, 2, asked, "the route allows two targets")
+	require.Equal(t, 2, targetsAsked, "the route allows two targets")
 }
 
 func TestProgramCallIsRejectedIfTargetsStayFull(t *testing.T) {
@@ -174,13 +174,13 @@
 }
 
 func TestResumableStreamContinuesAtAnotherTarget(t *testing.T) {
-	first := func(n int, r received, id string) (string, bool) {
+	breakThenResume := func(n int, r received, id string) (string, bool) {
 		if r.LastEvent == "" {
 			return streamHead(id) + eventChunks(1, "a", "b") + "5\r\nid: 3", true
 		}
 		return okStream(id, 3, "c"), false
 	}
-	a, b := newFakeTarget(t, "t1", first), newFakeTarget(t, "t2", first)
+	a, b := newFakeTarget(t, "t1", breakThenResume), newFakeTarget(t, "t2", breakThenResume)
 	s := newSystem(t, a, b)
 	got := s.postTurn("/quick/", "1", "", "x")
 	require.NoError(t, got.err)
@@ -222,23 +222,23 @@
 		return okStream(id, 1, "a", "b", "c", "d"), false // 4 events of 3 tokens
 	})
 	s := newSystem(t, x)
-	sent := 0
+	served := 0
 	for _, id := range []string{"1", "2", "3"} {
 		got := s.post("/quick/", "x", ownheaders.ID, id, ownheaders.Program, "p", ownheaders.Budget, "24", ownheaders.MaxTokens, "12")
 		if got.status == http.StatusOK {
-			sent++
+			served++
 			continue
 		}
 		require.Equal(t, http.StatusPaymentRequired, got.status)
 	}
-	require.Equal(t, 2, sent)
+	require.Equal(t, 2, served)
 	require.Len(t, x.requests(), 2)
 }
 
 func TestTimeoutIsAnsweredImmediately(t *testing.T) {
-	hold := make(chan struct{})
-	t.Cleanup(func() { close(hold) })
-	x := newFakeTarget(t, "t1", func(int, received, string) (string, bool) { <-hold; return "", true })
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	x := newFakeTarget(t, "t1", func(int, received, string) (string, bool) { <-release; return "", true })
 	s := newSystem(t, x)
 	require.Equal(t, http.StatusGatewayTimeout, s.post("/short/", "", ownheaders.ID, "1").status)
 }
@@ -246,14 +246,14 @@
 func TestOnlyTimeoutsAndBrokenAnswersCountAsTargetFailures(t *testing.T) {
 	broken := failure.Unknown(failure.BadAnswer, "cut")
 	require.Equal(t, balance.Failed, failureOutcome(t.Context(), broken))
-	left, leave := context.WithCancel(t.Context())
-	timed, cancel := context.WithDeadlineCause(left, time.Now().Add(-time.Second), context.DeadlineExceeded)
+	callerCtx, cancelCaller := context.WithCancel(t.Context())
+	expired, cancel := context.WithDeadlineCause(callerCtx, time.Now().Add(-time.Second), context.DeadlineExceeded)
 	defer cancel()
-	require.Equal(t, balance.Failed, failureOutcome(timed, broken))
-	require.Equal(t, failure.Timeout, failureKind(timed, broken.Kind))
-	leave()
-	require.Equal(t, balance.Abandoned, failureOutcome(left, broken))
-	require.Equal(t, failure.CallerGone, failureKind(left, broken.Kind))
+	require.Equal(t, balance.Failed, failureOutcome(expired, broken))
+	require.Equal(t, failure.Timeout, failureKind(expired, broken.Kind))
+	cancelCaller()
+	require.Equal(t, balance.Abandoned, failureOutcome(callerCtx, broken))
+	require.Equal(t, failure.CallerGone, failureKind(callerCtx, broken.Kind))
 }
 
 // The end of a turn that nothing continues depends on no history host.
--- a/daemon/entry/events.go
+++ b/daemon/entry/events.go
@@ -28,15 +28,15 @@
 }
 
 // charge makes room for one more chunk.
-func (r *eventReader) reserveChunk(chunk int) error {
-	more := int64(len(r.buf)+chunk) - r.reserved
-	if r.reserve == nil || more <= 0 {
+func (r *eventReader) reserveChunk(chunkSize int) error {
+	size := int64(len(r.buf)+chunkSize) - r.reserved
+	if r.reserve == nil || size <= 0 {
 		return nil
 	}
-	if err := r.reserve(more); err != nil {
+	if err := r.reserve(size); err != nil {
 		return err
 	}
-	r.reserved += more
+	r.reserved += size
 	return nil
 }
 
@@ -70,7 +70,7 @@
 
 func parseEvent(raw []byte) event {
 	e := event{raw: raw}
-	first := true
+	firstData := true
 	for line := range bytes.SplitSeq(bytes.TrimRight(raw, "\n"), []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
@@ -78,11 +78,11 @@
 		case "id":
 			e.id = string(value)
 		case "data":
-			if !first {
+			if !firstData {
 				e.data = append(e.data, '\n')
 			}
 			e.data = append(e.data, value...)
-			first = false
+			firstData = false
 		}
 	}
 	return e
--- a/daemon/entry/events_test.go
+++ b/daemon/entry/events_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func readEvents(from io.Reader) (list []event, err error) {
-	r := &eventReader{source: from}
+func readEvents(source io.Reader) (list []event, err error) {
+	r := &eventReader{source: source}
 	for {
 		e, err := r.next()
 		if err != nil {
@@ -22,12 +22,12 @@
 
 func TestEventsAreSplitRegardlessOfReadSizes(t *testing.T) {
 	text := "id: 1\ndata: a\n\nx-weights: 4\nid: 2\ndata: b\ndata:c\n\n"
-	for name, from := range map[string]io.Reader{
+	for name, source := range map[string]io.Reader{
 		"at once":     bytes.NewBufferString(text),
 		"by the byte": iotest.OneByteReader(bytes.NewBufferString(text)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			list, err := readEvents(from)
+			list, err := readEvents(source)
 			require.Equal(t, io.EOF, err)
 			require.Len(t, list, 2)
 			require.Equal(t, "1", list[0].id)
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -51,28 +51,28 @@
 
 // forward sends the request to targets until one answers or no more may be tried.
 func (x *exchange) forward(ctx context.Context) error {
-	var worst error
+	var reported error
 	for {
 		t, err := x.pickTarget()
 		if err != nil {
-			worst = failureToReport(worst, err)
-			if x.awaitCapacity(ctx, worst) {
+			reported = failureToReport(reported, err)
+			if x.awaitCapacity(ctx, reported) {
 				continue
 			}
-			return worst
+			return reported
 		}
-		again, err := x.attempt(ctx, t)
+		retry, err := x.attempt(ctx, t)
 		if err == nil {
 			return nil
 		}
-		worst = failureToReport(worst, err)
-		if !again || ctx.Err() != nil {
-			return worst
+		reported = failureToReport(reported, err)
+		if !retry || ctx.Err() != nil {
+			return reported
 		}
 		x.host.Meter.Count("sends", "repeated", string(failure.From(err).Kind))
 		x.host.Log.Info("request sent again", "request", x.call.ID, "target", t.ID, "sends", x.sendCount, "error", err.Error())
-		if x.sendCount >= x.route.MaxAttempts && !x.awaitCapacity(ctx, worst) {
-			return worst
+		if x.sendCount >= x.route.MaxAttempts && !x.awaitCapacity(ctx, reported) {
+			return reported
 		}
 	}
 }
@@ -98,30 +98,30 @@
 	}
 	h := x.host
 	h.mu.Lock()
-	v := h.dispatch.Decide(dispatch.Request{
+	decision := h.dispatch.Decide(dispatch.Request{
 		Query: balance.Query{
 			Service: x.service, WorkKind: x.route.Name, Parts: x.call.Prefix, PromptTokens: x.call.PromptTokens, Exclude: x.tried, Allowed: x.capacityWait.retryTargets(), DataCentres: x.allowedDataCentres(),
 		},
 		ProgramStarted: !x.startsProgram() || x.sendCount > 0, Draw: x.draw(),
 	}, h.now())
-	if v.Action != dispatch.Send {
+	if decision.Action != dispatch.Send {
 		size := h.registry.Size()
 		h.mu.Unlock()
-		return balance.TargetInfo{}, x.notSentFailure(v, size)
+		return balance.TargetInfo{}, x.notSentFailure(decision, size)
 	}
-	c := v.Choice
-	listed := c.TargetInfo
-	c.RecordSend(x.call.Prefix, h.now())
+	choice := decision.Choice
+	target := choice.TargetInfo
+	choice.RecordSend(x.call.Prefix, h.now())
 	h.mu.Unlock()
-	x.tried[listed.ID] = true
-	x.targetID, x.targetStartedAtMs, x.targetLoad, x.uncachedTokens = listed.ID, listed.StartedAtMs, float64(c.Load)/float64(max(1, c.Capacity)), c.UncachedTokens
-	h.Meter.Count("sends", x.serviceKind(), x.distance(listed))
+	x.tried[target.ID] = true
+	x.targetID, x.targetStartedAtMs, x.targetLoad, x.uncachedTokens = target.ID, target.StartedAtMs, float64(choice.Load)/float64(max(1, choice.Capacity)), choice.UncachedTokens
+	h.Meter.Count("sends", x.serviceKind(), x.distance(target))
 	h.Log.Info("request routed", "request", x.call.ID, "program", x.call.Program, "customer", x.customerName(), "route", x.route.Name, "config", x.table.Version,
-		"target", listed.ID, "data_centre", listed.DataCentre, "load", c.Load, "places", c.Capacity, "report_age_ms", c.ReportAge.Milliseconds(),
-		"slowdown", roundHundredths(c.Slowdown), "predicted_ms", c.Predicted.Milliseconds(), "near", c.NearTarget, "near_predicted_ms", c.NearPredicted.Milliseconds(),
-		"prompt", x.call.PromptTokens, "missing", c.UncachedTokens, "candidates", c.Candidates, "send", x.sendCount+1,
+		"target", target.ID, "data_centre", target.DataCentre, "load", choice.Load, "places", choice.Capacity, "report_age_ms", choice.ReportAge.Milliseconds(),
+		"slowdown", roundHundredths(choice.Slowdown), "predicted_ms", choice.Predicted.Milliseconds(), "near", choice.NearTarget, "near_predicted_ms", choice.NearPredicted.Milliseconds(),
+		"prompt", x.call.PromptTokens, "missing", choice.UncachedTokens, "candidates", choice.Candidates, "send", x.sendCount+1,
 		"left_ms", time.Until(x.deadline).Milliseconds(), "program_left_ms", x.remainingProgramTime().Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds())
-	return listed, nil
+	return target, nil
 }
 
 // hundredths rounds a figure for the log.
@@ -153,14 +153,14 @@
 }
 
 // unsent is the failure of a request that goes to no target.
-func (x *exchange) notSentFailure(v dispatch.Decision, targets int) error {
-	if v.Action == dispatch.NoTarget {
-		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no target of %s among %d", x.service, targets)
+func (x *exchange) notSentFailure(decision dispatch.Decision, targetCount int) error {
+	if decision.Action == dispatch.NoTarget {
+		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no target of %s among %d", x.service, targetCount)
 	}
 	x.host.Meter.Count("turned_away", "full")
 	x.host.Log.Info("program turned away", "request", x.call.ID, "program", x.call.Program, "service", x.service,
-		"load_percent", int(100*v.Load), "come_back_ms", v.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
-	return failure.Retry(failure.Overloaded, v.RetryDelay, "the engines of %s have a queue, load %.2f", x.service, v.Load)
+		"load_percent", int(100*decision.Load), "come_back_ms", decision.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
+	return failure.Retry(failure.Overloaded, decision.RetryDelay, "the engines of %s have a queue, load %.2f", x.service, decision.Load)
 }
 
 // hasOther reports whether there is a target that has not been tried.
@@ -173,17 +173,17 @@
 }
 
 // done reports the end of a send to the registry.
-func (x *exchange) recordOutcome(target string, o balance.Outcome) {
-	x.host.recordOutcome(balance.TargetInfo{ID: target, StartedAtMs: x.targetStartedAtMs}, o)
+func (x *exchange) recordOutcome(targetID string, outcome balance.Outcome) {
+	x.host.recordOutcome(balance.TargetInfo{ID: targetID, StartedAtMs: x.targetStartedAtMs}, outcome)
 }
 
 // ended reports the end of a send to the start of a target.
-func (h *Host) recordOutcome(t balance.TargetInfo, o balance.Outcome) {
-	h.Meter.Count("sends", o.String())
+func (h *Host) recordOutcome(t balance.TargetInfo, outcome balance.Outcome) {
+	h.Meter.Count("sends", outcome.String())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
-		t.RecordOutcome(o, h.now())
+		t.RecordOutcome(outcome, h.now())
 	}
 }
 
@@ -222,22 +222,22 @@
 
 // heard takes the load that a target tells at the head of its answer. At the end of
 // a stream the word would be old.
-func (h *Host) recordAnswerHead(t balance.TargetInfo, a request.Answer) {
+func (h *Host) recordAnswerHead(t balance.TargetInfo, head request.Answer) {
 	h.reach.heard(t.ID)
-	if !a.HasLoad {
+	if !head.HasLoad {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
-		t.RecordLoadReport(a.Load, h.now())
+		t.RecordLoadReport(head.Load, h.now())
 	}
 }
 
 // try sends the request to one target and passes its answer on. again reports
 // that another target may be tried.
-func (x *exchange) attempt(ctx context.Context, t balance.TargetInfo) (again bool, err error) {
-	if delay, twice := x.hedgeDelay(); twice {
+func (x *exchange) attempt(ctx context.Context, t balance.TargetInfo) (retry bool, err error) {
+	if delay, hedged := x.hedgeDelay(); hedged {
 		return x.attemptHedged(ctx, t, delay)
 	}
 	guarded, release := x.host.reach.guard(ctx, t)
@@ -259,7 +259,7 @@
 }
 
 // unanswered ends a send to which no answer began.
-func (x *exchange) handleSendError(ctx context.Context, t balance.TargetInfo, err error) (again bool, _ error) {
+func (x *exchange) handleSendError(ctx context.Context, t balance.TargetInfo, err error) (retry bool, _ error) {
 	f := failure.From(err)
 	x.recordOutcome(t.ID, failureOutcome(ctx, f))
 	if f.Ran != failure.RanNo {
@@ -269,7 +269,7 @@
 }
 
 // putBack ends a send that its target did not run.
-func (x *exchange) handleNotRun(t balance.TargetInfo, resp *targetpool.Response) (again bool, _ error) {
+func (x *exchange) handleNotRun(t balance.TargetInfo, resp *targetpool.Response) (retry bool, _ error) {
 	x.recordOutcome(t.ID, refusalOutcome(resp.Answer))
 	if !resp.Answer.Misdirected {
 		x.capacityWait.addFull(t.ID)
@@ -279,19 +279,19 @@
 
 // send sends the request to one target; a connection that cannot be made starts
 // probes of it.
-func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEvent string) (*targetpool.Response, error) {
+func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEventID string) (*targetpool.Response, error) {
 	x.sentAt = time.Now()
 	x.firstSentAt = x.sentAt
-	return x.host.roundTrip(ctx, t, x.newTargetRequest(t, lastEvent))
+	return x.host.roundTrip(ctx, t, x.newTargetRequest(t, lastEventID))
 }
 
 // ask sends a request to a target, and takes what its answer says of it.
-func (h *Host) roundTrip(ctx context.Context, t balance.TargetInfo, out *targetpool.Request) (*targetpool.Response, error) {
-	sent := time.Now()
-	resp, err := h.pool.Do(ctx, out, h.decodeAnswer)
+func (h *Host) roundTrip(ctx context.Context, t balance.TargetInfo, req *targetpool.Request) (*targetpool.Response, error) {
+	sentAt := time.Now()
+	resp, err := h.pool.Do(ctx, req, h.decodeAnswer)
 	switch {
 	case err == nil:
-		h.Meter.Observe("target_head", time.Since(sent))
+		h.Meter.Observe("target_head", time.Since(sentAt))
 		h.recordAnswerHead(t, resp.Answer)
 	case failure.From(err).Ran == failure.RanNo && ctx.Err() == nil:
 		h.reach.lost(t.ID, t.Address)
@@ -299,8 +299,8 @@
 	return resp, err
 }
 
-func refusalOutcome(a request.Answer) balance.Outcome {
-	if a.Misdirected {
+func refusalOutcome(head request.Answer) balance.Outcome {
+	if head.Misdirected {
 		return balance.Failed
 	}
 	return balance.Refused
@@ -331,22 +331,22 @@
 }
 
 // outgoing builds the request to a target.
-func (x *exchange) newTargetRequest(t balance.TargetInfo, lastEvent string) *targetpool.Request {
+func (x *exchange) newTargetRequest(t balance.TargetInfo, lastEventID string) *targetpool.Request {
 	header := x.host.Headers.Outgoing(x.r.Header, request.SendOptions{
-		Instance: t.ID, Timeout: max(minTargetTimeout, time.Until(x.deadline)), LastEventID: lastEvent,
+		Instance: t.ID, Timeout: max(minTargetTimeout, time.Until(x.deadline)), LastEventID: lastEventID,
 		Priority: min(maxPriority, x.priority()), HasPriority: x.engine != nil,
 		HideKey: x.host.table.Load().RequiresKey(), Customer: x.customerName(),
 	})
 	removeHopByHopHeaders(header)
-	idle := maxIdleTime
-	once := x.route.Kind != routing.Idempotent
+	idleTime := maxIdleTime
+	notIdempotent := x.route.Kind != routing.Idempotent
 	far := t.DataCentre != x.host.DataCentre
-	if once && far && !x.host.heardFrom(t.DataCentre, farSilenceTimeout) {
-		idle = maxFarOnceIdleTime
+	if notIdempotent && far && !x.host.heardFrom(t.DataCentre, farSilenceTimeout) {
+		idleTime = maxFarOnceIdleTime
 	}
 	return &targetpool.Request{
 		Address: t.Address, Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host,
-		Header: header, Body: x.body, ID: x.call.ID, MaxIdle: idle,
+		Header: header, Body: x.body, ID: x.call.ID, MaxIdle: idleTime,
 		Bytes: x.host.targetBytes.counter(x.isTurn(), far),
 	}
 }
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/guarantees_test.go
@@ -24,11 +24,11 @@
 // A status that promises that a request has not run is passed on only where the target said
 // so itself: a bare status may come from a target that broke down midway.
 func TestUnmarkedTargetStatusDoesNotClaimNotRun(t *testing.T) {
-	for line, path := range map[string]string{"402 Payment Required": "/turn/", "408 Timeout": "/once/", "429 Many": "/once/", "503 Busy": "/turn/", "404 None": "/turn/"} {
+	for statusLine, path := range map[string]string{"402 Payment Required": "/turn/", "408 Timeout": "/once/", "429 Many": "/once/", "503 Busy": "/turn/", "404 None": "/turn/"} {
 		for _, signed := range []string{"", ownheaders.Signature + ": s\r\n"} {
-			t.Run(line+" "+strings.TrimSpace(signed), func(t *testing.T) {
+			t.Run(statusLine+" "+strings.TrimSpace(signed), func(t *testing.T) {
 				x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
-					return "HTTP/1.1 " + line + "\r\n" + ownheaders.ID + ": " + id + "\r\n" + signed + "Content-Length: 4\r\n\r\nbusy", false
+					return "HTTP/1.1 " + statusLine + "\r\n" + ownheaders.ID + ": " + id + "\r\n" + signed + "Content-Length: 4\r\n\r\nbusy", false
 				})
 				s := newSystem(t, x)
 				got := s.postTurn(path, "1", "", "x")
@@ -48,11 +48,11 @@
 	require.NoError(t, err)
 	r.Header.Set(ownheaders.Left, "5000")
 	x := &exchange{host: s.host, r: r, table: s.host.table.Load(), route: s.host.table.Load().Routes()[0], tried: map[string]bool{}}
-	for left, most := range map[time.Duration]int64{2 * time.Second: 2000, 400 * time.Microsecond: 1, -time.Second: 1} {
-		x.deadline = time.Now().Add(left)
+	for remaining, maxMs := range map[time.Duration]int64{2 * time.Second: 2000, 400 * time.Microsecond: 1, -time.Second: 1} {
+		x.deadline = time.Now().Add(remaining)
 		got := parseNumber(x.newTargetRequest(balance.TargetInfo{ID: "t1"}, "").Header.Get(ownheaders.Left))
-		require.Positive(t, got, "%v", left)
-		require.LessOrEqual(t, got, most, "%v", left)
+		require.Positive(t, got, "%v", remaining)
+		require.LessOrEqual(t, got, maxMs, "%v", remaining)
 	}
 }
 
@@ -60,7 +60,7 @@
 func TestRetryGetsRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		var left []int64
+		var timeoutsMs []int64
 		h := newSlowHost(t, func(c net.Conn) {
 			defer c.Close()
 			req, err := http.ReadRequest(bufio.NewReader(c))
@@ -68,8 +68,8 @@
 				return
 			}
 			mu.Lock()
-			left = append(left, parseNumber(req.Header.Get(ownheaders.Left)))
-			n := len(left)
+			timeoutsMs = append(timeoutsMs, parseNumber(req.Header.Get(ownheaders.Left)))
+			n := len(timeoutsMs)
 			mu.Unlock()
 			time.Sleep(time.Second)
 			if n > 1 {
@@ -83,9 +83,9 @@
 		require.Equal(t, http.StatusOK, readStatus(t, c))
 		mu.Lock()
 		defer mu.Unlock()
-		require.Len(t, left, 2)
-		require.LessOrEqual(t, left[0], slowRouteTimeout.Milliseconds())
-		require.LessOrEqual(t, left[1], (slowRouteTimeout - time.Second).Milliseconds())
+		require.Len(t, timeoutsMs, 2)
+		require.LessOrEqual(t, timeoutsMs[0], slowRouteTimeout.Milliseconds())
+		require.LessOrEqual(t, timeoutsMs[1], (slowRouteTimeout - time.Second).Milliseconds())
 	})
 }
 
@@ -116,15 +116,15 @@
 
 // Whatever a target leaves out, its caller has the end of its request by the route's time.
 func TestRequestEndsByRouteTimeout(t *testing.T) {
-	for name, x := range partialAnswers {
+	for name, partial := range partialAnswers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ended := make(chan time.Time, 2)
-				h := newSlowHost(t, stopAfter(x.raw, ended))
+				h := newSlowHost(t, stopAfter(partial.raw, ended))
 				defer h.stop()
-				c := h.sendRequest(x.path)
+				c := h.sendRequest(partial.path)
 				defer c.Close()
-				began := time.Now()
+				startedAt := time.Now()
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				require.NoError(t, err)
 				_, err = io.Copy(io.Discard, resp.Body)
@@ -133,8 +133,8 @@
 				} else {
 					require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 				}
-				require.LessOrEqual(t, time.Since(began), slowRouteTimeout+timeSlack)
-				require.LessOrEqual(t, (<-ended).Sub(began), slowRouteTimeout+timeSlack)
+				require.LessOrEqual(t, time.Since(startedAt), slowRouteTimeout+timeSlack)
+				require.LessOrEqual(t, (<-ended).Sub(startedAt), slowRouteTimeout+timeSlack)
 			})
 		})
 	}
@@ -148,27 +148,27 @@
 		defer h.stop()
 		c := h.connect()
 		defer c.Close()
-		began := time.Now()
+		startedAt := time.Now()
 		h.write(c, strings.Replace(requestHead("/plain/", 100), "\r\n\r\n", "\r\n"+ownheaders.Left+": 700\r\n\r\n", 1)+"half")
 		require.Equal(t, http.StatusServiceUnavailable, readStatus(t, c))
-		require.LessOrEqual(t, time.Since(began), 700*time.Millisecond+timeSlack)
+		require.LessOrEqual(t, time.Since(startedAt), 700*time.Millisecond+timeSlack)
 	})
 }
 
 // Work for a caller that has left ends at its target at once, and goes to no other.
 func TestTargetWorkEndsWhenCallerLeaves(t *testing.T) {
-	for name, x := range partialAnswers {
+	for name, partial := range partialAnswers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ended := make(chan time.Time, 2)
-				h := newSlowHost(t, stopAfter(x.raw, ended))
+				h := newSlowHost(t, stopAfter(partial.raw, ended))
 				defer h.stop()
 				h.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: "t2", DataCentre: "dc1", Capacity: 4})
-				c := h.sendRequest(x.path)
+				c := h.sendRequest(partial.path)
 				time.Sleep(time.Second)
-				left := time.Now()
+				leftAt := time.Now()
 				require.NoError(t, c.Close())
-				require.LessOrEqual(t, (<-ended).Sub(left), timeSlack)
+				require.LessOrEqual(t, (<-ended).Sub(leftAt), timeSlack)
 				time.Sleep(slowRouteTimeout)
 				require.Empty(t, ended, "sent nowhere else")
 				require.Zero(t, h.active())
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -81,7 +81,7 @@
 
 // logAnswer says how a request that was answered by a target went.
 func (x *exchange) recordAnswer() {
-	first, events := time.Duration(0), int64(0)
+	firstByteAfter, events := time.Duration(0), int64(0)
 	m := x.host.Meter
 	m.Count("requests", "answered")
 	m.Observe("request", time.Since(x.startedAt))
@@ -89,11 +89,11 @@
 		events = x.turn.eventCount
 	}
 	if !x.firstByteAt.IsZero() {
-		first = x.firstByteAt.Sub(x.startedAt)
-		m.Observe("first_event", first)
+		firstByteAfter = x.firstByteAt.Sub(x.startedAt)
+		m.Observe("first_event", firstByteAfter)
 	}
 	x.host.Log.Info("request answered", "request", x.call.ID, "program", x.call.Program, "target", x.targetID, "sends", x.sendCount,
-		"first_ms", first.Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds(), "events", events)
+		"first_ms", firstByteAfter.Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds(), "events", events)
 }
 
 func (x *exchange) serve() error {
@@ -149,15 +149,15 @@
 const maxRequestTimeout = 60 * time.Second
 
 // patience is the smaller of the two times that are given.
-func effectiveTimeout(caller, route time.Duration) time.Duration {
-	limit := maxRequestTimeout
-	if caller > 0 {
-		limit = min(limit, caller)
+func effectiveTimeout(callerTimeout, routeTimeout time.Duration) time.Duration {
+	timeout := maxRequestTimeout
+	if callerTimeout > 0 {
+		timeout = min(timeout, callerTimeout)
 	}
-	if route > 0 {
-		limit = min(limit, route)
+	if routeTimeout > 0 {
+		timeout = min(timeout, routeTimeout)
 	}
-	return limit
+	return timeout
 }
 
 // fail gives the caller the final answer at once.
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -220,9 +220,9 @@
 		require.NoError(s.t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(s.t, err)
-		x := &member{server: server}
-		go func() { _ = rpc.Serve(l, x.handle) }()
-		s.members = append(s.members, x)
+		started := &member{server: server}
+		go func() { _ = rpc.Serve(l, started.handle) }()
+		s.members = append(s.members, started)
 		s.t.Cleanup(func() {
 			_ = l.Close()
 			server.Close() // a settlement on its way would write to the folder while it is removed
@@ -238,9 +238,9 @@
 	for _, x := range s.members {
 		require.NoError(s.t, x.server.Adopt(m))
 	}
-	text, err := json.Marshal(m)
+	spec, err := json.Marshal(m)
 	require.NoError(s.t, err)
-	s.history.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
+	s.history.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: spec}}})
 }
 
 // answer is what a caller got.
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -33,81 +33,81 @@
 // is not sent twice: only calls that the configuration lets run twice are, and within the
 // attempts of their route.
 func (x *exchange) hedgeDelay() (time.Duration, bool) {
-	twice := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
-	if !twice || x.capacityWait.waited > 0 || x.sendCount+2 > x.route.MaxAttempts {
+	hedgeable := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
+	if !hedgeable || x.capacityWait.waited > 0 || x.sendCount+2 > x.route.MaxAttempts {
 		return 0, false
 	}
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d, ok := h.hedger.Delay(x.route.Name)
-	return d, ok && d < time.Until(x.deadline)
+	delay, ok := h.hedger.Delay(x.route.Name)
+	return delay, ok && delay < time.Until(x.deadline)
 }
 
 // tryTwice sends the call to one target, and to another one if the first has not answered
 // after a delay. The first whole answer goes to the caller; the other send is broken off,
 // so that its target drops the work.
-func (x *exchange) attemptHedged(ctx context.Context, t balance.TargetInfo, delay time.Duration) (again bool, err error) {
-	replies := make(chan *sendResult, 2)
-	began := time.Now()
-	x.firstSentAt = began
-	var stops []context.CancelFunc
-	stop := func() {
-		for _, s := range stops {
-			s()
+func (x *exchange) attemptHedged(ctx context.Context, t balance.TargetInfo, delay time.Duration) (retry bool, err error) {
+	results := make(chan *sendResult, 2)
+	startedAt := time.Now()
+	x.firstSentAt = startedAt
+	var cancels []context.CancelFunc
+	cancelAll := func() {
+		for _, cancel := range cancels {
+			cancel()
 		}
 	}
-	defer stop()
-	stops = append(stops, x.startSend(ctx, t, replies))
+	defer cancelAll()
+	cancels = append(cancels, x.startSend(ctx, t, results))
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	pending, second := 1, ""
-	var failed error
+	pending, secondID := 1, ""
+	var failedSend error
 	for {
 		select {
 		case <-timer.C:
-			other, ok := x.pickSecondTarget(t, delay)
+			second, ok := x.pickSecondTarget(t, delay)
 			if !ok {
 				continue
 			}
-			stops = append(stops, x.startSend(ctx, other, replies))
-			pending, second = pending+1, other.ID
-		case r := <-replies:
+			cancels = append(cancels, x.startSend(ctx, second, results))
+			pending, secondID = pending+1, second.ID
+		case result := <-results:
 			pending--
-			if pending > 0 && !r.deliverable() {
-				failed = x.recordFailedSend(ctx, r)
+			if pending > 0 && !result.deliverable() {
+				failedSend = x.recordFailedSend(ctx, result)
 				continue
 			}
 			if pending > 0 {
-				go x.host.recordAbandoned(replies)
+				go x.host.recordAbandoned(results)
 			}
-			if r.target.ID == second && r.deliverable() {
+			if result.target.ID == secondID && result.deliverable() {
 				x.host.Meter.Count("second_sends", "won")
-				x.host.Log.Info("second send answered first", "request", x.call.ID, "target", second, "instead_of", t.ID, "after_ms", time.Since(began).Milliseconds())
+				x.host.Log.Info("second send answered first", "request", x.call.ID, "target", secondID, "instead_of", t.ID, "after_ms", time.Since(startedAt).Milliseconds())
 			}
-			stop()
-			again, err = x.finishAttempt(ctx, r, failed)
-			if err != nil && failed != nil {
-				err = failureToReport(failed, err)
+			cancelAll()
+			retry, err = x.finishAttempt(ctx, result, failedSend)
+			if err != nil && failedSend != nil {
+				err = failureToReport(failedSend, err)
 			}
-			return again, err
+			return retry, err
 		}
 	}
 }
 
 // launch sends the call to a target beside the caller's wait. The returned function breaks
 // it off.
-func (x *exchange) startSend(ctx context.Context, t balance.TargetInfo, replies chan<- *sendResult) context.CancelFunc {
+func (x *exchange) startSend(ctx context.Context, t balance.TargetInfo, results chan<- *sendResult) context.CancelFunc {
 	guarded, release := x.host.reach.guard(ctx, t)
-	out := x.newTargetRequest(t, x.call.LastEventID)
+	req := x.newTargetRequest(t, x.call.LastEventID)
 	go func() {
-		r := &sendResult{target: t, sentAt: time.Now()}
-		r.resp, r.err = x.host.roundTrip(guarded, t, out)
-		if r.err == nil {
-			r.body, r.err = x.readAnswer(guarded, r.resp)
-			_ = r.resp.Body.Close() // what is left of it is of no use
+		result := &sendResult{target: t, sentAt: time.Now()}
+		result.resp, result.err = x.host.roundTrip(guarded, t, req)
+		if result.err == nil {
+			result.body, result.err = x.readAnswer(guarded, result.resp)
+			_ = result.resp.Body.Close() // what is left of it is of no use
 		}
-		replies <- r
+		results <- result
 	}()
 	return release
 }
@@ -120,51 +120,51 @@
 		return balance.TargetInfo{}, false
 	}
 	h.mu.Lock()
-	paid := h.hedger.TakeToken(x.service)
+	hasToken := h.hedger.TakeToken(x.service)
 	h.mu.Unlock()
-	if !paid {
+	if !hasToken {
 		h.Meter.Count("second_sends", "no_token")
 		return balance.TargetInfo{}, false
 	}
 	x.sendCount++ // the first is under way
-	other, err := x.pickTarget()
+	second, err := x.pickTarget()
 	if err != nil {
 		x.sendCount--
 		h.Log.Info("call not sent a second time", "request", x.call.ID, "target", first.ID, "error", err.Error())
 		return balance.TargetInfo{}, false
 	}
 	h.Meter.Count("second_sends", "sent")
-	h.Log.Info("call sent a second time", "request", x.call.ID, "target", other.ID, "beside", first.ID, "route", x.route.Name, "delay_ms", delay.Milliseconds())
-	return other, true
+	h.Log.Info("call sent a second time", "request", x.call.ID, "target", second.ID, "beside", first.ID, "route", x.route.Name, "delay_ms", delay.Milliseconds())
+	return second, true
 }
 
 // failedSend notes a send that came to nothing while the other one is under way.
-func (x *exchange) recordFailedSend(ctx context.Context, r *sendResult) error {
+func (x *exchange) recordFailedSend(ctx context.Context, result *sendResult) error {
 	h := x.host
 	switch {
-	case r.resp == nil:
-		h.recordOutcome(r.target, failureOutcome(ctx, failure.From(r.err)))
-		return r.err
-	case r.err == nil && r.resp.Answer.NotRun:
-		h.recordOutcome(r.target, refusalOutcome(r.resp.Answer))
-		if !r.resp.Answer.Misdirected {
-			x.capacityWait.addFull(r.target.ID)
+	case result.resp == nil:
+		h.recordOutcome(result.target, failureOutcome(ctx, failure.From(result.err)))
+		return result.err
+	case result.err == nil && result.resp.Answer.NotRun:
+		h.recordOutcome(result.target, refusalOutcome(result.resp.Answer))
+		if !result.resp.Answer.Misdirected {
+			x.capacityWait.addFull(result.target.ID)
 		}
-		return failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused with %d", r.target.ID, r.resp.Status)
-	case failure.Is(r.err, failure.Overloaded):
-		h.recordOutcome(r.target, balance.Abandoned) // it is this host that has no room
-		return failure.Unknown(failure.Overloaded, "answer of %s: %v", r.target.ID, r.err)
+		return failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused with %d", result.target.ID, result.resp.Status)
+	case failure.Is(result.err, failure.Overloaded):
+		h.recordOutcome(result.target, balance.Abandoned) // it is this host that has no room
+		return failure.Unknown(failure.Overloaded, "answer of %s: %v", result.target.ID, result.err)
 	default:
-		f := failure.Unknown(failure.BadAnswer, "answer of %s with %d beside a second send: %v", r.target.ID, r.resp.Status, r.err)
-		h.recordOutcome(r.target, r.outcome(ctx, f))
+		f := failure.Unknown(failure.BadAnswer, "answer of %s with %d beside a second send: %v", result.target.ID, result.resp.Status, result.err)
+		h.recordOutcome(result.target, result.outcome(ctx, f))
 		return f
 	}
 }
 
 // outcome is what a reply that is not passed on says of its target.
 func (r *sendResult) outcome(ctx context.Context, f *failure.Failure) balance.Outcome {
-	refuses := r.resp.Status >= http.StatusMultipleChoices && r.resp.Status < http.StatusInternalServerError
-	if r.err == nil && refuses {
+	clientError := r.resp.Status >= http.StatusMultipleChoices && r.resp.Status < http.StatusInternalServerError
+	if r.err == nil && clientError {
 		return balance.Served
 	}
 	return failureOutcome(ctx, f)
@@ -172,26 +172,26 @@
 
 // conclude ends the try with a reply, as if its target had been the only one. Only the word
 // that the call has not run is not passed on where the other send failed and may have.
-func (x *exchange) finishAttempt(ctx context.Context, r *sendResult, other error) (again bool, err error) {
-	x.targetID, x.targetStartedAtMs, x.sentAt = r.target.ID, r.target.StartedAtMs, r.sentAt
-	if r.resp == nil {
-		return x.handleSendError(ctx, r.target, r.err)
+func (x *exchange) finishAttempt(ctx context.Context, result *sendResult, otherErr error) (retry bool, err error) {
+	x.targetID, x.targetStartedAtMs, x.sentAt = result.target.ID, result.target.StartedAtMs, result.sentAt
+	if result.resp == nil {
+		return x.handleSendError(ctx, result.target, result.err)
 	}
 	x.sendCount++
-	if r.resp.Answer.NotRun {
-		return x.handleNotRun(r.target, r.resp)
+	if result.resp.Answer.NotRun {
+		return x.handleNotRun(result.target, result.resp)
 	}
-	mayHaveRun := other != nil && failure.From(other).Ran != failure.RanNo
-	if mayHaveRun && r.err == nil && statusImpliesNotRun(r.resp.Status) {
-		f := failure.Unknown(failure.BadAnswer, "target %s answered %d beside a send that may have run", r.target.ID, r.resp.Status)
-		x.recordOutcome(r.target.ID, r.outcome(ctx, f))
+	mayHaveRun := otherErr != nil && failure.From(otherErr).Ran != failure.RanNo
+	if mayHaveRun && result.err == nil && statusImpliesNotRun(result.resp.Status) {
+		f := failure.Unknown(failure.BadAnswer, "target %s answered %d beside a send that may have run", result.target.ID, result.resp.Status)
+		x.recordOutcome(result.target.ID, result.outcome(ctx, f))
 		return true, f
 	}
-	return x.deliverPlain(ctx, r.target, r.resp, r.body, r.err)
+	return x.deliverPlain(ctx, result.target, result.resp, result.body, result.err)
 }
 
 // abandoned notes the end of a send that was broken off.
-func (h *Host) recordAbandoned(replies <-chan *sendResult) {
-	r := <-replies
-	h.recordOutcome(r.target, balance.Abandoned)
+func (h *Host) recordAbandoned(results <-chan *sendResult) {
+	result := <-results
+	h.recordOutcome(result.target, balance.Abandoned)
 }
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -120,20 +120,20 @@
 
 // Which calls are sent twice, and which never are.
 func TestOnlyIdempotentPlainCallsAreHedged(t *testing.T) {
-	fresh := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
+	unhedged := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
 	s := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
 	s.enableHedging(5)
-	call := func(change func(*exchange)) bool {
+	hedgeable := func(change func(*exchange)) bool {
 		x := &exchange{host: s.host, service: "s", deadline: time.Now().Add(time.Hour), route: &routing.Route{MaxAttempts: 2}}
 		change(x)
 		_, ok := x.hedgeDelay()
 		return ok
 	}
-	usual := func(*exchange) {}
-	require.True(t, call(usual))
-	require.False(t, call(func(x *exchange) { x.host = fresh.host }), "a host that knows no times yet")
-	require.True(t, call(func(x *exchange) { x.service = "other" }), "targets that do not tell their slowdown")
-	for why, change := range map[string]func(*exchange){
+	unchanged := func(*exchange) {}
+	require.True(t, hedgeable(unchanged))
+	require.False(t, hedgeable(func(x *exchange) { x.host = unhedged.host }), "a host that knows no times yet")
+	require.True(t, hedgeable(func(x *exchange) { x.service = "other" }), "targets that do not tell their slowdown")
+	for reason, change := range map[string]func(*exchange){
 		"at most once":             func(x *exchange) { x.route.Kind = routing.AtMostOnce },
 		"a stream":                 func(x *exchange) { x.route.Kind = routing.Streaming },
 		"a prompt":                 func(x *exchange) { x.call.PromptTokens = 1 },
@@ -144,7 +144,7 @@
 		"a kind that is not known": func(x *exchange) { x.route.Name = "other" },
 		"no attempts left":         func(x *exchange) { x.sendCount = 2 },
 	} {
-		require.False(t, call(change), why)
+		require.False(t, hedgeable(change), reason)
 	}
 }
 
@@ -155,13 +155,13 @@
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
 	s.enableHedging(0)
 	s.host.Meter = meter.New()
-	got := make(chan answerBody, 1)
-	go func() { got <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
+	body := make(chan answerBody, 1)
+	go func() { body <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
 	decided := func() bool { return s.host.Meter.Value("second_sends_no_token") == 1 }
 	require.Eventually(t, decided, harnessTimeout, time.Millisecond)
 	require.Equal(t, 1, s.inFlight())
 	close(release)
-	require.EqualValues(t, "late", <-got)
+	require.EqualValues(t, "late", <-body)
 	require.EqualValues(t, 1, asked.Load())
 	require.Zero(t, s.host.Meter.Value("second_sends_sent"))
 }
@@ -246,13 +246,13 @@
 // A target is not taken to fail where the caller left while its answer was read, or where this
 // host had no room for the answer.
 func TestCallerOrHostFailuresAreNotTargetFailures(t *testing.T) {
-	left, leave := context.WithCancel(t.Context())
-	leave()
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for name, c := range map[string]struct {
 		ctx context.Context
 		err error
 	}{
-		"the caller left":      {left, context.Canceled},
+		"the caller left":      {cancelled, context.Canceled},
 		"the host has no room": {t.Context(), failure.Retry(failure.Overloaded, testHedgeDelay, "no room")},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -307,8 +307,8 @@
 	require.Equal(t, testHedgeDelay.Milliseconds(), state.SecondSends.Kinds[0].DelayMs)
 	require.Equal(t, "s", state.SecondSends.Services[0].Service)
 	require.InDelta(t, 1, state.Targets[0].Slowdown, 0.01)
-	_, told := s.host.registry.Pick(balance.Query{Service: "s"}, s.host.now())
-	require.True(t, told)
+	_, picked := s.host.registry.Pick(balance.Query{Service: "s"}, s.host.now())
+	require.True(t, picked)
 }
 
 // lines is a log that can be read while it is written.
@@ -336,21 +336,21 @@
 func TestRequestRoutedLogExplainsChoice(t *testing.T) {
 	answer := func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
-	var out logBuffer
-	s.host.Log = log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})
+	var buffer logBuffer
+	s.host.Log = log.NewWithOptions(&buffer, log.Options{Formatter: log.JSONFormatter})
 	s.enableHedging(0)
 	h := s.host
 	h.mu.Lock()
-	home, _ := h.registry.Target("t1")
-	away, _ := h.registry.Target("t2")
-	moved := away.TargetInfo
+	near, _ := h.registry.Target("t1")
+	far, _ := h.registry.Target("t2")
+	moved := far.TargetInfo
 	moved.DataCentre = "dc2"
 	h.registry.SetTarget(moved)
-	home.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
+	near.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
-	line := out.firstLine()
-	var said struct {
+	line := buffer.firstLine()
+	var entry struct {
 		Target     string  `json:"target"`
 		DataCentre string  `json:"data_centre"`
 		Slowdown   float64 `json:"slowdown"`
@@ -358,11 +358,11 @@
 		Near       string  `json:"near"`
 		NearMs     int64   `json:"near_predicted_ms"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(line), &said), line)
-	require.Equal(t, "t2", said.Target)
-	require.Equal(t, "dc2", said.DataCentre)
-	require.Equal(t, "t1", said.Near)
-	require.Greater(t, said.NearMs, said.Predicted)
-	require.Positive(t, said.Slowdown)
+	require.NoError(t, json.Unmarshal([]byte(line), &entry), line)
+	require.Equal(t, "t2", entry.Target)
+	require.Equal(t, "dc2", entry.DataCentre)
+	require.Equal(t, "t1", entry.Near)
+	require.Greater(t, entry.NearMs, entry.Predicted)
+	require.Positive(t, entry.Slowdown)
 	t.Log(line)
 }
--- a/daemon/entry/plain.go
+++ b/daemon/entry/plain.go
@@ -13,7 +13,7 @@
 )
 
 // plain passes on an answer that is not a stream, of which readAnswer has returned the body.
-func (x *exchange) deliverPlain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *bodyChunks, err error) (again bool, _ error) {
+func (x *exchange) deliverPlain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *bodyChunks, err error) (retry bool, _ error) {
 	if failure.Is(err, failure.Overloaded) {
 		x.recordOutcome(t.ID, balance.Abandoned)
 		return false, failure.Unknown(failure.Overloaded, "answer of %s: %v", t.ID, err)
@@ -70,18 +70,18 @@
 }
 
 // copyHead copies a target's headers but those of its connection.
-func (x *exchange) copyHeader(from http.Header) {
-	to := x.w.Header()
-	closing := to.Get("Connection") == "close"
-	for name, values := range from {
-		to[name] = values
+func (x *exchange) copyHeader(targetHeader http.Header) {
+	header := x.w.Header()
+	closing := header.Get("Connection") == "close"
+	for name, values := range targetHeader {
+		header[name] = values
 	}
-	removeHopByHopHeaders(to)
+	removeHopByHopHeaders(header)
 	if closing {
-		to.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
-	if _, given := from["Content-Type"]; !given {
-		to["Content-Type"] = nil // keeps net/http from guessing one
+	if _, given := targetHeader["Content-Type"]; !given {
+		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
 
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -35,8 +35,8 @@
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
 	grant, err := x.requestToken(ctx)
-	for left := x.tokenWaitTimeout(); err == nil && !grant.Granted && grant.RetryDelay <= left && sleep(ctx, grant.RetryDelay); {
-		left -= grant.RetryDelay
+	for remaining := x.tokenWaitTimeout(); err == nil && !grant.Granted && grant.RetryDelay <= remaining && sleep(ctx, grant.RetryDelay); {
+		remaining -= grant.RetryDelay
 		grant, err = x.requestToken(ctx)
 	}
 	switch {
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -29,10 +29,10 @@
 		defer c.Close()
 		_, err := io.ReadFull(c, make([]byte, 500))
 		require.NoError(t, err)
-		stopped := time.Now()
+		stoppedAt := time.Now()
 		time.Sleep(streamWriteTimeout + 2*writeCheckInterval)
 		require.NotZero(t, ended.Load())
-		require.LessOrEqual(t, time.Unix(0, ended.Load()).Sub(stopped), streamWriteTimeout+2*writeCheckInterval)
+		require.LessOrEqual(t, time.Unix(0, ended.Load()).Sub(stoppedAt), streamWriteTimeout+2*writeCheckInterval)
 		require.Zero(t, h.chargedBytes())
 		require.EqualValues(t, 1, h.meter.Value("callers_ended_unread"))
 		require.EqualValues(t, 1, h.meter.Value("sends_abandoned"))
@@ -144,9 +144,9 @@
 					defer c.Close()
 				}
 				synctest.Wait()
-				began := time.Now()
+				startedAt := time.Now()
 				h.Drain(grace)
-				require.LessOrEqual(t, time.Since(began), grace)
+				require.LessOrEqual(t, time.Since(startedAt), grace)
 				h.Close()
 				time.Sleep(time.Minute)
 				require.Zero(t, h.chargedBytes())
@@ -164,13 +164,13 @@
 			c := h.connect()
 			defer c.Close()
 			h.write(c, requestHead(path, 100)+"half")
-			began := time.Now()
+			startedAt := time.Now()
 			want := http.StatusServiceUnavailable
 			if path == "/nowhere/" {
 				want = http.StatusNotFound
 			}
 			require.Equal(t, want, readStatus(t, c))
-			require.LessOrEqual(t, time.Since(began), defaultHeaderTimeout)
+			require.LessOrEqual(t, time.Since(startedAt), defaultHeaderTimeout)
 			_, err := c.Read(make([]byte, 1))
 			require.Error(t, err, "closed")
 			synctest.Wait()
@@ -215,10 +215,10 @@
 		c := h.connect()
 		defer c.Close()
 		const size = 200 << 10
-		began := time.Now()
+		startedAt := time.Now()
 		h.write(c, requestHead("/once/", size)+strings.Repeat("x", size))
 		require.Equal(t, http.StatusGatewayTimeout, readStatus(t, c))
-		require.LessOrEqual(t, time.Since(began), slowRouteTimeout+500*time.Millisecond)
+		require.LessOrEqual(t, time.Since(startedAt), slowRouteTimeout+500*time.Millisecond)
 		synctest.Wait()
 		require.Zero(t, h.chargedBytes())
 		time.Sleep(2 * time.Second)
@@ -240,7 +240,7 @@
 		}
 		synctest.Wait()
 		require.LessOrEqual(t, h.chargedBytes(), h.held.state().RequestBoundBytes)
-		began := time.Now()
+		startedAt := time.Now()
 		c := h.connect()
 		defer c.Close()
 		go func() { _, _ = fmt.Fprint(c, requestHead("/once/", size), strings.Repeat("x", size)) }()
@@ -248,7 +248,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
-		require.LessOrEqual(t, time.Since(began), requestWait)
+		require.LessOrEqual(t, time.Since(startedAt), requestWait)
 		time.Sleep(2 * time.Second)
 		again := h.connect()
 		defer again.Close()
@@ -273,9 +273,9 @@
 		}
 		time.Sleep(streamWriteTimeout / 2)
 		require.Equal(t, callers, h.active())
-		bytes := (memoryInUse() - before) / callers
-		t.Logf("%d bytes a request, with those of its caller and target", bytes)
-		require.Less(t, bytes, int64(held.MinRequestBytes))
+		bytesPerRequest := (memoryInUse() - before) / callers
+		t.Logf("%d bytes a request, with those of its caller and target", bytesPerRequest)
+		require.Less(t, bytesPerRequest, int64(held.MinRequestBytes))
 	})
 }
 
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -15,18 +15,18 @@
 
 // stream passes events on as they come. A stream that breaks is resumed at other
 // targets where the route allows it.
-func (x *exchange) deliverStream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (again bool, err error) {
-	last := x.call.LastEventID
+func (x *exchange) deliverStream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (retry bool, err error) {
+	lastEventID := x.call.LastEventID
 	for {
-		err = x.deliverEvents(ctx, resp, &last)
+		err = x.deliverEvents(ctx, resp, &lastEventID)
 		if err == nil {
 			x.recordOutcome(t.ID, balance.Served)
 			return false, x.finishStream(ctx, resp)
 		}
-		if ours := localFailure(err); ours != nil {
+		if local := localFailure(err); local != nil {
 			// Says nothing of the target.
 			x.recordOutcome(t.ID, balance.Abandoned)
-			return false, failure.Unknown(ours.Kind, "stream of %s: %v", t.ID, err)
+			return false, failure.Unknown(local.Kind, "stream of %s: %v", t.ID, err)
 		}
 		f := failure.Unknown(failure.BadAnswer, "stream of %s broke off: %v", t.ID, err)
 		f.Kind = failureKind(ctx, f.Kind)
@@ -36,7 +36,7 @@
 			return false, f
 		}
 		var release context.CancelFunc
-		if t, resp, release, err = x.resume(ctx, last); err != nil {
+		if t, resp, release, err = x.resume(ctx, lastEventID); err != nil {
 			return false, failure.Unknown(failure.BadAnswer, "%v; resume: %v", f, err)
 		}
 		defer release()
@@ -62,11 +62,11 @@
 }
 
 // pump passes whole events on until the stream ends.
-func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, last *string) error {
-	flush := http.NewResponseController(x.w)
+func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, lastEventID *string) error {
+	controller := http.NewResponseController(x.w)
 	events := &eventReader{source: resp.Body, reserve: x.reserveFunc(ctx, held.Events)}
 	defer func() { x.held.release(held.Events, events.reserved) }()
-	var heard time.Time
+	var lastEventAt time.Time
 	for {
 		e, err := events.next()
 		if err == io.EOF {
@@ -78,23 +78,23 @@
 		x.writeHead(resp)
 		x.host.reach.heard(x.targetID)
 		now := time.Now()
-		if heard.IsZero() {
+		if lastEventAt.IsZero() {
 			x.recordFirstEvent(now.Sub(x.sentAt))
 		} else {
-			x.recordEvent(now.Sub(heard))
+			x.recordEvent(now.Sub(lastEventAt))
 		}
-		heard = now
+		lastEventAt = now
 		if x.turn != nil && !x.turn.addEvent(ctx, e) {
 			return errNoMemory
 		}
 		if _, err := x.w.Write(e.raw); err != nil {
 			return errCallerWrite
 		}
-		if err := flush.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return errCallerWrite
 		}
 		if e.id != "" {
-			*last = e.id
+			*lastEventID = e.id
 		}
 	}
 }
@@ -115,16 +115,16 @@
 
 // resume sends the request to another target, after the last event passed on. The
 // caller releases the guard of the new target.
-func (x *exchange) resume(ctx context.Context, last string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
+func (x *exchange) resume(ctx context.Context, lastEventID string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
 	for x.sendCount < x.route.MaxAttempts {
 		t, err := x.pickTarget()
 		if err != nil {
 			return balance.TargetInfo{}, nil, nil, err
 		}
 		x.host.Meter.Count("streams", "resumed")
-		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", last)
+		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", lastEventID)
 		guarded, release := x.host.reach.guard(ctx, t)
-		resp, err := x.send(guarded, t, last)
+		resp, err := x.send(guarded, t, lastEventID)
 		if err != nil {
 			release()
 			f := failure.From(err)
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -44,8 +44,8 @@
 // retention is how long the program is kept after this turn: also while a next turn runs that
 // begins at its end.
 func (x *exchange) retention() time.Duration {
-	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
-	return keep + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
+	retention := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
+	return retention + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
 }
 
 func (x *exchange) isTurn() bool {
@@ -57,8 +57,8 @@
 func (t *turn) addEvent(ctx context.Context, e event) bool {
 	if t.x.route.Retained {
 		// Once here, once in the record of the turn.
-		copies := 2 * int64(len(e.data)+1)
-		if t.x.held.grow(ctx, held.Record, copies, answerWait) != nil {
+		size := 2 * int64(len(e.data)+1)
+		if t.x.held.grow(ctx, held.Record, size, answerWait) != nil {
 			return false
 		}
 		t.output = append(t.output, e.data...)
@@ -103,11 +103,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
-	reserve := &historypb.Record{Change: &historypb.Record_Reserve{
+	reservation := &historypb.Record{Change: &historypb.Record_Reserve{
 		Reserve: &historypb.Reserve{Turn: x.call.ID, Tokens: x.call.MaxTokens},
 	}}
 	history := x.host.History
-	if err := history.Write(ctx, x.budgetProgram(), x.retention(), reserve); err != nil {
+	if err := history.Write(ctx, x.budgetProgram(), x.retention(), reservation); err != nil {
 		return t.historyFailure(err)
 	}
 	past, err := t.readPast(ctx)
@@ -149,20 +149,20 @@
 // would make room can be on its way any more. It returns the newest reading.
 func (t *turn) checkBudget(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
 	call := &t.x.call
-	for end := time.Now().Add(maxSettlementWait); ; {
+	for deadline := time.Now().Add(maxSettlementWait); ; {
 		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
 			return past, nil
 		}
-		wait := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(end)
-		if !wait || !sleep(ctx, settlementPollInterval) {
+		pending := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(deadline)
+		if !pending || !sleep(ctx, settlementPollInterval) {
 			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
 				past.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
 		}
-		newer, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
+		latest, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
 		if err != nil {
 			return nil, t.historyFailure(err)
 		}
-		past.Usage = newer.Usage
+		past.Usage = latest.Usage
 	}
 }
 
@@ -198,24 +198,24 @@
 
 // prepend puts the chain, oldest turn first, before the new input. A chain that
 // another program kept is copied, so that it lives as long as this program.
-func (t *turn) prependChain(ctx context.Context, chain []*historypb.Turn, elsewhere bool) error {
-	kept, err := t.reserveMemory(ctx, chain)
+func (t *turn) prependChain(ctx context.Context, chain []*historypb.Turn, fromOtherProgram bool) error {
+	chainBytes, err := t.reserveMemory(ctx, chain)
 	if err != nil || len(chain) == 0 {
 		return err
 	}
-	defer t.x.held.release(held.Prompt, kept)
-	size := len(t.input) + int(kept)
+	defer t.x.held.release(held.Prompt, chainBytes)
+	size := len(t.input) + int(chainBytes)
 	body := make([]byte, 0, size)
 	for i := len(chain) - 1; i >= 0; i-- {
 		body = append(body, chain[i].Content...)
 	}
 	t.x.body = append(body, t.input...)
-	if !elsewhere {
+	if !fromOtherProgram {
 		return nil
 	}
 	records := make([]*historypb.Record, 0, len(chain))
-	for _, c := range chain {
-		records = append(records, &historypb.Record{Change: &historypb.Record_Turn{Turn: c}})
+	for _, previous := range chain {
+		records = append(records, &historypb.Record{Change: &historypb.Record_Turn{Turn: previous}})
 	}
 	if err := t.x.host.History.Write(ctx, t.historyProgram, t.x.retention(), records...); err != nil {
 		return t.historyFailure(err)
@@ -225,19 +225,19 @@
 
 // hold makes room for the chain, which is kept bytes long, the prompt that is built of it,
 // and the input in the record of the turn.
-func (t *turn) reserveMemory(ctx context.Context, chain []*historypb.Turn) (kept int64, err error) {
-	for _, c := range chain {
-		kept += int64(len(c.Content))
+func (t *turn) reserveMemory(ctx context.Context, chain []*historypb.Turn) (chainBytes int64, err error) {
+	for _, previous := range chain {
+		chainBytes += int64(len(previous.Content))
 	}
-	input := int64(len(t.input))
-	more := kept
+	inputBytes := int64(len(t.input))
+	size := chainBytes
 	if len(chain) > 0 {
-		more += kept + input
+		size += chainBytes + inputBytes
 	}
 	if t.x.route.Retained {
-		more += input
+		size += inputBytes
 	}
-	return kept, t.x.held.grow(ctx, held.Prompt, more, requestWait)
+	return chainBytes, t.x.held.grow(ctx, held.Prompt, size, requestWait)
 }
 
 // finish makes the turn and its budget use durable. Where no later turn needs this
@@ -248,8 +248,8 @@
 		t.settle()
 		return nil
 	}
-	began := time.Now()
-	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(began)) }()
+	startedAt := time.Now()
+	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(startedAt)) }()
 	content := append(append([]byte(nil), t.input...), t.output...)
 	records := []*historypb.Record{t.settlementRecord(), {Change: &historypb.Record_Turn{
 		Turn: &historypb.Turn{Turn: t.x.customerScoped(t.x.call.ID), Previous: t.x.customerScoped(t.x.call.PreviousTurn), Content: content},
