--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -15,11 +15,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// firstBytes is the room for a body of unknown length, to begin with.
+// initialReadBytes is the initial buffer size for a body of unknown length.
 const initialReadBytes = 4 << 10
 
-// boundUpload bounds how long the caller may send nothing of its body, also where the
-// request is refused and the body is only read to reach the end of it.
+// limitUpload bounds how long the caller may send nothing of its body. This also holds if the
+// request is refused and the body is only read to its end and discarded.
 func (x *exchange) limitUpload() {
 	if x.r.ContentLength == 0 {
 		return
@@ -27,19 +27,19 @@
 	x.setReadDeadline(time.Now().Add(x.host.uploadIdleTimeout()))
 }
 
-// uploadPause is how long a caller may send nothing.
+// uploadIdleTimeout is how long a caller may send nothing of its body.
 func (h *Host) uploadIdleTimeout() time.Duration {
 	return cmp.Or(h.limits().HeaderTimeout, defaultHeaderTimeout)
 }
 
-// readBefore bounds reads of the caller; a zero time ends the bound.
+// setReadDeadline sets the deadline for reads from the caller; a zero time removes it.
 func (x *exchange) setReadDeadline(deadline time.Time) {
 	if err := http.NewResponseController(x.w).SetReadDeadline(deadline); err != nil {
-		x.host.Log.Debug("no time limit for the caller", "request", x.call.ID, "error", err.Error())
+		x.host.Log.Debug("read deadline not set", "request", x.call.ID, "error", err.Error())
 	}
 }
 
-// readBody reads the request's body. What it holds is charged before it is read.
+// readBody reads the request's body. Memory for it is reserved before it is read.
 func (x *exchange) readBody() error {
 	contentLength := x.r.ContentLength
 	if contentLength == 0 {
@@ -47,11 +47,11 @@
 	}
 	limit := cmp.Or(x.table.Limits.BodyBytes, defaultBodyBytes)
 	if contentLength > limit {
-		return x.closeAfterAnswer(failure.New(failure.TooLarge, "body over %d bytes", limit))
+		return x.closeAfterAnswer(failure.New(failure.TooLarge, "request body exceeds %d bytes", limit))
 	}
 	size := int64(initialReadBytes)
 	if contentLength > 0 {
-		// One byte more, so that the end is seen without growing.
+		// One more byte, so that the end is read without growing the buffer.
 		size = contentLength + 1
 	}
 	if err := x.growBody(size); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// growBody makes the room for the body size bytes large.
+// growBody grows the buffer of the body to size bytes.
 func (x *exchange) growBody(size int64) error {
 	if err := x.held.grow(x.r.Context(), held.Body, size-int64(cap(x.body)), requestWait); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// readSome appends to the body what the caller has sent.
+// readBodyChunk appends to the body what the caller has sent.
 func (x *exchange) readBodyChunk(source io.Reader) error {
 	deadline := time.Now().Add(x.host.uploadIdleTimeout())
 	if x.deadline.Before(deadline) {
@@ -98,52 +98,54 @@
 	return err
 }
 
-// uploadFailed tells why a body could not be read.
+// uploadFailure is the failure of a request whose body could not be read.
 func (x *exchange) uploadFailure(err error, limit int64) error {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return failure.New(failure.TooLarge, "body over %d bytes", limit)
+		return failure.New(failure.TooLarge, "request body exceeds %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		x.uploadTimedOut = true
 		x.host.Meter.Count("callers_ended", "unsent")
 		x.host.Log.Warn("caller ended because it did not send its body", "request", x.call.ID, "held_bytes", cap(x.body),
 			"read_bytes", len(x.body), "after_ms", time.Since(x.startedAt).Milliseconds())
-		return x.closeAfterAnswer(failure.Retry(failure.Timeout, defaultRetryDelay, "%d bytes of the body came", len(x.body)))
+		return x.closeAfterAnswer(failure.Retry(failure.Timeout, defaultRetryDelay, "request body timed out after %d bytes", len(x.body)))
 	case x.r.Context().Err() != nil:
-		return failure.Wrap(err, failure.CallerGone, "body")
+		return failure.Wrap(err, failure.CallerGone, "read request body")
 	default:
-		return failure.Wrap(err, failure.BadRequest, "body")
+		return failure.Wrap(err, failure.BadRequest, "read request body")
 	}
 }
 
-// unread has the connection closed after an answer to a request whose body was not read.
+// closeAfterAnswer makes the connection close after the answer to a request whose body was not
+// read. It returns err.
 func (x *exchange) closeAfterAnswer(err error) error {
 	x.w.Header().Set("Connection", "close")
 	return err
 }
 
-// maxPlainBytes bounds an answer that is not a stream; it is held in memory until
-// it is whole, so that a broken one can be told from a complete one.
+// maxPlainAnswerBytes bounds the body of an answer that is not a stream. It is held in memory
+// until it is complete, so that a truncated answer is not sent to the caller.
 const maxPlainAnswerBytes = 8 << 20
 
-// pieces is a whole answer in the pieces in which it was read: one that grew would be held
-// twice while it grows.
+// bodyChunks is the body of an answer in the chunks in which it was read. One buffer that grows
+// would be held twice while it is copied.
 type bodyChunks struct {
 	chunks [][]byte
 	size   int64
 }
 
-// readAnswer reads a plain answer whole. Where there is no room it leaves the answer with
-// the target until there is some, up to answerWait. An announced length is charged at once:
-// answers that are read by turns, none to its end, would fill the room for good.
+// readAnswer reads the body of a plain answer. If there is no memory for it, it stops reading from
+// the target until there is, up to answerWait. A length that the target gives is reserved as a
+// whole: several answers that are each read in part could otherwise use up the memory, so that
+// none is ever complete.
 func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*bodyChunks, error) {
 	body := &bodyChunks{}
 	size, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
 	if err != nil {
 		size = initialReadBytes
 	}
-	// At least one byte: the end has to be read too.
+	// At least one byte, as the end has to be read too.
 	for size = max(size, 1); body.size+size <= maxPlainAnswerBytes+chunkBytes; size = chunkBytes {
 		if err := x.held.grow(ctx, held.Answer, size, answerWait); err != nil {
 			return nil, err
@@ -152,10 +154,10 @@
 			return body, ignoreEOF(err)
 		}
 	}
-	return nil, failure.New(failure.TooLarge, "answer over %d bytes", maxPlainAnswerBytes)
+	return nil, failure.New(failure.TooLarge, "answer exceeds %d bytes", maxPlainAnswerBytes)
 }
 
-// atEnd is no error where the answer ended.
+// ignoreEOF returns err, or nil if it is io.EOF.
 func ignoreEOF(err error) error {
 	if err == io.EOF {
 		return nil
@@ -163,8 +165,8 @@
 	return err
 }
 
-// read appends up to room bytes. It returns the reader's own error: that of a cut answer is
-// not that of a whole one.
+// read appends up to size bytes. It returns the error of source unchanged, which tells a truncated
+// answer from a complete one.
 func (p *bodyChunks) read(source io.Reader, size int64) error {
 	for size > 0 {
 		chunk := make([]byte, min(size, chunkBytes))
@@ -179,7 +181,8 @@
 	return nil
 }
 
-// fill reads until p is full or the reader ends.
+// readFull reads until p is full or source returns an error. Unlike io.ReadFull it returns that
+// error unchanged.
 func readFull(source io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var read int
@@ -189,7 +192,7 @@
 	return n, err
 }
 
-// writeAnswer hands an answer to the caller and releases what the caller has taken.
+// writeAnswer writes an answer to the caller and releases the memory of each chunk written.
 func (x *exchange) writeAnswer(body *bodyChunks) error {
 	for i, chunk := range body.chunks {
 		if _, err := x.w.Write(chunk); err != nil {
@@ -201,7 +204,8 @@
 	return nil
 }
 
-// roomFor charges bytes of a kind that come with an answer.
+// reserveFunc returns a function that reserves n more bytes of a kind for an answer, or returns
+// errNoMemory.
 func (x *exchange) reserveFunc(ctx context.Context, kind held.Kind) func(n int64) error {
 	return func(n int64) error {
 		if x.held.grow(ctx, kind, n, answerWait) != nil {
--- a/daemon/entry/byte_counters.go
+++ b/daemon/entry/byte_counters.go
@@ -2,13 +2,13 @@
 
 import "github.com/pistachioarch/pistachioarch/wire/targetpool"
 
-// targetBytes counts what goes to targets of this data centre and of others, apart for
-// turns and for plain calls.
+// targetByteCounters counts the bytes exchanged with targets, separately for near and far ones and
+// for turns and plain calls.
 type targetByteCounters struct {
 	turnNear, turnFar, plainNear, plainFar targetpool.ByteCounter
 }
 
-// of returns the counter of a request.
+// counter returns the counter for a request.
 func (b *targetByteCounters) counter(turn, far bool) *targetpool.ByteCounter {
 	switch {
 	case turn && far:
@@ -21,7 +21,7 @@
 	return &b.plainNear
 }
 
-// bytesGauges serves the counters.
+// registerByteGauges registers a gauge of sent and one of received bytes for each counter.
 func (h *Host) registerByteGauges() {
 	for name, b := range map[string]*targetpool.ByteCounter{
 		"targets_near_turns": &h.targetBytes.turnNear, "targets_far_turns": &h.targetBytes.turnFar,
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// streamPatience is how long the caller of a stream may take nothing before its
-	// connection is closed: less than engines leave an answer unread.
+	// streamWriteTimeout is how long the caller of a stream may read nothing before its
+	// connection is closed. It is shorter than the time for which engines tolerate an unread
+	// answer.
 	streamWriteTimeout = 2 * time.Second
-	// answerPatience is the same for other answers, with which no engine is at work any more.
+	// answerWriteTimeout is the same for other answers, which occupy no engine any more.
 	answerWriteTimeout = 10 * time.Second
-	// writeSlice is how often a write looks whether the caller has taken something.
+	// writeCheckInterval is how often a write checks whether the caller has read something.
 	writeCheckInterval = 250 * time.Millisecond
 )
 
-// callers hands out the connections of a listener as callerConns.
+// callerListener wraps the connections that it accepts in callerConns.
 type callerListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -34,9 +35,9 @@
 	return conn, nil
 }
 
-// callerConn is a caller's connection. A write ends when the caller has taken nothing of it
-// for longer than patience, however long it takes in all: callers that read slowly but
-// steadily are served.
+// callerConn is a caller's connection. A write fails when the caller has read nothing of it for
+// writeTimeout. Its total time is not bounded, so that callers that read slowly but steadily are
+// served.
 type callerConn struct {
 	net.Conn
 	idleness
@@ -44,26 +45,28 @@
 	request      atomic.Pointer[holding]
 }
 
+// callerConnKey is the context key of a request's callerConn.
 type callerConnKey struct{}
 
-// withCaller is an http.Server.ConnContext hook.
+// withCallerConn is an http.Server.ConnContext hook that stores the connection for callerConnOf.
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerOf is the connection of a request, nil where the host did not accept it itself.
+// callerConnOf is the connection of a request, nil if no callerListener accepted it.
 func callerConnOf(r *http.Request) *callerConn {
 	c, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	return c
 }
 
-// serves notes which request is being answered, nil for none.
+// setRequest sets the request that is being answered, nil for none, and the write timeout of plain
+// answers.
 func (c *callerConn) setRequest(request *holding) {
 	c.writeTimeout.Store(int64(answerWriteTimeout))
 	c.request.Store(request)
 }
 
-// hurry bounds the writes of a stream.
+// useStreamTimeout sets the write timeout of streams.
 func (c *callerConn) useStreamTimeout() { c.writeTimeout.Store(int64(streamWriteTimeout)) }
 
 // Write implements net.Conn.
@@ -96,6 +99,7 @@
 	}
 }
 
+// writeWithin writes p with a deadline after timeout.
 func (c *callerConn) writeWithin(timeout time.Duration, p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
@@ -103,8 +107,8 @@
 	return c.Conn.Write(p)
 }
 
-// CloseWrite lets http.Server end an answer before it closes the connection, so that what
-// the caller still sends does not cost it the answer.
+// CloseWrite closes the writing side only. http.Server uses it to end an answer before it closes
+// the connection, so that data that the caller still sends does not lose the answer by a reset.
 func (c *callerConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/daemon/entry/caller_test.go
+++ b/daemon/entry/caller_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callerPair is a caller's connection on loopback, at the host and at the caller.
+// callerConnPair returns both ends of a caller's connection on loopback.
 func callerConnPair(t *testing.T) (host *callerConn, caller net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -35,8 +35,8 @@
 	}
 }
 
-// Half a connection is closed without the other: what the caller still sends must not cost
-// it the answer.
+// CloseWrite must not close the reading side: data that the caller still sends would then reset the
+// connection and lose the answer.
 func TestCloseWriteKeepsReadSideOpen(t *testing.T) {
 	host, caller := callerConnPair(t)
 	_, err := io.WriteString(host, "answer")
--- a/daemon/entry/capacity_wait.go
+++ b/daemon/entry/capacity_wait.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// roomPause is between two tries at plain targets that are full: one to three of
-	// their requests.
+	// capacityRetryDelay is the least delay between two attempts at plain targets that are
+	// full, the time of one to three of their requests.
 	capacityRetryDelay = 50 * time.Millisecond
-	// roomMost and roomShare bound the wait, in all and as a part of the time that the
-	// caller has: what finds no room by then is refused while there is time to come back.
+	// maxCapacityWait bounds the wait, and capacityWaitDivisor bounds it as a fraction,
+	// 1/capacityWaitDivisor, of the request's timeout. A call that finds no capacity by then
+	// is refused while its caller has time for a retry.
 	maxCapacityWait     = 400 * time.Millisecond
 	capacityWaitDivisor = 3
 )
 
-// room is the wait of a program's call for room at plain targets. A call that is refused
-// is tried once more by its caller and then ends its program; behind a cut the few
-// targets that are left are full for a moment.
+// capacityWait is the wait of a program's call until full plain targets have capacity again. A
+// caller retries a refused call once and then ends its program, and during a network partition
+// the few targets that can be reached are full for a short time.
 type capacityWait struct {
-	// full is the targets that refused the call as full.
+	// fullTargets are the ids of the targets that refused the call because they are full.
 	fullTargets map[string]bool
 	waited      time.Duration
 }
 
-// refused notes a target that is full.
+// addFull adds a target that is full.
 func (r *capacityWait) addFull(target string) {
 	if r.fullTargets == nil {
 		r.fullTargets = map[string]bool{}
@@ -35,8 +36,8 @@
 	r.fullTargets[target] = true
 }
 
-// only is the targets that may be tried after a wait: those that said that they are full,
-// so that no call is sent to more targets than its route allows.
+// retryTargets are the targets that may be tried after a wait, nil for all before the first wait.
+// Only targets that were full are, so that no call is sent to more targets than its route allows.
 func (r *capacityWait) retryTargets() map[string]bool {
 	if r.waited == 0 {
 		return nil
@@ -44,9 +45,9 @@
 	return r.fullTargets
 }
 
-// awaitRoom waits for room at the targets that refused a program's call to a plain
-// service, and lets them be tried again. It reports false if there is nothing to wait
-// for: some target may have run the call, none was merely full, or the time is up.
+// awaitCapacity waits before the targets that refused a program's call to a plain service are tried
+// again. It reports false if a wait is of no use: a target may have run the call, none was
+// full, or the time for waiting is used up.
 func (x *exchange) awaitCapacity(ctx context.Context, err error) bool {
 	if x.route.Kind == routing.Streaming || x.call.Program == "" || len(x.capacityWait.fullTargets) == 0 || failure.From(err).Ran != failure.RanNo {
 		return false
@@ -60,7 +61,7 @@
 		return false
 	}
 	x.host.Meter.Count("waits", "room")
-	x.host.Log.Info("call waited for room", "request", x.call.ID, "program", x.call.Program, "service", x.service,
+	x.host.Log.Info("call waited for target capacity", "request", x.call.ID, "program", x.call.Program, "service", x.service,
 		"full", len(x.capacityWait.fullTargets), "waited_ms", x.capacityWait.waited.Milliseconds())
 	x.tried, x.sendCount = map[string]bool{}, 0
 	return true
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -7,16 +7,15 @@
 	"github.com/pistachioarch/pistachioarch/core/routing"
 )
 
-// authorise finds the customer that the caller's key belongs to, in the newest
-// configuration. It is called before each send, so that a key that was taken away is used
-// by no repeat either.
+// authorise looks up the customer of the caller's key in the newest configuration. It is called
+// before each send, so that a retry does not use a key that has been removed meanwhile.
 func (x *exchange) authorise() error {
 	table := x.host.table.Load()
 	if !table.RequiresKey() || x.route.Public {
 		return nil
 	}
 	if staleFor := x.host.staleFor(); staleFor > 0 {
-		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(staleFor), "the configuration was confirmed %d ms ago", x.host.configurationAge().Milliseconds())
+		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(staleFor), "configuration last confirmed %d ms ago", x.host.configurationAge().Milliseconds())
 	}
 	customer, known := table.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
 	if known && (x.customer == nil || x.customer.Name == customer.Name) {
@@ -24,12 +23,12 @@
 		return nil
 	}
 	if age := x.host.configurationAge(); x.host.Keys.SureAge > 0 && age > x.host.Keys.SureAge {
-		return failure.Retry(failure.StaleConfiguration, defaultRetryDelay, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
+		return failure.Retry(failure.StaleConfiguration, defaultRetryDelay, "unknown key, configuration last confirmed %d ms ago", age.Milliseconds())
 	}
-	return failure.New(failure.Unauthorized, "unknown key in version %d", table.Version)
+	return failure.New(failure.Unauthorized, "unknown key in configuration version %d", table.Version)
 }
 
-// customerName is the caller's customer, empty where there is none.
+// customerName is the name of the caller's customer, empty if there is none.
 func (x *exchange) customerName() string {
 	if x.customer == nil {
 		return ""
@@ -37,7 +36,8 @@
 	return x.customer.Name
 }
 
-// regions is where the request may be served and its turn kept, by its route and its customer.
+// allowedRegions are the regions in which the request may be served and its turn stored, by its
+// route and its customer.
 func (x *exchange) allowedRegions() routing.Regions {
 	if x.customer == nil {
 		return x.route.Regions
@@ -45,7 +45,8 @@
 	return x.route.Regions.Intersect(x.customer.Regions)
 }
 
-// dataCentres is those of the regions. One whose region the settings do not name is in none.
+// allowedDataCentres are the data centres of the allowed regions, nil if regions are unrestricted.
+// A data centre whose region is not in the settings is in no region.
 func (x *exchange) allowedDataCentres() balance.DataCentreSet {
 	regions := x.allowedRegions()
 	if regions.Unrestricted() {
@@ -58,12 +59,12 @@
 	return allowed
 }
 
-// program is the name under which the request's program has its budget.
+// budgetProgram is the program name under which the budget of the request's program is stored.
 func (x *exchange) budgetProgram() string { return x.customerScoped(x.call.Program) }
 
-// keptAs is the program under which turns of the request's program are kept. Where they may be
-// kept in some regions only it is another one, in a region; the program's budget, which
-// tells nothing of what was said, stays with the common ones, so that it holds over all routes.
+// historyProgram is the program name under which turns of the request's program are stored. If
+// they may be stored in some regions only, it is a regional name. The budget contains nothing of
+// the turns' content and stays under the global name, so that it holds across all routes.
 func (x *exchange) historyProgram() (program string, err error) {
 	regions := x.allowedRegions()
 	if !x.route.Retained || regions.Unrestricted() {
@@ -71,12 +72,13 @@
 	}
 	region, ok := x.host.History.RegionFor(x.host.Regions[x.host.DataCentre], regions.Allows)
 	if !ok {
-		return "", failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "no history host in the regions that may keep the turn")
+		return "", failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "no history host in the regions allowed to store the turn")
 	}
 	return placement.RegionalName(region, x.budgetProgram()), nil
 }
 
-// priority ranks the request: the customer's goes before the route's.
+// priority is the request's priority, 0 most urgent: that of the customer, if set, else that of
+// the route.
 func (x *exchange) priority() int {
 	if x.customer != nil && x.customer.HasPriority {
 		return x.customer.Priority
@@ -84,8 +86,8 @@
 	return x.route.Priority
 }
 
-// owned is the name under which something of the caller's is kept: no caller reaches what
-// is kept for another customer. Callers cannot send the separator in a header.
+// customerScoped prefixes a name with the customer, so that no caller can access data that is
+// stored for another customer. The separator cannot be sent in a header.
 func (x *exchange) customerScoped(name string) string {
 	if name == "" || x.customer == nil {
 		return name
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// keyed puts a newer version in force, with customers and the route /open/ that is public.
+// requireKeys applies a newer configuration version with customers and the public route /open/.
 func (s *testSystem) requireKeys(customers ...*routing.Customer) {
 	s.t.Helper()
 	byKey, err := routing.NewCustomers(customers)
@@ -25,11 +25,12 @@
 	s.host.confirm(time.Now())
 }
 
-// customer has one key, which is its name with "-key" behind.
+// customer returns a customer with one key, its name followed by "-key".
 func customer(name string) *routing.Customer {
 	return &routing.Customer{Name: name, Keys: []routing.KeyDigest{routing.DigestKey(name + "-key")}}
 }
 
+// answerOK is an answerFunc that answers each request with status 200.
 func answerOK(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
 
 func TestKeyIdentifiesCustomer(t *testing.T) {
@@ -79,7 +80,7 @@
 	require.Len(t, x.requests(), 1)
 }
 
-// A key that is taken away while a request is repeated is not used for the repeat.
+// A key is removed between two attempts of a request: the second one must not be sent.
 func TestRetryIsRejectedAfterKeyRemoval(t *testing.T) {
 	var s *testSystem
 	refusing := func(n int, _ received, id string) (string, bool) {
@@ -93,8 +94,8 @@
 	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
-// A host that has not heard of the platform for the longest time allowed serves no keys,
-// says so, and serves public routes; the first sound word ends that.
+// A host whose configuration was not confirmed for longer than KeyRules.MaxAge is not ready and
+// refuses requests with a key, but serves public routes. The next confirmation ends that.
 func TestStaleConfigurationRejectsKeys(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
@@ -111,7 +112,8 @@
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "3", ownheaders.Key, "a-key").status)
 }
 
-// A host whose word of the platform is not new does not know that a key is unknown.
+// A host with an old configuration cannot tell that a key is unknown: the key may have been added
+// since.
 func TestUnknownKeyIsUnauthorizedOnlyWithRecentConfiguration(t *testing.T) {
 	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
@@ -121,8 +123,8 @@
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "a-key").status)
 }
 
-// While the platform is away for all, a request waits for it: one that is answered soon is
-// served then.
+// During an outage of the platform for all hosts, a request waits for a confirmation and is served
+// once it arrives.
 func TestRequestWaitsForConfirmedConfiguration(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
@@ -171,7 +173,7 @@
 	require.Equal(t, 1, x.priority())
 }
 
-// limited has a quota of so many requests at once, and next to none later.
+// limitedCustomer returns a customer with a quota of burst requests at once and almost none later.
 func limitedCustomer(name string, burst float64) *routing.Customer {
 	c := customer(name)
 	c.Quota = routing.Quota{Rate: 0.001, Burst: burst}
@@ -192,11 +194,11 @@
 		}
 	}
 	require.Equal(t, map[int]int{http.StatusOK: 6, http.StatusTooManyRequests: 4}, statuses)
-	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "of b", ownheaders.Key, "b-key").status, "others are not held back")
+	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "of b", ownheaders.Key, "b-key").status, "other customers are not limited")
 	require.Len(t, x.requests(), 7)
 }
 
-// With a member silent, its part of the quota is lost and no more.
+// If a member does not answer, only its part of the quota is lost.
 func TestSilentMemberCostsOnlyItsQuotaPart(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
@@ -225,8 +227,8 @@
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "b-key").status)
 }
 
-// History hosts that have just started do not know what they granted before: they begin
-// without tokens.
+// History hosts that have just started do not know which tokens they granted before, so they start
+// without any.
 func TestHistoryHostsStartWithoutTokens(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -37,9 +37,9 @@
 		path, body string
 		headers    []string
 	}{
-		"no id":    {http.StatusBadRequest, "/plain/", "", nil},
-		"no route": {http.StatusNotFound, "/other/", "", []string{ownheaders.ID, "1"}},
-		"too long": {http.StatusRequestEntityTooLarge, "/plain/", strings.Repeat("x", 1001), []string{ownheaders.ID, "1"}},
+		"no id":          {http.StatusBadRequest, "/plain/", "", nil},
+		"no route":       {http.StatusNotFound, "/other/", "", []string{ownheaders.ID, "1"}},
+		"body too large": {http.StatusRequestEntityTooLarge, "/plain/", strings.Repeat("x", 1001), []string{ownheaders.ID, "1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.status, s.post(c.path, c.body, c.headers...).status)
@@ -59,8 +59,8 @@
 	require.Len(t, b.requests(), 1)
 }
 
-// A program's call waits for a moment where all targets are full: refused, it would end
-// its program. It goes to those again that said so, and to no others.
+// If all targets are full, a program's call waits for a short time, since a refusal would end its
+// program. It is then sent only to targets that were full.
 func TestProgramCallWaitsForTargetCapacity(t *testing.T) {
 	answers := func(n int, r received, id string) (string, bool) {
 		if n < 3 {
@@ -92,7 +92,7 @@
 func TestOnlyRepeatableRequestsAreResent(t *testing.T) {
 	for path, want := range map[string]struct{ status, sends int }{
 		"/plain/": {http.StatusOK, 2},
-		"/quick/": {http.StatusOK, 2}, // a stream that may be resumed may run again
+		"/quick/": {http.StatusOK, 2}, // a resumable stream may run more than once
 		"/turn/":  {http.StatusBadGateway, 1},
 		"/once/":  {http.StatusBadGateway, 1},
 	} {
@@ -101,7 +101,7 @@
 			breaking := func(n int, _ received, id string) (string, bool) {
 				sends <- struct{}{}
 				if len(sends) == 1 {
-					return "", true // closes without an answer
+					return "", true // closes the connection without an answer
 				}
 				return okStream(id, 1, "ok"), false
 			}
@@ -135,8 +135,8 @@
 	}
 }
 
-// What may have run at one target is never said not to have run, whatever the next
-// one says.
+// If the first target may have run a request, the caller is not told that it has not run, even if
+// the second target refuses it.
 func TestRefusalAfterBrokenSendDoesNotClaimNotRun(t *testing.T) {
 	sends := make(chan struct{}, 4)
 	answer := func(_ int, _ received, id string) (string, bool) {
@@ -151,8 +151,8 @@
 	require.Len(t, sends, 2)
 }
 
-// A stream that breaks before its first event ends in a failure of our own,
-// without the target's signature.
+// A stream that ends before its first event is answered with a failure of the host, without the
+// target's signature.
 func TestHostFailureIsNotSigned(t *testing.T) {
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return streamHead(id), true })
 	s := newSystem(t, x)
@@ -197,7 +197,7 @@
 	require.Equal(t, "in1;", seen[0].Body)
 	require.Equal(t, "in1;out-1\nin2;", seen[1].Body)
 	require.Equal(t, "in1;out-1\nin3;", seen[2].Body, "two turns may continue from the same one")
-	// Another program goes on from there, and keeps the chain itself.
+	// Another program continues from there and stores its own copy of the chain.
 	got := s.post("/turn/", "in4;", ownheaders.ID, "4", ownheaders.Program, "other", ownheaders.Previous, "2", ownheaders.Budget, "100", ownheaders.MaxTokens, "12")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "in1;out-1\nin2;out-2\nin4;", x.requests()[3].Body)
@@ -208,7 +208,7 @@
 	s := newSystem(t, x)
 	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "1", "none", "x").status)
 	s.members[0].silent.Store(true)
-	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "2", "none", "x").status, "two of three answer")
+	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "2", "none", "x").status, "two of three history hosts answer")
 	s.members[1].silent.Store(true)
 	s.host.HistoryPatience = historyTimeout
 	got := s.postTurn("/turn/", "3", "none", "x")
@@ -256,7 +256,7 @@
 	require.Equal(t, failure.CallerGone, failureKind(callerCtx, broken.Kind))
 }
 
-// The end of a turn that nothing continues depends on no history host.
+// The end of a turn that is not retained does not wait for history hosts.
 func TestUnretainedTurnEndsWithoutHistoryHosts(t *testing.T) {
 	var s *testSystem
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
@@ -272,8 +272,8 @@
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", got.body)
 }
 
-// A settlement may still be on its way when the next turn begins; a refusal waits for
-// it, since it ends the program.
+// The settlement of a turn may still be pending when the next turn begins. The budget check waits
+// for it, since a refusal ends the program.
 func TestBudgetCheckWaitsForPendingSettlement(t *testing.T) {
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okStream(id, 1, "a"), false })
 	s := newSystem(t, x)
@@ -286,13 +286,13 @@
 			&historypb.Record{Change: &historypb.Record_Settle{Settle: &historypb.Settle{Turn: "0", Tokens: 9}}})
 	})
 	require.Equal(t, http.StatusOK, s.postTurn("/turn/", "1", "", "in").status)
-	// One that does not come counts at its most.
+	// Without a settlement, the whole reservation counts.
 	record(&historypb.Record{Change: &historypb.Record_Reserve{Reserve: &historypb.Reserve{Turn: "2", Tokens: 80}}})
 	require.Equal(t, http.StatusPaymentRequired, s.postTurn("/turn/", "3", "", "in").status)
 }
 
-// A turn that ran and cannot be kept, because history hosts are out of reach, is broken off
-// soon: its caller does not wait for the end of a cut.
+// A turn that ran but cannot be stored, because history hosts are unreachable, is aborted soon: its
+// caller does not wait for the end of the partition.
 func TestTurnIsAbortedIfItCannotBeStored(t *testing.T) {
 	var s *testSystem
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
@@ -303,6 +303,6 @@
 	})
 	s = newSystem(t, x)
 	got := s.post("/turn/", "input", ownheaders.ID, "1", ownheaders.Program, "p", ownheaders.Left, "30000", ownheaders.MaxTokens, "3")
-	require.Equal(t, http.StatusOK, got.status, "its events are passed on")
-	require.Error(t, got.err, "it does not look whole")
+	require.Equal(t, http.StatusOK, got.status, "its events are forwarded")
+	require.Error(t, got.err, "the stream looks incomplete")
 }
--- a/daemon/entry/events.go
+++ b/daemon/entry/events.go
@@ -10,24 +10,25 @@
 
 // event is one whole event of a stream.
 type event struct {
-	// raw is the event as it came, with the blank line that ends it.
+	// raw is the event as received, with the blank line that ends it.
 	raw []byte
 	// id and data are the values of its fields; data lines are joined by line feeds.
 	id   string
 	data []byte
 }
 
-// eventReader splits a stream into events.
+// eventReader splits a stream of server-sent events into events.
 type eventReader struct {
 	source io.Reader
 	buf    []byte
 	err    error
-	// room charges what an unfinished event holds beyond charged bytes; nil charges nothing.
+	// reserve reserves memory for an unfinished event beyond the reserved bytes; nil reserves
+	// nothing.
 	reserve  func(n int64) error
 	reserved int64
 }
 
-// charge makes room for one more chunk.
+// reserveChunk reserves memory for one more chunk.
 func (r *eventReader) reserveChunk(chunkSize int) error {
 	size := int64(len(r.buf)+chunkSize) - r.reserved
 	if r.reserve == nil || size <= 0 {
@@ -40,8 +41,9 @@
 	return nil
 }
 
-// next returns the next whole event. At the end of the stream it returns io.EOF,
-// or io.ErrUnexpectedEOF if the stream ended inside an event.
+// next returns the next whole event. At the end of the stream it returns io.EOF, or
+// io.ErrUnexpectedEOF if the stream ended inside an event; for an event of more than
+// maxEventBytes it returns io.ErrShortBuffer.
 func (r *eventReader) next() (event, error) {
 	for {
 		if end := bytes.Index(r.buf, []byte("\n\n")); end >= 0 {
@@ -68,6 +70,7 @@
 	}
 }
 
+// parseEvent reads the fields of an event; raw ends with a blank line.
 func parseEvent(raw []byte) event {
 	e := event{raw: raw}
 	firstData := true
--- a/daemon/entry/events_test.go
+++ b/daemon/entry/events_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// readEvents reads events up to the first error and returns both.
 func readEvents(source io.Reader) (list []event, err error) {
 	r := &eventReader{source: source}
 	for {
@@ -23,8 +24,8 @@
 func TestEventsAreSplitRegardlessOfReadSizes(t *testing.T) {
 	text := "id: 1\ndata: a\n\nx-weights: 4\nid: 2\ndata: b\ndata:c\n\n"
 	for name, source := range map[string]io.Reader{
-		"at once":     bytes.NewBufferString(text),
-		"by the byte": iotest.OneByteReader(bytes.NewBufferString(text)),
+		"one read":       bytes.NewBufferString(text),
+		"one-byte reads": iotest.OneByteReader(bytes.NewBufferString(text)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			list, err := readEvents(source)
@@ -54,6 +55,6 @@
 		for _, e := range list {
 			all = append(all, e.raw...)
 		}
-		require.True(t, bytes.HasPrefix(text, all), "what is passed on is what came")
+		require.True(t, bytes.HasPrefix(text, all), "the events are a prefix of the input")
 	})
 }
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -16,40 +16,43 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// Idle times after which a kept connection is not reused, however long its target
-// keeps it.
+// Idle times after which a pooled connection is not reused, even if the target would keep it
+// open for longer.
 const (
 	maxIdleTime = 10 * time.Second
-	// maxIdleFarOnce is for requests that must not be repeated, to another data
-	// centre that has been silent for farSilence: where the link was cut meanwhile, a
-	// new connection fails before anything is sent, a kept one takes the request with
-	// it. While the data centre is heard, it would only cost connections.
+	// maxFarOnceIdleTime applies to requests that must not be repeated, to another data
+	// centre that has been silent for farSilenceTimeout. If the network is partitioned, a
+	// new connection fails before anything is sent, while on a reused connection the
+	// request is lost. As long as the data centre is heard, the shorter limit would only
+	// cost connections.
 	maxFarOnceIdleTime = 500 * time.Millisecond
-	// farSilence is many usual pauses between answers from another data centre.
+	// farSilenceTimeout is many times the usual interval between answers from another data
+	// centre.
 	farSilenceTimeout = 200 * time.Millisecond
 )
 
-// leastLeft is the least time that a target is told to have left: less would read as no limit.
+// minTargetTimeout is the least timeout sent to a target. A smaller one would be sent as
+// 0 ms, which means no limit.
 const minTargetTimeout = time.Millisecond
 
-// leastUrgent is the last rank that targets know.
+// maxPriority is the largest priority value, for the least urgent requests, that targets accept.
 const maxPriority = 9
 
-// hopByHop are the headers that concern only one connection.
+// hopByHopHeaders concern only one connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// draw is a number in [0, 1) from the request's id: all attempts at one split
-// spread evenly without a random source.
+// draw hashes the request's id to a number in [0, 1). Requests are spread evenly over weighted
+// choices without a random source, and all attempts of a request get the same number.
 func (x *exchange) draw() float64 {
 	f := fnv.New32a()
 	f.Write([]byte(x.call.ID))
 	return float64(f.Sum32()) / (1 << 32)
 }
 
-// forward sends the request to targets until one answers or no more may be tried.
+// forward sends the request to targets until one answers or no further attempt is allowed.
 func (x *exchange) forward(ctx context.Context) error {
 	var reported error
 	for {
@@ -70,15 +73,15 @@
 			return reported
 		}
 		x.host.Meter.Count("sends", "repeated", string(failure.From(err).Kind))
-		x.host.Log.Info("request sent again", "request", x.call.ID, "target", t.ID, "sends", x.sendCount, "error", err.Error())
+		x.host.Log.Info("send failed, request is repeated", "request", x.call.ID, "target", t.ID, "sends", x.sendCount, "error", err.Error())
 		if x.sendCount >= x.route.MaxAttempts && !x.awaitCapacity(ctx, reported) {
 			return reported
 		}
 	}
 }
 
-// worse is the later failure, unless the earlier one says that the request may
-// have run and the later one does not.
+// failureToReport returns the later failure, unless only the earlier one says that the request
+// may have run. earlier may be nil.
 func failureToReport(earlier, later error) error {
 	if earlier != nil && failure.From(earlier).Ran != failure.RanNo && failure.From(later).Ran == failure.RanNo {
 		return earlier
@@ -91,7 +94,8 @@
 	return x.route.Kind == routing.Idempotent || x.route.Resumable
 }
 
-// pick chooses the next target, or turns the request away.
+// pickTarget chooses the next target and records the send to it, or returns the failure of a
+// request that no target takes.
 func (x *exchange) pickTarget() (balance.TargetInfo, error) {
 	if err := x.authorise(); err != nil {
 		return balance.TargetInfo{}, err
@@ -124,10 +128,10 @@
 	return target, nil
 }
 
-// hundredths rounds a figure for the log.
+// roundHundredths rounds a value to two decimals for the log.
 func roundHundredths(v float64) float64 { return math.Round(100*v) / 100 }
 
-// sort names the targets of the request in metrics.
+// serviceKind names the kind of the service in metrics: "engine" or "plain".
 func (x *exchange) serviceKind() string {
 	if x.call.PromptTokens > 0 {
 		return "engine"
@@ -135,7 +139,8 @@
 	return "plain"
 }
 
-// distance names the way to a target in metrics.
+// distance names the distance of a target in metrics: "near" in the data centre of the host,
+// else "far".
 func (x *exchange) distance(t balance.TargetInfo) string {
 	if t.DataCentre == x.host.DataCentre {
 		return "near"
@@ -143,8 +148,8 @@
 	return "far"
 }
 
-// programLeft is the time that the program has left by now, below zero if it is late; zero
-// if its caller does not say.
+// remainingProgramTime is the time until the program's deadline, negative after it; 0 if the
+// caller gives no deadline for its program.
 func (x *exchange) remainingProgramTime() time.Duration {
 	if x.call.ProgramTimeout == 0 {
 		return 0
@@ -152,18 +157,18 @@
 	return x.call.ProgramTimeout - time.Since(x.startedAt)
 }
 
-// unsent is the failure of a request that goes to no target.
+// notSentFailure is the failure of a request that is sent to no target.
 func (x *exchange) notSentFailure(decision dispatch.Decision, targetCount int) error {
 	if decision.Action == dispatch.NoTarget {
-		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no target of %s among %d", x.service, targetCount)
+		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no usable target of service %s among %d targets", x.service, targetCount)
 	}
 	x.host.Meter.Count("turned_away", "full")
 	x.host.Log.Info("program turned away", "request", x.call.ID, "program", x.call.Program, "service", x.service,
 		"load_percent", int(100*decision.Load), "come_back_ms", decision.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
-	return failure.Retry(failure.Overloaded, decision.RetryDelay, "the engines of %s have a queue, load %.2f", x.service, decision.Load)
+	return failure.Retry(failure.Overloaded, decision.RetryDelay, "engines of service %s have a queue, load %.2f", x.service, decision.Load)
 }
 
-// hasOther reports whether there is a target that has not been tried.
+// hasUntriedTarget reports whether there is a usable target that has not been tried.
 func (x *exchange) hasUntriedTarget() bool {
 	h := x.host
 	h.mu.Lock()
@@ -172,12 +177,13 @@
 	return ok
 }
 
-// done reports the end of a send to the registry.
+// recordOutcome reports the end of a send of this request to the registry.
 func (x *exchange) recordOutcome(targetID string, outcome balance.Outcome) {
 	x.host.recordOutcome(balance.TargetInfo{ID: targetID, StartedAtMs: x.targetStartedAtMs}, outcome)
 }
 
-// ended reports the end of a send to the start of a target.
+// recordOutcome counts the end of a send and reports it to the registry, unless the target has
+// restarted since.
 func (h *Host) recordOutcome(t balance.TargetInfo, outcome balance.Outcome) {
 	h.Meter.Count("sends", outcome.String())
 	h.mu.Lock()
@@ -187,7 +193,7 @@
 	}
 }
 
-// took tells the registry how long the target took for a request to a plain service.
+// recordDuration tells the registry and the hedger how long a request to a plain service took.
 func (x *exchange) recordDuration(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -199,7 +205,7 @@
 	h.hedger.RecordAnswer(x.service, x.route.Name, time.Since(x.firstSentAt))
 }
 
-// firstEvent tells the registry how long the target took for the first event of a stream.
+// recordFirstEvent tells the registry how long the target took for the first event of a stream.
 func (x *exchange) recordFirstEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -209,7 +215,7 @@
 	}
 }
 
-// streamed tells the registry how long the target took for one event.
+// recordEvent tells the registry how long the target took for a further event of a stream.
 func (x *exchange) recordEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -220,8 +226,8 @@
 	h.registry.RecordEvent(x.targetID, x.targetLoad, d, h.now())
 }
 
-// heard takes the load that a target tells at the head of its answer. At the end of
-// a stream the word would be old.
+// recordAnswerHead records that the target was heard, and the load report in the head of its
+// answer. It is called as the head arrives: at the end of a stream the report would be outdated.
 func (h *Host) recordAnswerHead(t balance.TargetInfo, head request.Answer) {
 	h.reach.heard(t.ID)
 	if !head.HasLoad {
@@ -234,8 +240,8 @@
 	}
 }
 
-// try sends the request to one target and passes its answer on. again reports
-// that another target may be tried.
+// attempt sends the request to one target and forwards its answer. retry reports whether
+// another target may be tried.
 func (x *exchange) attempt(ctx context.Context, t balance.TargetInfo) (retry bool, err error) {
 	if delay, hedged := x.hedgeDelay(); hedged {
 		return x.attemptHedged(ctx, t, delay)
@@ -258,7 +264,7 @@
 	return x.deliverPlain(ctx, t, resp, body, err)
 }
 
-// unanswered ends a send to which no answer began.
+// handleSendError ends a send for which no answer head arrived.
 func (x *exchange) handleSendError(ctx context.Context, t balance.TargetInfo, err error) (retry bool, _ error) {
 	f := failure.From(err)
 	x.recordOutcome(t.ID, failureOutcome(ctx, f))
@@ -268,24 +274,25 @@
 	return f.Ran == failure.RanNo || x.repeatable(), err
 }
 
-// putBack ends a send that its target did not run.
+// handleNotRun ends a send whose target answered that it did not run the request.
 func (x *exchange) handleNotRun(t balance.TargetInfo, resp *targetpool.Response) (retry bool, _ error) {
 	x.recordOutcome(t.ID, refusalOutcome(resp.Answer))
 	if !resp.Answer.Misdirected {
 		x.capacityWait.addFull(t.ID)
 	}
-	return true, failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused with %d", t.ID, resp.Status)
+	return true, failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused the request with status %d", t.ID, resp.Status)
 }
 
-// send sends the request to one target; a connection that cannot be made starts
-// probes of it.
+// send sends the request to one target, and starts probes of it if no connection can be
+// made.
 func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEventID string) (*targetpool.Response, error) {
 	x.sentAt = time.Now()
 	x.firstSentAt = x.sentAt
 	return x.host.roundTrip(ctx, t, x.newTargetRequest(t, lastEventID))
 }
 
-// ask sends a request to a target, and takes what its answer says of it.
+// roundTrip sends a request to a target and records what the head of the answer says of the
+// target.
 func (h *Host) roundTrip(ctx context.Context, t balance.TargetInfo, req *targetpool.Request) (*targetpool.Response, error) {
 	sentAt := time.Now()
 	resp, err := h.pool.Do(ctx, req, h.decodeAnswer)
@@ -299,6 +306,8 @@
 	return resp, err
 }
 
+// refusalOutcome is the outcome of a send that the target did not run. A misdirected one counts
+// as failed: the address belongs to another target.
 func refusalOutcome(head request.Answer) balance.Outcome {
 	if head.Misdirected {
 		return balance.Failed
@@ -306,8 +315,8 @@
 	return balance.Refused
 }
 
-// endedBy is the kind of a failure under a context: what ended the context, where
-// it has ended. A caller that left says nothing of the target, a timeout does.
+// failureKind returns the kind of a failure: Timeout or CallerGone if ctx has ended, else kind.
+// A timeout counts against the target, a caller that left does not.
 func failureKind(ctx context.Context, kind failure.Kind) failure.Kind {
 	switch {
 	case ctx.Err() == nil:
@@ -319,6 +328,7 @@
 	}
 }
 
+// failureOutcome is the outcome for the target of a send that failed under ctx.
 func failureOutcome(ctx context.Context, f *failure.Failure) balance.Outcome {
 	if failureKind(ctx, f.Kind) == failure.CallerGone {
 		return balance.Abandoned
@@ -330,7 +340,7 @@
 	return h.Headers.Answer(status, header)
 }
 
-// outgoing builds the request to a target.
+// newTargetRequest builds the request to a target.
 func (x *exchange) newTargetRequest(t balance.TargetInfo, lastEventID string) *targetpool.Request {
 	header := x.host.Headers.Outgoing(x.r.Header, request.SendOptions{
 		Instance: t.ID, Timeout: max(minTargetTimeout, time.Until(x.deadline)), LastEventID: lastEventID,
@@ -351,7 +361,7 @@
 	}
 }
 
-// stripHop removes the headers that concern only one connection.
+// removeHopByHopHeaders removes the headers that concern only one connection.
 func removeHopByHopHeaders(header http.Header) {
 	for _, name := range connectionOptions(header) {
 		header.Del(name)
--- a/daemon/entry/guarantees_test.go
+++ b/daemon/entry/guarantees_test.go
@@ -18,11 +18,13 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// slackTime is how far answers may come after their time, and work go on after its caller.
+// timeSlack is how long after its timeout an answer may arrive, and how long after its caller has
+// left work may go on.
 const timeSlack = 500 * time.Millisecond
 
-// A status that promises that a request has not run is passed on only where the target said
-// so itself: a bare status may come from a target that broke down midway.
+// A status that implies that a request has not run is forwarded only if the target also marks the
+// request as not run: without the mark it may come from a target that failed while it ran the
+// request.
 func TestUnmarkedTargetStatusDoesNotClaimNotRun(t *testing.T) {
 	for statusLine, path := range map[string]string{"402 Payment Required": "/turn/", "408 Timeout": "/once/", "429 Many": "/once/", "503 Busy": "/turn/", "404 None": "/turn/"} {
 		for _, signed := range []string{"", ownheaders.Signature + ": s\r\n"} {
@@ -40,8 +42,8 @@
 	}
 }
 
-// No target is handed more time than is left, and never the caller's own figure once that is
-// past.
+// A target is given at most the time until the deadline. After the deadline it is given a minimum
+// and not the caller's original timeout.
 func TestTargetTimeoutNeverExceedsRemainingTime(t *testing.T) {
 	s := newSystem(t)
 	r, err := http.NewRequest(http.MethodPost, "/plain/", nil)
@@ -56,7 +58,7 @@
 	}
 }
 
-// A send to a second target is handed what the first one left.
+// A send to a second target is given the time that the first one left.
 func TestRetryGetsRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -89,8 +91,8 @@
 	})
 }
 
-// stopsAfter is a target that begins an answer and then says no more; ended is told when its
-// connection is closed.
+// stopAfter returns a target that writes raw and then nothing more, and sends the time at which its
+// connection is closed to ended.
 func stopAfter(raw string, ended chan<- time.Time) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
@@ -106,15 +108,15 @@
 	}
 }
 
-// begun are answers that stop at each of their parts.
+// partialAnswers are answers that stop at different points.
 var partialAnswers = map[string]struct{ path, raw string }{
-	"nothing":           {"/plain/", ""},
-	"half a body":       {"/once/", strings.Replace(okAnswer("1", "half"), "Length: 4", "Length: 8", 1)},
-	"nothing, a stream": {"/quick/", ""},
+	"no head":           {"/plain/", ""},
+	"half of a body":    {"/once/", strings.Replace(okAnswer("1", "half"), "Length: 4", "Length: 8", 1)},
+	"no head, a stream": {"/quick/", ""},
 	"one event":         {"/quick/", streamHead("1") + eventChunks(1, "a")},
 }
 
-// Whatever a target leaves out, its caller has the end of its request by the route's time.
+// Wherever a target stops in its answer, the request ends by the route's timeout.
 func TestRequestEndsByRouteTimeout(t *testing.T) {
 	for name, partial := range partialAnswers {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +131,7 @@
 				require.NoError(t, err)
 				_, err = io.Copy(io.Discard, resp.Body)
 				if resp.StatusCode == http.StatusOK {
-					require.ErrorIs(t, err, io.ErrUnexpectedEOF, "does not look complete")
+					require.ErrorIs(t, err, io.ErrUnexpectedEOF, "the answer looks incomplete")
 				} else {
 					require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 				}
@@ -140,8 +142,8 @@
 	}
 }
 
-// A body that does not come is answered by the route's time where that is sooner than the
-// time for bodies.
+// A request whose body does not arrive is answered by the caller's timeout if that is shorter than
+// the timeout for bodies.
 func TestMissingBodyIsAnsweredByCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, func(c net.Conn) { t.Error("sent to a target"); _ = c.Close() })
@@ -155,7 +157,7 @@
 	})
 }
 
-// Work for a caller that has left ends at its target at once, and goes to no other.
+// When a caller leaves, the work for it ends at its target at once and is sent to no other target.
 func TestTargetWorkEndsWhenCallerLeaves(t *testing.T) {
 	for name, partial := range partialAnswers {
 		t.Run(name, func(t *testing.T) {
@@ -170,7 +172,7 @@
 				require.NoError(t, c.Close())
 				require.LessOrEqual(t, (<-ended).Sub(leftAt), timeSlack)
 				time.Sleep(slowRouteTimeout)
-				require.Empty(t, ended, "sent nowhere else")
+				require.Empty(t, ended, "sent to no other target")
 				require.Zero(t, h.active())
 				require.EqualValues(t, 1, h.meter.Value("sends_abandoned"))
 			})
@@ -178,8 +180,8 @@
 	}
 }
 
-// A history host that joins with an empty disk proves nothing by not knowing a turn: while
-// one of the others is silent, nobody can be sure.
+// A joining history host starts with an empty disk, so a turn that is missing there proves nothing.
+// While one of the others is silent, the turn may exist and the answer must allow a retry.
 func TestJoiningHistoryHostDoesNotProveTurnUnknown(t *testing.T) {
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okStream(id, 1, "x"), false })
 	s := newSystem(t, x)
@@ -195,7 +197,7 @@
 		}
 	}
 	s.adopt(m)
-	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "1", "none", "x").status, "both others answer")
+	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "1", "none", "x").status, "both other history hosts answer")
 	s.members[1].silent.Store(true)
 	s.host.HistoryPatience = historyTimeout
 	require.Equal(t, http.StatusServiceUnavailable, s.postTurn("/turn/", "2", "none", "x").status)
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -10,7 +10,7 @@
 	"github.com/pistachioarch/pistachioarch/core/routing"
 )
 
-// exchange is one caller's request and what became of it.
+// exchange is one request of a caller and the state of serving it.
 type exchange struct {
 	host  *Host
 	w     http.ResponseWriter
@@ -18,57 +18,61 @@
 	call  request.Call
 	table *routing.Table
 	route *routing.Route
-	// customer is whose key the caller showed, nil where none is needed.
+	// customer owns the key that the caller presented; nil if no key is required.
 	customer *routing.Customer
-	// customerVersion is of the configuration that customer is from.
+	// customerVersion is the version of the configuration that customer is from.
 	customerVersion uint64
 	engine          *routing.Engine // nil for plain services
 	startedAt       time.Time
-	// deadline is the earlier of the caller's and the route's.
+	// deadline is the earlier of the deadlines of caller and route.
 	deadline time.Time
 	body     []byte
-	// held is what the host holds for the request.
+	// held accounts for the bytes that the host holds for the request.
 	held *holding
-	// late is set when the caller did not send its body in time: its connection ends, but
-	// takes an answer before.
+	// uploadTimedOut is set if the caller did not send its body in time. Its connection is
+	// closed, but only after it has received an answer.
 	uploadTimedOut bool
-	// service is drawn once: a retry goes to the same one.
-	service      string
+	// service is chosen once; retries go to the same service.
+	service string
+	// tried are the ids of the targets that were chosen. sendCount is the number of sends,
+	// without those that failed before the target could run the request. Both start anew
+	// after a capacity wait.
 	tried        map[string]bool
 	sendCount    int
 	capacityWait capacityWait
-	// answered is set once the head of an answer went to the caller, at firstByte.
+	// headSent is set once the head of an answer was sent to the caller, at firstByteAt.
 	headSent    bool
 	firstByteAt time.Time
 	turn        *turn
-	// underWay reports that the program has had an answer before.
+	// programStarted reports whether an earlier request of the program was answered.
 	programStarted bool
 	targetID       string
-	// born is of the start of target to which the request went.
+	// targetStartedAtMs identifies the incarnation of the target that got the request.
 	targetStartedAtMs int64
-	// sent is when the request went to target, load the target's by then, in places, and
-	// missing the part of the prompt that it had to read. firstSent is of the first of two
-	// sends side by side.
+	// sentAt is when the request was sent to the target, and firstSentAt the same for the
+	// first send of a hedged call. targetLoad is the target's load at that time, as a
+	// fraction of its capacity, and uncachedTokens the part of the prompt, in tokens, that
+	// was not in its prefix cache.
 	sentAt, firstSentAt time.Time
 	targetLoad          float64
 	uncachedTokens      int64
 }
 
-// retryLater is when a caller that was refused may come back: time for a target
-// to finish a request or a history host to be replaced as reader.
+// defaultRetryDelay is the retry delay for refused callers: long enough for a target to
+// finish a request, or for a history host to be replaced as reader.
 const defaultRetryDelay = 100 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (h *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{host: h, w: w, r: r, startedAt: time.Now(), tried: map[string]bool{}}
 	if !h.Ready() {
-		// The caller's next connection goes to a host that is ready.
+		// Makes the caller reconnect, to a host that is ready.
 		w.Header().Set("Connection", "close")
 	}
 	x.limitUpload()
 	var ok bool
 	if x.held, ok = h.held.enter(r); !ok {
-		x.fail(failure.Retry(failure.Overloaded, defaultRetryDelay, "the host holds %d requests", h.active()))
+		x.fail(failure.Retry(failure.Overloaded, defaultRetryDelay, "request not admitted, the host holds %d requests", h.active()))
 		return
 	}
 	defer x.held.leave(r)
@@ -79,7 +83,7 @@
 	x.recordAnswer()
 }
 
-// logAnswer says how a request that was answered by a target went.
+// recordAnswer logs and counts a request that a target answered.
 func (x *exchange) recordAnswer() {
 	firstByteAfter, events := time.Duration(0), int64(0)
 	m := x.host.Meter
@@ -96,6 +100,7 @@
 		"first_ms", firstByteAfter.Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds(), "events", events)
 }
 
+// serve reads, authorises and forwards the request.
 func (x *exchange) serve() error {
 	if err := x.accept(); err != nil {
 		return err
@@ -119,7 +124,7 @@
 func (x *exchange) accept() error {
 	x.table = x.host.table.Load()
 	if x.table == nil {
-		return failure.Retry(failure.NoConfiguration, defaultRetryDelay, "no configuration yet")
+		return failure.Retry(failure.NoConfiguration, defaultRetryDelay, "no configuration received yet")
 	}
 	var err error
 	if x.call, err = x.host.Headers.Call(x.r.Header); err != nil {
@@ -128,7 +133,7 @@
 	x.held.named(x.call.ID)
 	route, ok := x.table.Match(x.r.Host, x.r.URL.Path)
 	if !ok {
-		return failure.New(failure.NoRoute, "no route for %s%s in version %d", x.r.Host, x.r.URL.Path, x.table.Version)
+		return failure.New(failure.NoRoute, "no route for %s%s in configuration version %d", x.r.Host, x.r.URL.Path, x.table.Version)
 	}
 	x.route = route
 	if x.host.staleFor() == 0 {
@@ -144,11 +149,12 @@
 	return x.readBody()
 }
 
-// longest bounds a request for which neither the caller nor the route says how
-// long it may take.
+// maxRequestTimeout bounds every request, also if neither the caller nor the route sets a
+// timeout.
 const maxRequestTimeout = 60 * time.Second
 
-// patience is the smaller of the two times that are given.
+// effectiveTimeout is the smallest of maxRequestTimeout and the given timeouts; a timeout of
+// 0 is not set.
 func effectiveTimeout(callerTimeout, routeTimeout time.Duration) time.Duration {
 	timeout := maxRequestTimeout
 	if callerTimeout > 0 {
@@ -160,7 +166,8 @@
 	return timeout
 }
 
-// fail gives the caller the final answer at once.
+// fail ends the request: it sends the failure to the caller as the final answer, or breaks
+// the connection if an answer has begun or the caller has gone.
 func (x *exchange) fail(f *failure.Failure) {
 	status := statusOf(f)
 	x.host.Meter.Count("requests", "failed", string(f.Kind))
@@ -168,7 +175,7 @@
 		"request", x.call.ID, "program", x.call.Program, "customer", x.customerName(), "kind", string(f.Kind), "ran", string(f.Ran), "status", status,
 		"sends", x.sendCount, "target", x.targetID, "after_ms", time.Since(x.startedAt).Milliseconds(), "detail", f.Detail)
 	if x.headSent {
-		// The head is out: only a broken connection tells that the rest is missing.
+		// The head was sent: only a broken connection shows that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	if f.Kind == failure.CallerGone || x.r.Context().Err() != nil && !x.uploadTimedOut {
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -28,6 +28,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
+// parseNumber parses a decimal header value, 0 if it is none.
 func parseNumber(v string) int64 {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
@@ -36,13 +37,13 @@
 	return n
 }
 
-// received is a request as a target saw it.
+// received is a request as a target received it.
 type received struct {
 	Target, Method, URI, Body, LastEvent, TimeoutMs string
 	Key, Customer                                   string
 }
 
-// target answers raw bytes per request; see answerFunc.
+// fakeTarget is a target on loopback that answers each request with raw bytes; see answerFunc.
 type fakeTarget struct {
 	id       string
 	listener net.Listener
@@ -50,8 +51,8 @@
 	seen     []received
 }
 
-// answerFunc returns the raw answer to the n-th request at a target, from 0, and
-// whether the connection is closed after it.
+// answerFunc returns the raw answer to the n-th request at a target, counted from 0, and whether the
+// connection is closed after it.
 type answerFunc func(n int, r received, id string) (raw string, closes bool)
 
 func newFakeTarget(t *testing.T, id string, answer answerFunc) *fakeTarget {
@@ -105,23 +106,27 @@
 	return append([]received(nil), x.seen...)
 }
 
+// okAnswer is a signed plain answer with status 200.
 func okAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.Signature + ": s\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
+// refusedAnswer is an answer that marks the request as not run.
 func refusedAnswer(id string) string {
 	return "HTTP/1.1 503 Busy\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.NotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 }
 
-// streamed is a chunked stream of events with ids from first; cut ends it early.
+// okStream is a whole chunked stream of events with ids from first.
 func okStream(id string, first int, data ...string) string {
 	return streamHead(id) + eventChunks(first, data...) + "0\r\n\r\n"
 }
 
+// streamHead is the head of a signed chunked stream.
 func streamHead(id string) string {
 	return "HTTP/1.1 200 OK\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.Signature + ": s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
+// eventChunks is one chunk for each event, with ids from first, without the end of the stream.
 func eventChunks(first int, data ...string) string {
 	var b strings.Builder
 	for i, d := range data {
@@ -131,14 +136,14 @@
 	return b.String()
 }
 
-// system is an entry host with targets and history hosts on loopback.
+// testSystem is an entry host with targets and history hosts on loopback.
 type testSystem struct {
 	t       *testing.T
 	host    *Host
 	server  *httptest.Server
 	history *quorum.Client
 	members []*member
-	// aged makes the history hosts a day old, so that they hold all tokens of quotas.
+	// aged makes the history hosts appear a day old, so that they hold all tokens of quotas.
 	aged atomic.Bool
 }
 
@@ -149,11 +154,12 @@
 	return 0
 }
 
+// member is a history host.
 type member struct {
 	server *history.Server
-	// silent members read requests and answer none.
+	// silent makes the member read requests and answer none.
 	silent atomic.Bool
-	// other answers in place of the server, if it is set.
+	// handler answers instead of the server if it is set.
 	handler atomic.Pointer[rpc.Handler]
 }
 
@@ -172,15 +178,15 @@
 
 func discardLog() *log.Logger { return log.New(io.Discard) }
 
-// memberPatience is how long a silent history host is waited for, in place of 0.3 s: tests
-// in which one is silent wait for it.
+// memberTimeout is the client's timeout for one history host, instead of 0.3 s. Tests with a silent
+// history host wait for it.
 const memberTimeout = 3 * time.Second
 
-// harnessPatience is how long the tests' host waits for its history hosts: on a busy machine
-// a process of theirs may stand still for longer than a deployment's host would wait.
+// harnessTimeout is the history timeout of the tests' host. On a busy machine a history host may be
+// paused for longer than the timeout of a deployment.
 const harnessTimeout = 20 * time.Second
 
-// newSystem starts an entry host with the routes /plain/ (idempotent), /once/,
+// newSystem starts a testSystem: an entry host with the routes /plain/ (idempotent), /once/,
 // /turn/ (retained) and /quick/ (resumable), all to service "s".
 func newSystem(t *testing.T, targets ...*fakeTarget) *testSystem {
 	s := &testSystem{t: t, history: quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)}
@@ -212,7 +218,7 @@
 // startHistory starts n history hosts and gives the client their slot map.
 func (s *testSystem) startHistory(n int) { s.startHistoryInRegions(make([]string, n)...) }
 
-// startHistoryIn starts a history host in each of some regions.
+// startHistoryInRegions starts one history host in each of the regions.
 func (s *testSystem) startHistoryInRegions(regions ...string) {
 	m := placement.New(1)
 	for i, region := range regions {
@@ -225,7 +231,7 @@
 		s.members = append(s.members, started)
 		s.t.Cleanup(func() {
 			_ = l.Close()
-			server.Close() // a settlement on its way would write to the folder while it is removed
+			server.Close() // otherwise a pending settlement would write to the folder while it is removed
 		})
 		m.Admit(placement.Member{ID: server.Member(), Host: strconv.Itoa(i), Address: l.Addr().String(), DataCentre: strconv.Itoa(i), Region: region})
 	}
@@ -233,7 +239,7 @@
 	s.adopt(m)
 }
 
-// adopt gives a slot map to the history hosts and to the client.
+// adopt gives the slot map m to the history hosts and to the client.
 func (s *testSystem) adopt(m *placement.Map) {
 	for _, x := range s.members {
 		require.NoError(s.t, x.server.Adopt(m))
@@ -243,7 +249,7 @@
 	s.history.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: spec}}})
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller got.
 type answer struct {
 	status int
 	header http.Header
@@ -251,6 +257,7 @@
 	err    error // of reading the body
 }
 
+// post sends a request as a caller; headers are pairs of name and value.
 func (s *testSystem) post(path, body string, headers ...string) answer {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(s.t.Context(), http.MethodPost, s.server.URL+path, strings.NewReader(body))
@@ -268,6 +275,7 @@
 	return answer{resp.StatusCode, resp.Header, string(got), err}
 }
 
+// postTurn sends a turn of program "p" with a budget of 100 tokens, of which it may generate 12.
 func (s *testSystem) postTurn(path, id, previous, input string) answer {
 	return s.post(path, input, ownheaders.ID, id, ownheaders.Program, "p", ownheaders.Previous, previous, ownheaders.Budget, "100", ownheaders.MaxTokens, "12")
 }
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -11,17 +11,17 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// reply is what came of one send of a plain call.
+// sendResult is the result of one send of a plain call.
 type sendResult struct {
 	target balance.TargetInfo
 	sentAt time.Time
-	// resp is nil if err is of the send itself; else err is of reading the body.
+	// resp is nil if the send itself failed with err; else err is from reading the body.
 	resp *targetpool.Response
 	body *bodyChunks
 	err  error
 }
 
-// whole reports whether the reply can go to the caller while another send is under way.
+// deliverable reports whether the answer can go to the caller while another send is in flight.
 func (r *sendResult) deliverable() bool {
 	if r.resp == nil || r.err != nil || r.resp.Answer.NotRun || r.resp.Status >= http.StatusInternalServerError || statusImpliesNotRun(r.resp.Status) {
 		return false
@@ -29,9 +29,9 @@
 	return r.resp.Status >= http.StatusMultipleChoices || r.resp.Answer.Signed
 }
 
-// hedgeDelay is how long the call is waited for before it is sent a second time; false if it
-// is not sent twice: only calls that the configuration lets run twice are, and within the
-// attempts of their route.
+// hedgeDelay is how long to wait for an answer before the call is sent a second time; false if
+// the call is not hedged. Only calls that may run more than once by the configuration are, and
+// only within the attempts of their route.
 func (x *exchange) hedgeDelay() (time.Duration, bool) {
 	hedgeable := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
 	if !hedgeable || x.capacityWait.waited > 0 || x.sendCount+2 > x.route.MaxAttempts {
@@ -44,9 +44,9 @@
 	return delay, ok && delay < time.Until(x.deadline)
 }
 
-// tryTwice sends the call to one target, and to another one if the first has not answered
-// after a delay. The first whole answer goes to the caller; the other send is broken off,
-// so that its target drops the work.
+// attemptHedged sends the call to one target, and to another one if the first has not answered
+// after a delay. The first deliverable answer goes to the caller; the other send is cancelled, so
+// that its target drops the work.
 func (x *exchange) attemptHedged(ctx context.Context, t balance.TargetInfo, delay time.Duration) (retry bool, err error) {
 	results := make(chan *sendResult, 2)
 	startedAt := time.Now()
@@ -95,8 +95,8 @@
 	}
 }
 
-// launch sends the call to a target beside the caller's wait. The returned function breaks
-// it off.
+// startSend sends the call to a target in the background and passes the result to results. The
+// returned function cancels the send.
 func (x *exchange) startSend(ctx context.Context, t balance.TargetInfo, results chan<- *sendResult) context.CancelFunc {
 	guarded, release := x.host.reach.guard(ctx, t)
 	req := x.newTargetRequest(t, x.call.LastEventID)
@@ -105,14 +105,15 @@
 		result.resp, result.err = x.host.roundTrip(guarded, t, req)
 		if result.err == nil {
 			result.body, result.err = x.readAnswer(guarded, result.resp)
-			_ = result.resp.Body.Close() // what is left of it is of no use
+			_ = result.resp.Body.Close() // the rest is not needed
 		}
 		results <- result
 	}()
 	return release
 }
 
-// pickSecond chooses the target of a second send, if there is a token and a target for it.
+// pickSecondTarget chooses the target of a second send; false if there is no target or no token
+// of the hedge budget.
 func (x *exchange) pickSecondTarget(first balance.TargetInfo, delay time.Duration) (balance.TargetInfo, bool) {
 	h := x.host
 	if !x.hasUntriedTarget() {
@@ -126,7 +127,7 @@
 		h.Meter.Count("second_sends", "no_token")
 		return balance.TargetInfo{}, false
 	}
-	x.sendCount++ // the first is under way
+	x.sendCount++ // counts the first send, which is in flight
 	second, err := x.pickTarget()
 	if err != nil {
 		x.sendCount--
@@ -138,7 +139,8 @@
 	return second, true
 }
 
-// failedSend notes a send that came to nothing while the other one is under way.
+// recordFailedSend records a send without a deliverable answer while the other one is in flight,
+// and returns its failure.
 func (x *exchange) recordFailedSend(ctx context.Context, result *sendResult) error {
 	h := x.host
 	switch {
@@ -150,18 +152,18 @@
 		if !result.resp.Answer.Misdirected {
 			x.capacityWait.addFull(result.target.ID)
 		}
-		return failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused with %d", result.target.ID, result.resp.Status)
+		return failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused the request with status %d", result.target.ID, result.resp.Status)
 	case failure.Is(result.err, failure.Overloaded):
-		h.recordOutcome(result.target, balance.Abandoned) // it is this host that has no room
-		return failure.Unknown(failure.Overloaded, "answer of %s: %v", result.target.ID, result.err)
+		h.recordOutcome(result.target, balance.Abandoned) // this host has no memory for the answer
+		return failure.Unknown(failure.Overloaded, "reading the answer of target %s: %v", result.target.ID, result.err)
 	default:
-		f := failure.Unknown(failure.BadAnswer, "answer of %s with %d beside a second send: %v", result.target.ID, result.resp.Status, result.err)
+		f := failure.Unknown(failure.BadAnswer, "answer of target %s with status %d during a hedged call: %v", result.target.ID, result.resp.Status, result.err)
 		h.recordOutcome(result.target, result.outcome(ctx, f))
 		return f
 	}
 }
 
-// outcome is what a reply that is not passed on says of its target.
+// outcome is the outcome for the target of an answer that is not sent to the caller.
 func (r *sendResult) outcome(ctx context.Context, f *failure.Failure) balance.Outcome {
 	clientError := r.resp.Status >= http.StatusMultipleChoices && r.resp.Status < http.StatusInternalServerError
 	if r.err == nil && clientError {
@@ -170,8 +172,9 @@
 	return failureOutcome(ctx, f)
 }
 
-// conclude ends the try with a reply, as if its target had been the only one. Only the word
-// that the call has not run is not passed on where the other send failed and may have.
+// finishAttempt ends the attempt with a result, as if its target had been the only one. A status
+// that implies that the call has not run is withheld if the other send failed, with otherErr, and
+// may have run.
 func (x *exchange) finishAttempt(ctx context.Context, result *sendResult, otherErr error) (retry bool, err error) {
 	x.targetID, x.targetStartedAtMs, x.sentAt = result.target.ID, result.target.StartedAtMs, result.sentAt
 	if result.resp == nil {
@@ -183,14 +186,14 @@
 	}
 	mayHaveRun := otherErr != nil && failure.From(otherErr).Ran != failure.RanNo
 	if mayHaveRun && result.err == nil && statusImpliesNotRun(result.resp.Status) {
-		f := failure.Unknown(failure.BadAnswer, "target %s answered %d beside a send that may have run", result.target.ID, result.resp.Status)
+		f := failure.Unknown(failure.BadAnswer, "target %s answered with status %d while another send may have run", result.target.ID, result.resp.Status)
 		x.recordOutcome(result.target.ID, result.outcome(ctx, f))
 		return true, f
 	}
 	return x.deliverPlain(ctx, result.target, result.resp, result.body, result.err)
 }
 
-// abandoned notes the end of a send that was broken off.
+// recordAbandoned records the end of a send that was cancelled.
 func (h *Host) recordAbandoned(results <-chan *sendResult) {
 	result := <-results
 	h.recordOutcome(result.target, balance.Abandoned)
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -24,11 +24,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// soon is how long calls of the tests are waited for before they are sent again.
+// testHedgeDelay is the delay before the tests' calls are sent a second time.
 const testHedgeDelay = time.Millisecond
 
-// uneven makes the host one that knows its calls, with n tokens at most, and its targets such
-// that tell their slowdown.
+// enableHedging gives the host enough recorded answers to hedge its calls, at most tokens tokens of
+// the hedge budget, and targets that report their slowdown.
 func (s *testSystem) enableHedging(tokens int) {
 	h := s.host
 	h.mu.Lock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// inFlight is the host's own requests at all targets.
+// inFlight is the number of the host's requests in flight at all targets.
 func (s *testSystem) inFlight() int {
 	n := 0
 	for _, t := range s.host.State().Targets {
@@ -56,13 +56,14 @@
 	return n
 }
 
-// settled waits until the sends that were broken off are noted as ended.
+// awaitNoneInFlight waits until cancelled sends are recorded as ended.
 func (s *testSystem) awaitNoneInFlight() {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessTimeout, time.Millisecond)
 }
 
-// stalls answers the first request of all targets once release is closed, others at once.
+// stallFirst returns an answerFunc that answers the first request at any target only once release
+// is closed, and all others at once, and the number of requests.
 func stallFirst(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
 	asked = &atomic.Int32{}
 	return func(_ int, r received, id string) (string, bool) {
@@ -74,8 +75,8 @@
 	}, asked
 }
 
-// The first answer that is whole goes to the caller; what the stalled target writes later
-// reaches neither this caller nor the next ones.
+// The first complete answer goes to the caller. The late answer of the stalled target reaches
+// neither this caller nor later ones.
 func TestStalledCallIsHedged(t *testing.T) {
 	release := make(chan struct{})
 	answer, asked := stallFirst(release)
@@ -92,8 +93,8 @@
 	}
 }
 
-// A call that must run at most once is sent once, however long it takes. The other call
-// shows that the time for a second send has passed.
+// An at-most-once call is sent once, however long it takes. The other call shows that the hedge
+// delay has passed.
 func TestAtMostOnceCallsAreNotHedged(t *testing.T) {
 	release := make(chan struct{})
 	plain, asked := stallFirst(release)
@@ -118,7 +119,6 @@
 	require.EqualValues(t, 1, once.Load())
 }
 
-// Which calls are sent twice, and which never are.
 func TestOnlyIdempotentPlainCallsAreHedged(t *testing.T) {
 	unhedged := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
 	s := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
@@ -131,24 +131,24 @@
 	}
 	unchanged := func(*exchange) {}
 	require.True(t, hedgeable(unchanged))
-	require.False(t, hedgeable(func(x *exchange) { x.host = unhedged.host }), "a host that knows no times yet")
-	require.True(t, hedgeable(func(x *exchange) { x.service = "other" }), "targets that do not tell their slowdown")
+	require.False(t, hedgeable(func(x *exchange) { x.host = unhedged.host }), "host without recorded answers")
+	require.True(t, hedgeable(func(x *exchange) { x.service = "other" }), "targets that report no slowdown")
 	for reason, change := range map[string]func(*exchange){
 		"at most once":             func(x *exchange) { x.route.Kind = routing.AtMostOnce },
 		"a stream":                 func(x *exchange) { x.route.Kind = routing.Streaming },
 		"a prompt":                 func(x *exchange) { x.call.PromptTokens = 1 },
 		"one attempt":              func(x *exchange) { x.route.MaxAttempts = 1 },
 		"the last attempt":         func(x *exchange) { x.sendCount = 1 },
-		"after a wait for room":    func(x *exchange) { x.capacityWait.waited = time.Millisecond },
+		"after a capacity wait":    func(x *exchange) { x.capacityWait.waited = time.Millisecond },
 		"less time than the delay": func(x *exchange) { x.deadline = time.Now() },
-		"a kind that is not known": func(x *exchange) { x.route.Name = "other" },
+		"unknown kind of work":     func(x *exchange) { x.route.Name = "other" },
 		"no attempts left":         func(x *exchange) { x.sendCount = 2 },
 	} {
 		require.False(t, hedgeable(change), reason)
 	}
 }
 
-// Without a token a call waits for its first target.
+// Without a token of the hedge budget, a call waits for its first target.
 func TestSecondSendRequiresToken(t *testing.T) {
 	release := make(chan struct{})
 	answer, asked := stallFirst(release)
@@ -166,16 +166,17 @@
 	require.Zero(t, s.host.Meter.Value("second_sends_sent"))
 }
 
+// answerBody is the body of an answer that a caller got.
 type answerBody string
 
-// A second target that refuses, fails or breaks off does not end the call: the first one's
-// answer is still waited for.
+// If the second target refuses the call, fails or ends its answer early, the call still waits for the
+// first one.
 func TestFailedSecondSendDoesNotEndCall(t *testing.T) {
 	for name, raw := range map[string]func(id string) (string, bool){
-		"refuses":    func(id string) (string, bool) { return refusedAnswer(id), false },
-		"fails":      func(id string) (string, bool) { return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false },
-		"breaks off": func(id string) (string, bool) { return okAnswer(id, "whole")[:60], true },
-		"closes":     func(string) (string, bool) { return "", true },
+		"refuses":     func(id string) (string, bool) { return refusedAnswer(id), false },
+		"fails":       func(id string) (string, bool) { return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false },
+		"truncates":   func(id string) (string, bool) { return okAnswer(id, "whole")[:60], true },
+		"disconnects": func(string) (string, bool) { return "", true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -199,21 +200,21 @@
 	}
 }
 
-// unsaid is an answer whose status promises that the call has not run, though its target
-// does not say so.
+// unmarkedRefusal is an answer whose status implies that the call has not run, but which does not
+// mark it as not run.
 func unmarkedRefusal(id string) string {
 	return "HTTP/1.1 429 Limited\r\n" + ownheaders.ID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-// No caller is told that its call has not run while the other send is at work, nor after that
-// one broke off and may have run.
+// No caller is told that its call has not run while the other send is in flight, or after the other
+// send failed and may have run.
 func TestNotRunStatusIsWithheldWhileOtherSendMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		breaks bool
 		status int
 	}{
-		"the first is at work": {false, http.StatusOK},
-		"the first breaks off": {true, http.StatusBadGateway},
+		"the first is in flight": {false, http.StatusOK},
+		"the first disconnects":  {true, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -243,8 +244,8 @@
 	}
 }
 
-// A target is not taken to fail where the caller left while its answer was read, or where this
-// host had no room for the answer.
+// A send that ends because the caller left, or because this host has no memory for the answer, is
+// recorded as abandoned and not as a failure of the target.
 func TestCallerOrHostFailuresAreNotTargetFailures(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -252,8 +253,8 @@
 		ctx context.Context
 		err error
 	}{
-		"the caller left":      {cancelled, context.Canceled},
-		"the host has no room": {t.Context(), failure.Retry(failure.Overloaded, testHedgeDelay, "no room")},
+		"the caller left":        {cancelled, context.Canceled},
+		"the host has no memory": {t.Context(), failure.Retry(failure.Overloaded, testHedgeDelay, "no memory")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSystem(t, newFakeTarget(t, "t1", nil))
@@ -266,7 +267,7 @@
 	}
 }
 
-// Both targets fail: the route's attempts are used up, and the caller is told so.
+// If both targets fail, the route's attempts are used up and the caller gets an error.
 func TestBothSendsFail(t *testing.T) {
 	var asked atomic.Int32
 	both := make(chan struct{})
@@ -284,7 +285,7 @@
 	s.awaitNoneInFlight()
 }
 
-// Two stalled targets hold a call no longer than its caller waits.
+// Two stalled targets do not delay the answer beyond the caller's timeout.
 func TestBothSendsEndAtDeadline(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -299,7 +300,7 @@
 	s.awaitNoneInFlight()
 }
 
-// The state says when calls are sent again and what is left for it.
+// The state shows the hedge delay and the hedge budget.
 func TestStateShowsSecondSends(t *testing.T) {
 	s := newSystem(t, newFakeTarget(t, "t1", nil))
 	s.enableHedging(5)
@@ -311,7 +312,7 @@
 	require.True(t, picked)
 }
 
-// lines is a log that can be read while it is written.
+// logBuffer is a log output that can be read while it is written to.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -323,7 +324,7 @@
 	return l.buf.Write(p)
 }
 
-// first is the first line.
+// firstLine returns the first line.
 func (l *logBuffer) firstLine() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -331,8 +332,8 @@
 	return line
 }
 
-// The line of a request that was routed says what decided: the target's slowdown, the time
-// predicted there, and the target at home that was left for another data centre.
+// The log message "request routed" names what decided: the slowdown of the target, the duration
+// predicted there, and the near target that was not chosen.
 func TestRequestRoutedLogExplainsChoice(t *testing.T) {
 	answer := func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
--- a/daemon/entry/ingress_test.go
+++ b/daemon/entry/ingress_test.go
@@ -14,8 +14,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// raw sends bytes on one connection and returns the statuses of the first n
-// answers, fewer if the host closes it before.
+// postRaw sends text on one connection and returns the statuses of the first n answers, fewer if the
+// host closes the connection before.
 func (s *testSystem) postRaw(text string, n int) []int {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
@@ -38,6 +38,7 @@
 	return statuses
 }
 
+// postHead is the start of a request to /plain/, followed by extra.
 func postHead(id string, extra ...string) string {
 	return "POST /plain/ HTTP/1.1\r\nHost: example\r\n" + ownheaders.ID + ": " + id + "\r\n" + strings.Join(extra, "")
 }
@@ -47,14 +48,14 @@
 		text string
 		want []int
 	}{
-		"bad chunk":         {postHead("1", "Transfer-Encoding: chunked\r\n\r\n", "zz\r\nbody\r\n0\r\n\r\n"), []int{http.StatusBadRequest}},
-		"cut body":          {postHead("1", "Content-Length: 10\r\n\r\n", "short"), nil},
-		"two lengths":       {postHead("1", "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", "body!"), []int{http.StatusBadRequest}},
-		"negative length":   {postHead("1", "Content-Length: -4\r\n\r\n"), []int{http.StatusBadRequest}},
-		"unknown encoding":  {postHead("1", "Transfer-Encoding: zip\r\n\r\n"), []int{http.StatusNotImplemented}},
-		"space in a name":   {postHead("1", "Transfer-Encoding : chunked\r\n\r\n"), []int{http.StatusBadRequest}},
-		"no request at all": {"hello\r\n\r\n", []int{http.StatusBadRequest}},
-		"header too large":  {postHead("1", "X: "+strings.Repeat("a", 2<<20)+"\r\n\r\n"), []int{http.StatusRequestHeaderFieldsTooLarge}},
+		"invalid chunk":    {postHead("1", "Transfer-Encoding: chunked\r\n\r\n", "zz\r\nbody\r\n0\r\n\r\n"), []int{http.StatusBadRequest}},
+		"truncated body":   {postHead("1", "Content-Length: 10\r\n\r\n", "short"), nil},
+		"two lengths":      {postHead("1", "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", "body!"), []int{http.StatusBadRequest}},
+		"negative length":  {postHead("1", "Content-Length: -4\r\n\r\n"), []int{http.StatusBadRequest}},
+		"unknown encoding": {postHead("1", "Transfer-Encoding: zip\r\n\r\n"), []int{http.StatusNotImplemented}},
+		"space in name":    {postHead("1", "Transfer-Encoding : chunked\r\n\r\n"), []int{http.StatusBadRequest}},
+		"no HTTP":          {"hello\r\n\r\n", []int{http.StatusBadRequest}},
+		"header too large": {postHead("1", "X: "+strings.Repeat("a", 2<<20)+"\r\n\r\n"), []int{http.StatusRequestHeaderFieldsTooLarge}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false })
@@ -65,8 +66,8 @@
 	}
 }
 
-// A request inside another's body stays a body, whichever length a lax reader
-// would take.
+// A request inside the body of another is not parsed as a request, although Content-Length and
+// Transfer-Encoding contradict each other (request smuggling).
 func TestSmuggledRequestIsTreatedAsBody(t *testing.T) {
 	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false })
 	s := newSystem(t, x)
--- a/daemon/entry/plain.go
+++ b/daemon/entry/plain.go
@@ -12,21 +12,22 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// plain passes on an answer that is not a stream, of which readAnswer has returned the body.
+// deliverPlain sends an answer that is not a stream to the caller. body and err are the results
+// of readAnswer. retry reports whether another target may be tried.
 func (x *exchange) deliverPlain(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response, body *bodyChunks, err error) (retry bool, _ error) {
 	if failure.Is(err, failure.Overloaded) {
 		x.recordOutcome(t.ID, balance.Abandoned)
-		return false, failure.Unknown(failure.Overloaded, "answer of %s: %v", t.ID, err)
+		return false, failure.Unknown(failure.Overloaded, "reading the answer of target %s: %v", t.ID, err)
 	}
 	if err != nil {
-		f := failure.Unknown(failure.BadAnswer, "body of the answer of %s: %v", t.ID, err)
+		f := failure.Unknown(failure.BadAnswer, "reading the answer body of target %s: %v", t.ID, err)
 		f.Kind = failureKind(ctx, f.Kind)
 		x.recordOutcome(t.ID, failureOutcome(ctx, f))
 		return x.repeatable(), f
 	}
 	if resp.Status < http.StatusMultipleChoices && !resp.Answer.Signed {
 		x.recordOutcome(t.ID, balance.Failed)
-		return x.repeatable(), failure.Unknown(failure.BadAnswer, "unsigned answer of %s", t.ID)
+		return x.repeatable(), failure.Unknown(failure.BadAnswer, "answer of target %s has no signature", t.ID)
 	}
 	if resp.Status < http.StatusInternalServerError {
 		x.recordOutcome(t.ID, balance.Served)
@@ -34,24 +35,25 @@
 	} else {
 		x.recordOutcome(t.ID, balance.Failed)
 		if x.repeatable() && x.sendCount < x.route.MaxAttempts && x.hasUntriedTarget() {
-			return true, failure.Unknown(failure.TargetFailed, "target %s answered %d", t.ID, resp.Status)
+			return true, failure.Unknown(failure.TargetFailed, "target %s answered with status %d", t.ID, resp.Status)
 		}
 	}
 	if !x.repeatable() && x.impliesNotRun(resp.Status) {
-		return false, failure.Unknown(failure.BadAnswer, "target %s answered %d and did not say that the request has not run", t.ID, resp.Status)
+		return false, failure.Unknown(failure.BadAnswer, "target %s answered with status %d and did not mark the request as not run", t.ID, resp.Status)
 	}
 	x.copyHeader(resp.Header)
 	x.w.Header().Set("Content-Length", strconv.FormatInt(body.size, 10))
 	x.headSent = true
 	x.w.WriteHeader(resp.Status)
 	if err := x.writeAnswer(body); err != nil {
-		return false, failure.Unknown(failure.CallerGone, "answer of %s not taken: %v", t.ID, err)
+		return false, failure.Unknown(failure.CallerGone, "writing the answer of target %s to the caller: %v", t.ID, err)
 	}
 	return false, nil
 }
 
-// promises reports whether callers take a status as the word that the request has not run
-// and never will. It is the system's to give, or a target's that says so expressly.
+// impliesNotRun reports whether callers conclude from a status that the request has not run and
+// never will. Only the system may send such a status, or a target that marks the request as not
+// run explicitly.
 func (x *exchange) impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusPaymentRequired, http.StatusNotFound, http.StatusGone:
@@ -60,7 +62,7 @@
 	return statusImpliesNotRun(status)
 }
 
-// promise reports whether a status is such a word for requests of all kinds.
+// statusImpliesNotRun reports the same for requests of all kinds.
 func statusImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -69,7 +71,7 @@
 	return false
 }
 
-// copyHead copies a target's headers but those of its connection.
+// copyHeader copies a target's headers, except those of its connection, into the answer.
 func (x *exchange) copyHeader(targetHeader http.Header) {
 	header := x.w.Header()
 	closing := header.Get("Connection") == "close"
@@ -81,7 +83,7 @@
 		header.Set("Connection", "close")
 	}
 	if _, given := targetHeader["Content-Type"]; !given {
-		header["Content-Type"] = nil // keeps net/http from guessing one
+		header["Content-Type"] = nil // keeps net/http from detecting one
 	}
 }
 
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// tokenWait and tokenShare bound the wait for a token that is about to come, in all and
-	// as a part of the time that the caller has. More programs end within their quota so than where their callers are refused
-	// at once and come back.
+	// maxTokenWait bounds the wait for the next token, and tokenWaitDivisor bounds it as a
+	// fraction, 1/tokenWaitDivisor, of the time until the request's deadline. With the wait,
+	// more programs end within their quota than if callers are refused at once and retry.
 	maxTokenWait     = 600 * time.Millisecond
 	tokenWaitDivisor = 3
-	// firstTokenWait is the same for the first request of a program, which has lost nothing
-	// yet by coming back.
+	// maxFirstTokenWait is the same for the first request of a program, which loses nothing
+	// by a retry.
 	maxFirstTokenWait = 40 * time.Millisecond
 )
 
-// tokenPatience is how long the request may wait for a token.
+// tokenWaitTimeout is how long the request may wait for a token.
 func (x *exchange) tokenWaitTimeout() time.Duration {
 	if x.startsProgram() {
 		return maxFirstTokenWait
@@ -27,7 +27,8 @@
 	return min(maxTokenWait, time.Until(x.deadline)/tokenWaitDivisor)
 }
 
-// withinQuota takes a token of the customer's quota, which counts over all hosts.
+// awaitQuotaToken takes a token of the customer's quota, which is shared by all hosts. It waits for
+// one up to tokenWaitTimeout, and returns a failure with a retry delay if it gets none.
 func (x *exchange) awaitQuotaToken(ctx context.Context) error {
 	if x.customer == nil || !x.customer.Quota.Limited() {
 		return nil
@@ -41,15 +42,16 @@
 	}
 	switch {
 	case err != nil:
-		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "quota of %s: %v", x.customer.Name, err)
+		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "quota of customer %s: %v", x.customer.Name, err)
 	case !grant.Granted:
 		x.host.Meter.Count("turned_away", "quota")
-		return failure.Retry(failure.QuotaExceeded, grant.RetryDelay, "customer %s, %g requests a second and %g at once, version %d, first of its program: %t",
+		return failure.Retry(failure.QuotaExceeded, grant.RetryDelay, "quota of customer %s exhausted: %g requests/s, burst %g, configuration version %d, first request of its program: %t",
 			x.customer.Name, x.customer.Quota.Rate, x.customer.Quota.Burst, x.customerVersion, x.startsProgram())
 	}
 	return nil
 }
 
+// requestToken asks history hosts once for a token of the customer's quota.
 func (x *exchange) requestToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
 	return x.host.History.Take(ctx, quota.TokenRequest{
@@ -58,5 +60,5 @@
 	})
 }
 
-// begins reports whether the request is the first of its program.
+// startsProgram reports whether the request is the first of its program.
 func (x *exchange) startsProgram() bool { return x.isTurn() && !x.programStarted }
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -22,11 +22,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// smallMemory is that of the smallest hosts.
+// smallHostMemoryBytes is the memory of the smallest hosts.
 const smallHostMemoryBytes = 112 << 20
 
-// pipes is a network of unbuffered connections in virtual time: what one side does not read,
-// the other cannot write.
+// pipeNetwork is a listener and dialer of unbuffered connections in virtual time: a write blocks
+// until the other side reads.
 type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -57,8 +57,8 @@
 	return near, nil
 }
 
-// slowHost is a host in virtual time. Its one target serves what the routes /plain/
-// (idempotent) and /quick/ (a stream) ask for.
+// slowHost is a host in virtual time, for tests with slow callers and targets. Its only target serves
+// the routes /plain/ (idempotent), /once/ (at most once) and /quick/ (a resumable stream).
 type slowHost struct {
 	*Host
 	t       *testing.T
@@ -66,8 +66,10 @@
 	meter   *meter.Meter
 }
 
+// slowRouteTimeout is the timeout of all routes.
 const slowRouteTimeout = 20 * time.Second
 
+// newSlowHost starts a slowHost; target serves each connection to its target.
 func newSlowHost(t *testing.T, target func(net.Conn)) *slowHost {
 	p := &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{}), target: target}
 	m := meter.New()
@@ -88,13 +90,13 @@
 	return &slowHost{Host: h, t: t, network: p, meter: m}
 }
 
-// stop ends the host, so that nothing of it goes on.
+// stop ends the host with all its goroutines.
 func (h *slowHost) stop() {
 	h.Close()
 	_ = h.network.Close()
 	close(h.reach.done)
 	h.pool.Close()
-	// http.Server waits a little between the two halves of closing a connection.
+	// http.Server waits for a short time between closing the two directions of a connection.
 	time.Sleep(time.Second)
 }
 
@@ -105,7 +107,7 @@
 	return near
 }
 
-// ask sends a request without a body on a connection of its own.
+// sendRequest sends a request without a body on a new connection.
 func (h *slowHost) sendRequest(path string) net.Conn {
 	c := h.connect()
 	h.write(c, requestHead(path, 0))
@@ -125,6 +127,7 @@
 	return h.held.state().ChargedBytes
 }
 
+// readStatus reads one answer and returns its status.
 func readStatus(t *testing.T, c net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -133,7 +136,7 @@
 	return resp.StatusCode
 }
 
-// answerOf returns a target that reads requests whole and answers each with raw.
+// answerWith returns a target that reads whole requests and answers each with raw.
 func answerWith(raw string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
@@ -153,7 +156,8 @@
 	}
 }
 
-// endless streams events until its connection ends, and says when that was.
+// endlessStream returns a target that streams events until its connection ends, and stores that time
+// in ended, in ns since 1970.
 func endlessStream(ended *atomic.Int64) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -18,8 +18,8 @@
 	"github.com/pistachioarch/pistachioarch/core/held"
 )
 
-// The engine of a stream whose caller reads no more is set free before it cuts the answer
-// off itself, and what the caller did is not held against it.
+// If the caller of a stream stops reading, the host releases the engine before the engine aborts the
+// answer itself, and does not count the send as a failure of the target.
 func TestCallerThatStopsReadingReleasesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ended atomic.Int64
@@ -40,7 +40,7 @@
 	})
 }
 
-// A caller that reads slowly but steadily gets its whole stream, however long that takes.
+// A caller that reads slowly but steadily gets the whole stream, however long it takes.
 func TestSlowSteadyCallerIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, answerWith(okStream("1", 0, "one", "two", "three")))
@@ -60,9 +60,9 @@
 	})
 }
 
-// Hundreds of callers that read nothing fill the account, never beyond its bound, whether
-// their answers come one after the other or all at once; a caller that reads is served beside
-// them, and all is released when they are gone.
+// Hundreds of callers that read nothing fill the memory account, but not beyond its bound, whether
+// their answers arrive one after the other or all at once. A caller that reads is still served,
+// and all memory is released after they have left.
 func TestSlowCallersStayWithinMemoryBound(t *testing.T) {
 	const callers, size = 400, 400 << 10
 	answer := answerWith(okAnswer("1", strings.Repeat("x", size)))
@@ -82,7 +82,7 @@
 					require.LessOrEqual(t, h.chargedBytes(), h.held.state().AnswerBoundBytes)
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.Greater(t, h.chargedBytes(), h.held.state().RequestBoundBytes*9/10, "the account is full")
+				require.Greater(t, h.chargedBytes(), h.held.state().RequestBoundBytes*9/10, "the memory account is full")
 				require.Zero(t, h.meter.Value("requests_answered"))
 				require.True(t, h.servedWithRetries("/plain/"))
 				require.Positive(t, h.meter.Value("callers_ended_no_room"))
@@ -99,7 +99,7 @@
 	}
 }
 
-// delayed is a target that takes its time before it begins with a connection.
+// delayTarget returns a target that waits before it serves each connection.
 func delayTarget(d time.Duration, target func(net.Conn)) func(net.Conn) {
 	return func(c net.Conn) {
 		time.Sleep(d)
@@ -107,7 +107,7 @@
 	}
 }
 
-// served reports whether a caller that reads gets its answer within a few tries.
+// servedWithRetries reports whether a caller that reads is served within five attempts.
 func (h *slowHost) servedWithRetries(path string) bool {
 	for range 5 {
 		c := h.sendRequest(path)
@@ -121,7 +121,7 @@
 	return false
 }
 
-// A host that stops does so within its grace, whatever its callers and targets do.
+// Drain ends within the grace time, even with slow callers or targets.
 func TestDrainEndsWithinGraceDespiteSlowPeers(t *testing.T) {
 	const grace = 8 * time.Second
 	silent := func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
@@ -155,7 +155,8 @@
 	}
 }
 
-// A caller that does not send the rest of its body is refused in time, and reaches no target.
+// A caller that stops sending its body is refused within the header timeout, and the request is sent
+// to no target.
 func TestStalledUploadIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, func(c net.Conn) { t.Error("sent to a target"); _ = c.Close() })
@@ -180,7 +181,7 @@
 	})
 }
 
-// A body that comes slowly but steadily is read to its end.
+// A body that arrives slowly but steadily is read to its end.
 func TestSlowSteadyUploadIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, answerWith(okAnswer("1", "done")))
@@ -196,8 +197,8 @@
 	})
 }
 
-// A target that reads no more of a request costs its caller the route's time and no more,
-// and the body is released with it.
+// If a target stops reading a request, the caller gets an answer by the route's timeout, and the
+// memory of the body is released.
 func TestTargetThatStopsReadingEndsAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan struct{}, 1)
@@ -226,8 +227,8 @@
 	})
 }
 
-// Where bodies fill the account, the next one is refused soon and has not run; the slow
-// callers end, and there is room again.
+// If request bodies fill the memory account, the next request is refused soon and has not run. Slow
+// callers are evicted, and then there is memory again.
 func TestUploadsOverMemoryBoundAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, answerWith(okAnswer("1", "done")))
@@ -257,8 +258,8 @@
 	})
 }
 
-// What a request with an ordinary prompt costs the runtime, the bytes that it holds included,
-// is within what it is charged at least.
+// The memory that a request with an ordinary prompt uses, including the bytes held for it, is below
+// the minimum charge of a request.
 func TestOrdinaryRequestFitsMinimumCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers, prompt = 300, 12 << 10
@@ -274,12 +275,12 @@
 		time.Sleep(streamWriteTimeout / 2)
 		require.Equal(t, callers, h.active())
 		bytesPerRequest := (memoryInUse() - before) / callers
-		t.Logf("%d bytes a request, with those of its caller and target", bytesPerRequest)
+		t.Logf("%d bytes per request, including those of its caller and target", bytesPerRequest)
 		require.Less(t, bytesPerRequest, int64(held.MinRequestBytes))
 	})
 }
 
-// inUse is the memory in use for the heap and for stacks.
+// memoryInUse is the memory in use for the heap and for stacks, in bytes.
 func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -13,8 +13,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// stream passes events on as they come. A stream that breaks is resumed at other
-// targets where the route allows it.
+// deliverStream forwards events to the caller as they arrive. A stream that ends early is resumed
+// at other targets if the route allows it.
 func (x *exchange) deliverStream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (retry bool, err error) {
 	lastEventID := x.call.LastEventID
 	for {
@@ -24,11 +24,11 @@
 			return false, x.finishStream(ctx, resp)
 		}
 		if local := localFailure(err); local != nil {
-			// Says nothing of the target.
+			// The target has not failed.
 			x.recordOutcome(t.ID, balance.Abandoned)
-			return false, failure.Unknown(local.Kind, "stream of %s: %v", t.ID, err)
+			return false, failure.Unknown(local.Kind, "stream of target %s: %v", t.ID, err)
 		}
-		f := failure.Unknown(failure.BadAnswer, "stream of %s broke off: %v", t.ID, err)
+		f := failure.Unknown(failure.BadAnswer, "stream of target %s ended early: %v", t.ID, err)
 		f.Kind = failureKind(ctx, f.Kind)
 		x.recordOutcome(t.ID, failureOutcome(ctx, f))
 		_ = resp.Body.Close()
@@ -44,14 +44,14 @@
 	}
 }
 
-// The failures of a stream that lie on this side of it: the caller takes nothing more, or
-// there is no room for what it has not taken.
+// Failures of a stream that its target has not caused: the caller reads no more, or there is no
+// memory for events that it has not read.
 var (
-	errCallerWrite = failure.New(failure.CallerGone, "write to the caller")
-	errNoMemory    = failure.New(failure.Overloaded, "no room for the stream")
+	errCallerWrite = failure.New(failure.CallerGone, "write to the caller failed")
+	errNoMemory    = failure.New(failure.Overloaded, "no memory for the stream")
 )
 
-// endedHere returns the failure if it lies on this side of the stream.
+// localFailure returns the failure that err wraps if the target has not caused it, else nil.
 func localFailure(err error) *failure.Failure {
 	for _, f := range []*failure.Failure{errCallerWrite, errNoMemory} {
 		if errors.Is(err, f) {
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// pump passes whole events on until the stream ends.
+// deliverEvents forwards whole events until the stream ends, and sets lastEventID to the id of
+// the last one forwarded.
 func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, lastEventID *string) error {
 	controller := http.NewResponseController(x.w)
 	events := &eventReader{source: resp.Body, reserve: x.reserveFunc(ctx, held.Events)}
@@ -99,8 +100,8 @@
 	}
 }
 
-// begin sends the head of the answer, once: that of the first target. Until then
-// a failure is answered by a head of our own.
+// writeHead sends the head of the first target's answer to the caller, once. Before that, a
+// failure is answered with a head of the host's own.
 func (x *exchange) writeHead(resp *targetpool.Response) {
 	if x.headSent {
 		return
@@ -113,8 +114,8 @@
 	x.w.WriteHeader(resp.Status)
 }
 
-// resume sends the request to another target, after the last event passed on. The
-// caller releases the guard of the new target.
+// resume sends the request to another target, to continue after the last event forwarded. The
+// returned function releases the guard of the new target.
 func (x *exchange) resume(ctx context.Context, lastEventID string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
 	for x.sendCount < x.route.MaxAttempts {
 		t, err := x.pickTarget()
@@ -142,10 +143,10 @@
 		_ = resp.Body.Close()
 		release()
 	}
-	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sendCount)
+	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "no target resumed the stream after %d sends", x.sendCount)
 }
 
-// finishStream makes a turn durable before its caller sees it end.
+// finishStream makes a turn durable before its caller receives the end of the stream.
 func (x *exchange) finishStream(ctx context.Context, resp *targetpool.Response) error {
 	x.writeHead(resp)
 	if x.turn == nil {
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -13,50 +13,54 @@
 )
 
 const (
-	// historyPatience bounds the wait for history hosts before a turn is sent: a
-	// caller that is refused comes back to another host.
+	// historyTimeout is the default bound of the wait for history hosts before a turn is
+	// sent. A caller that is refused retries at another host.
 	historyTimeout = 800 * time.Millisecond
-	// settlementWait is how long a refusal for want of budget waits for settlements on
-	// their way: one takes some 5 ms, and the refusal ends the program.
+	// maxSettlementWait bounds the wait for pending settlements before a turn is refused
+	// because its budget is exhausted. A settlement takes about 5 ms, and the refusal ends
+	// the program.
 	maxSettlementWait      = 300 * time.Millisecond
 	settlementPollInterval = 30 * time.Millisecond
-	// cutPatience is how long history hosts may be out of reach until a turn that cannot be
-	// kept is broken off: its caller sends it again elsewhere, and would else wait for the end
-	// of the cut, or give up after two seconds and more.
+	// unreachableHistoryTimeout is how long history hosts may be unreachable before a turn
+	// that cannot be stored is aborted. Its caller then sends it again to another host;
+	// otherwise it would wait for the end of the partition, or give up after two seconds or
+	// more.
 	unreachableHistoryTimeout = 500 * time.Millisecond
-	// settlePatience bounds the settling of a budget after an answer.
+	// settleTimeout bounds the settling of a budget after an answer.
 	settleTimeout = 3 * time.Second
 )
 
-// turn is one turn of a program while it runs.
+// turn is the state of one turn of a program while it runs.
 type turn struct {
 	x          *exchange
 	input      []byte
 	output     []byte
 	eventCount int64
-	// kept is the program under which the turn and those before it are kept; see keptAs.
+	// historyProgram is the program name under which the turn and those before it are
+	// stored; see exchange.historyProgram.
 	historyProgram string
 }
 
-// defaultRetention is for routes that do not say how long programs are kept.
+// defaultRetention applies to routes that do not set a retention.
 const defaultRetention = 2 * time.Minute
 
-// retention is how long the program is kept after this turn: also while a next turn runs that
-// begins at its end.
+// retention is how long the program is stored after this turn. It covers a next turn that starts
+// at the end of the route's retention.
 func (x *exchange) retention() time.Duration {
 	retention := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
 	return retention + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
 }
 
+// isTurn reports whether the request is a turn of a program: a stream of an engine service.
 func (x *exchange) isTurn() bool {
 	return x.route.Kind == routing.Streaming && x.call.Program != "" && x.engine != nil
 }
 
-// note counts an event that is about to go to the caller, or reports that there is no
-// room to keep it.
+// addEvent counts an event that is about to be sent to the caller, and adds it to the output of
+// a retained turn. It reports false if there is no memory for it.
 func (t *turn) addEvent(ctx context.Context, e event) bool {
 	if t.x.route.Retained {
-		// Once here, once in the record of the turn.
+		// One copy in the output, one in the record of the turn.
 		size := 2 * int64(len(e.data)+1)
 		if t.x.held.grow(ctx, held.Record, size, answerWait) != nil {
 			return false
@@ -68,10 +72,10 @@
 	return true
 }
 
-// tokens is what was handed to the caller so far.
+// deliveredTokens is the number of tokens sent to the caller so far.
 func (t *turn) deliveredTokens() int64 { return t.eventCount * t.x.engine.TokensPerEvent }
 
-// serveTurn reserves budget, rebuilds the prompt, and forwards the turn.
+// serveTurn reserves budget, rebuilds the prompt, takes a quota token and forwards the turn.
 func (x *exchange) serveTurn(ctx context.Context) error {
 	t := &turn{x: x, input: x.body}
 	var err error
@@ -94,12 +98,12 @@
 	return err
 }
 
-// begin reserves the most that the turn can generate, then reads what all turns
-// of the program reserved before and the chain that this one continues.
+// begin reserves the maximum number of tokens that the turn can generate, then reads the
+// reservations of all turns of the program and the chain of turns that this one continues.
 func (t *turn) begin(ctx context.Context) error {
 	x := t.x
 	if !x.host.History.Servable(x.budgetProgram()) || !x.host.History.Servable(t.historyProgram) {
-		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are out of reach")
+		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are unreachable")
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
@@ -122,8 +126,8 @@
 	return t.prependChain(ctx, past.Chain, past.Elsewhere)
 }
 
-// past reads the budget use of the program, where its turns ran, and the chain that the turn
-// continues.
+// readPast reads the budget use of the program, the targets that ran its turns, and the chain
+// of turns that this one continues.
 func (t *turn) readPast(ctx context.Context) (*quorum.Past, error) {
 	x := t.x
 	previous := ""
@@ -145,8 +149,9 @@
 	return past, nil
 }
 
-// afford refuses the turn if the budget does not allow it, once no settlement that
-// would make room can be on its way any more. It returns the newest reading.
+// checkBudget refuses the turn if the budget does not allow it. Before, it waits for pending
+// settlements, up to maxSettlementWait, if they could free enough budget. It returns past with
+// the latest usage.
 func (t *turn) checkBudget(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
 	call := &t.x.call
 	for deadline := time.Now().Add(maxSettlementWait); ; {
@@ -155,7 +160,7 @@
 		}
 		pending := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(deadline)
 		if !pending || !sleep(ctx, settlementPollInterval) {
-			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
+			return nil, failure.New(failure.BudgetExhausted, "other turns use %d of %d tokens, %d requested",
 				past.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
 		}
 		latest, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
@@ -166,7 +171,7 @@
 	}
 }
 
-// sleep waits, or reports that the context ended.
+// sleep waits for d; it reports false if the context ended before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -178,7 +183,8 @@
 	}
 }
 
-// later tells the caller to come back, unless trying again cannot help.
+// historyFailure turns an error of history hosts into a failure with a retry delay, unless a retry
+// cannot succeed.
 func (t *turn) historyFailure(err error) error {
 	f := *failure.From(err)
 	if f.Kind == failure.UnknownTurn {
@@ -188,7 +194,7 @@
 	return &f
 }
 
-// comeBack is when the caller should try again after history hosts could not serve it.
+// historyRetryDelay is the retry delay for a caller that history hosts could not serve.
 func (x *exchange) historyRetryDelay() time.Duration {
 	if x.isTurn() && x.host.History.CutAlone() {
 		return turnPause
@@ -196,8 +202,8 @@
 	return x.host.comeBack()
 }
 
-// prepend puts the chain, oldest turn first, before the new input. A chain that
-// another program kept is copied, so that it lives as long as this program.
+// prependChain puts the chain, oldest turn first, before the new input. A chain that is stored
+// for another program is copied, so that it is retained as long as this program.
 func (t *turn) prependChain(ctx context.Context, chain []*historypb.Turn, fromOtherProgram bool) error {
 	chainBytes, err := t.reserveMemory(ctx, chain)
 	if err != nil || len(chain) == 0 {
@@ -223,8 +229,8 @@
 	return nil
 }
 
-// hold makes room for the chain, which is kept bytes long, the prompt that is built of it,
-// and the input in the record of the turn.
+// reserveMemory reserves memory for the chain, for the prompt that is built from it, and for the
+// input in the record of the turn. It returns the size of the chain in bytes.
 func (t *turn) reserveMemory(ctx context.Context, chain []*historypb.Turn) (chainBytes int64, err error) {
 	for _, previous := range chain {
 		chainBytes += int64(len(previous.Content))
@@ -240,9 +246,9 @@
 	return chainBytes, t.x.held.grow(ctx, held.Prompt, size, requestWait)
 }
 
-// finish makes the turn and its budget use durable. Where no later turn needs this
-// one, its caller does not wait for that: what was reserved holds until then. That
-// saves 5 to 8 ms a turn, and the whole turn where history hosts are cut off.
+// finish makes the turn and its budget use durable. The caller of a turn that is not retained
+// does not wait for that, as the reservation holds until the settlement. This saves 5 to 8 ms
+// per turn, and the whole turn if history hosts are unreachable.
 func (t *turn) finish(ctx context.Context) error {
 	if !t.x.route.Retained {
 		t.settle()
@@ -255,23 +261,25 @@
 		Turn: &historypb.Turn{Turn: t.x.customerScoped(t.x.call.ID), Previous: t.x.customerScoped(t.x.call.PreviousTurn), Content: content},
 	}}}
 	if t.historyProgram != t.x.budgetProgram() {
-		// The settlement beside the turn only makes all replicas there keep the turns before it.
+		// The settlement stored with the turn only makes all replicas there retain the
+		// turns before it.
 		defer t.settle()
 	}
 	if err := t.x.host.History.WriteWithin(ctx, unreachableHistoryTimeout, t.historyProgram, t.x.retention(), records...); err != nil {
-		return failure.Unknown(failure.HistoryUnavailable, "turn not kept: %v", err)
+		return failure.Unknown(failure.HistoryUnavailable, "turn not stored: %v", err)
 	}
 	return nil
 }
 
+// settlementRecord replaces the reservation by the tokens delivered.
 func (t *turn) settlementRecord() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
 		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.ran()},
 	}}
 }
 
-// settle replaces the reservation of a turn that did not end whole by what was
-// handed out, without the caller waiting for it.
+// settle replaces the reservation of the turn by the tokens delivered, in the background: the
+// caller does not wait for it.
 func (t *turn) settle() {
 	h := t.x.host
 	h.work.Go(func() {
