--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -15,67 +15,67 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// firstBytes is the room for a body of unknown length, to begin with.
-const firstBytes = 4 << 10
+// initialReadBytes is the initial buffer size for a body of unknown length.
+const initialReadBytes = 4 << 10
 
-// boundUpload bounds how long the caller may send nothing of its body, also where the
-// request is refused and the body is only read to reach the end of it.
-func (x *exchange) boundUpload() {
+// limitUpload bounds how long the caller may send nothing of its body. This also holds if the
+// request is refused and the body is only read to its end and discarded.
+func (x *exchange) limitUpload() {
 	if x.r.ContentLength == 0 {
 		return
 	}
-	x.readBefore(time.Now().Add(x.host.uploadPause()))
+	x.setReadDeadline(time.Now().Add(x.host.uploadIdleTimeout()))
 }
 
-// uploadPause is how long a caller may send nothing.
-func (h *Host) uploadPause() time.Duration {
+// uploadIdleTimeout is how long a caller may send nothing of its body.
+func (h *Host) uploadIdleTimeout() time.Duration {
 	return cmp.Or(h.limits().HeaderTimeout, defaultHeaderTimeout)
 }
 
-// readBefore bounds reads of the caller; a zero time ends the bound.
-func (x *exchange) readBefore(t time.Time) {
-	if err := http.NewResponseController(x.w).SetReadDeadline(t); err != nil {
-		x.host.Log.Debug("no time limit for the caller", "request", x.call.ID, "error", err.Error())
+// setReadDeadline sets the deadline for reads from the caller; a zero time removes it.
+func (x *exchange) setReadDeadline(deadline time.Time) {
+	if err := http.NewResponseController(x.w).SetReadDeadline(deadline); err != nil {
+		x.host.Log.Debug("read deadline not set", "request", x.call.ID, "error", err.Error())
 	}
 }
 
-// readBody reads the request's body. What it holds is charged before it is read.
+// readBody reads the request's body. Memory for it is reserved before it is read.
 func (x *exchange) readBody() error {
-	announced := x.r.ContentLength
-	if announced == 0 {
+	contentLength := x.r.ContentLength
+	if contentLength == 0 {
 		return nil
 	}
 	limit := cmp.Or(x.table.Limits.BodyBytes, defaultBodyBytes)
-	if announced > limit {
-		return x.unread(failure.New(failure.TooLarge, "body over %d bytes", limit))
+	if contentLength > limit {
+		return x.closeAfterAnswer(failure.New(failure.TooLarge, "request body exceeds %d bytes", limit))
 	}
-	size := int64(firstBytes)
-	if announced > 0 {
-		// One byte more, so that the end is seen without growing.
-		size = announced + 1
+	size := int64(initialReadBytes)
+	if contentLength > 0 {
+		// One more byte, so that the end is read without growing the buffer.
+		size = contentLength + 1
 	}
 	if err := x.growBody(size); err != nil {
-		return x.unread(err)
+		return x.closeAfterAnswer(err)
 	}
-	from := http.MaxBytesReader(x.w, x.r.Body, limit)
+	source := http.MaxBytesReader(x.w, x.r.Body, limit)
 	for {
 		if len(x.body) == cap(x.body) {
 			if err := x.growBody(int64(2 * cap(x.body))); err != nil {
-				return x.unread(err)
+				return x.closeAfterAnswer(err)
 			}
 		}
-		err := x.readSome(from)
+		err := x.readBodyChunk(source)
 		if err == io.EOF {
-			x.readBefore(time.Time{})
+			x.setReadDeadline(time.Time{})
 			return nil
 		}
 		if err != nil {
-			return x.uploadFailed(err, limit)
+			return x.uploadFailure(err, limit)
 		}
 	}
 }
 
-// growBody makes the room for the body size bytes large.
+// growBody grows the buffer of the body to size bytes.
 func (x *exchange) growBody(size int64) error {
 	if err := x.held.grow(x.r.Context(), held.Body, size-int64(cap(x.body)), requestWait); err != nil {
 		return err
@@ -84,94 +84,96 @@
 	return nil
 }
 
-// readSome appends to the body what the caller has sent.
-func (x *exchange) readSome(from io.Reader) error {
-	limit := time.Now().Add(x.host.uploadPause())
-	if x.deadline.Before(limit) {
-		limit = x.deadline
+// readBodyChunk appends to the body what the caller has sent.
+func (x *exchange) readBodyChunk(source io.Reader) error {
+	deadline := time.Now().Add(x.host.uploadIdleTimeout())
+	if x.deadline.Before(deadline) {
+		deadline = x.deadline
 	}
-	x.readBefore(limit)
+	x.setReadDeadline(deadline)
 	x.held.await()
-	n, err := from.Read(x.body[len(x.body):cap(x.body)])
+	n, err := source.Read(x.body[len(x.body):cap(x.body)])
 	x.held.arrived()
 	x.body = x.body[:len(x.body)+n]
 	return err
 }
 
-// uploadFailed tells why a body could not be read.
-func (x *exchange) uploadFailed(err error, limit int64) error {
-	var large *http.MaxBytesError
+// uploadFailure is the failure of a request whose body could not be read.
+func (x *exchange) uploadFailure(err error, limit int64) error {
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		return failure.New(failure.TooLarge, "body over %d bytes", limit)
+	case errors.As(err, &tooLarge):
+		return failure.New(failure.TooLarge, "request body exceeds %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		x.late = true
+		x.uploadTimedOut = true
 		x.host.Meter.Count("callers_ended", "unsent")
 		x.host.Log.Warn("caller ended because it did not send its body", "request", x.call.ID, "held_bytes", cap(x.body),
-			"read_bytes", len(x.body), "after_ms", time.Since(x.began).Milliseconds())
-		return x.unread(failure.Retry(failure.Timeout, retryLater, "%d bytes of the body came", len(x.body)))
+			"read_bytes", len(x.body), "after_ms", time.Since(x.startedAt).Milliseconds())
+		return x.closeAfterAnswer(failure.Retry(failure.Timeout, defaultRetryDelay, "request body timed out after %d bytes", len(x.body)))
 	case x.r.Context().Err() != nil:
-		return failure.Wrap(err, failure.CallerGone, "body")
+		return failure.Wrap(err, failure.CallerGone, "read request body")
 	default:
-		return failure.Wrap(err, failure.BadRequest, "body")
+		return failure.Wrap(err, failure.BadRequest, "read request body")
 	}
 }
 
-// unread has the connection closed after an answer to a request whose body was not read.
-func (x *exchange) unread(err error) error {
+// closeAfterAnswer makes the connection close after the answer to a request whose body was not
+// read. It returns err.
+func (x *exchange) closeAfterAnswer(err error) error {
 	x.w.Header().Set("Connection", "close")
 	return err
 }
 
-// maxPlainBytes bounds an answer that is not a stream; it is held in memory until
-// it is whole, so that a broken one can be told from a complete one.
-const maxPlainBytes = 8 << 20
+// maxPlainAnswerBytes bounds the body of an answer that is not a stream. It is held in memory
+// until it is complete, so that a truncated answer is not sent to the caller.
+const maxPlainAnswerBytes = 8 << 20
 
-// pieces is a whole answer in the pieces in which it was read: one that grew would be held
-// twice while it grows.
-type pieces struct {
-	list [][]byte
-	size int64
+// bodyChunks is the body of an answer in the chunks in which it was read. One buffer that grows
+// would be held twice while it is copied.
+type bodyChunks struct {
+	chunks [][]byte
+	size   int64
 }
 
-// readAnswer reads a plain answer whole. Where there is no room it leaves the answer with
-// the target until there is some, up to answerWait. An announced length is charged at once:
-// answers that are read by turns, none to its end, would fill the room for good.
-func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*pieces, error) {
-	body := &pieces{}
-	room, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
+// readAnswer reads the body of a plain answer. If there is no memory for it, it stops reading from
+// the target until there is, up to answerWait. A length that the target gives is reserved as a
+// whole: several answers that are each read in part could otherwise use up the memory, so that
+// none is ever complete.
+func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*bodyChunks, error) {
+	body := &bodyChunks{}
+	size, err := strconv.ParseInt(resp.Header.Get("Content-Length"), 10, 64)
 	if err != nil {
-		room = firstBytes
+		size = initialReadBytes
 	}
-	// At least one byte: the end has to be read too.
-	for room = max(room, 1); body.size+room <= maxPlainBytes+chunkBytes; room = chunkBytes {
-		if err := x.held.grow(ctx, held.Answer, room, answerWait); err != nil {
+	// At least one byte, as the end has to be read too.
+	for size = max(size, 1); body.size+size <= maxPlainAnswerBytes+chunkBytes; size = chunkBytes {
+		if err := x.held.grow(ctx, held.Answer, size, answerWait); err != nil {
 			return nil, err
 		}
-		if err := body.read(resp.Body, room); err != nil {
-			return body, atEnd(err)
+		if err := body.read(resp.Body, size); err != nil {
+			return body, ignoreEOF(err)
 		}
 	}
-	return nil, failure.New(failure.TooLarge, "answer over %d bytes", maxPlainBytes)
+	return nil, failure.New(failure.TooLarge, "answer exceeds %d bytes", maxPlainAnswerBytes)
 }
 
-// atEnd is no error where the answer ended.
-func atEnd(err error) error {
+// ignoreEOF returns err, or nil if it is io.EOF.
+func ignoreEOF(err error) error {
 	if err == io.EOF {
 		return nil
 	}
 	return err
 }
 
-// read appends up to room bytes. It returns the reader's own error: that of a cut answer is
-// not that of a whole one.
-func (p *pieces) read(from io.Reader, room int64) error {
-	for room > 0 {
-		piece := make([]byte, min(room, chunkBytes))
-		n, err := fill(from, piece)
-		p.list = append(p.list, piece[:n])
+// read appends up to size bytes. It returns the error of source unchanged, which tells a truncated
+// answer from a complete one.
+func (p *bodyChunks) read(source io.Reader, size int64) error {
+	for size > 0 {
+		chunk := make([]byte, min(size, chunkBytes))
+		n, err := readFull(source, chunk)
+		p.chunks = append(p.chunks, chunk[:n])
 		p.size += int64(n)
-		room -= int64(n)
+		size -= int64(n)
 		if err != nil {
 			return err
 		}
@@ -179,33 +181,35 @@
 	return nil
 }
 
-// fill reads until p is full or the reader ends.
-func fill(from io.Reader, p []byte) (n int, err error) {
+// readFull reads until p is full or source returns an error. Unlike io.ReadFull it returns that
+// error unchanged.
+func readFull(source io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
-		var more int
-		more, err = from.Read(p[n:])
-		n += more
+		var read int
+		read, err = source.Read(p[n:])
+		n += read
 	}
 	return n, err
 }
 
-// writeAnswer hands an answer to the caller and releases what the caller has taken.
-func (x *exchange) writeAnswer(body *pieces) error {
-	for i, piece := range body.list {
-		if _, err := x.w.Write(piece); err != nil {
+// writeAnswer writes an answer to the caller and releases the memory of each chunk written.
+func (x *exchange) writeAnswer(body *bodyChunks) error {
+	for i, chunk := range body.chunks {
+		if _, err := x.w.Write(chunk); err != nil {
 			return err
 		}
-		body.list[i] = nil
-		x.held.release(held.Answer, int64(cap(piece)))
+		body.chunks[i] = nil
+		x.held.release(held.Answer, int64(cap(chunk)))
 	}
 	return nil
 }
 
-// roomFor charges bytes of a kind that come with an answer.
-func (x *exchange) roomFor(ctx context.Context, k held.Kind) func(n int64) error {
+// reserveFunc returns a function that reserves n more bytes of a kind for an answer, or returns
+// errNoMemory.
+func (x *exchange) reserveFunc(ctx context.Context, kind held.Kind) func(n int64) error {
 	return func(n int64) error {
-		if x.held.grow(ctx, k, n, answerWait) != nil {
-			return errNoRoom
+		if x.held.grow(ctx, kind, n, answerWait) != nil {
+			return errNoMemory
 		}
 		return nil
 	}
--- a/daemon/entry/bytes.go
+++ b/daemon/entry/byte_counters.go
@@ -2,14 +2,14 @@
 
 import "github.com/pistachioarch/pistachioarch/wire/targetpool"
 
-// targetBytes counts what goes to targets of this data centre and of others, apart for
-// turns and for plain calls.
-type targetBytes struct {
+// targetByteCounters counts the bytes exchanged with targets, separately for near and far ones and
+// for turns and plain calls.
+type targetByteCounters struct {
 	turnNear, turnFar, plainNear, plainFar targetpool.ByteCounter
 }
 
-// of returns the counter of a request.
-func (b *targetBytes) of(turn, far bool) *targetpool.ByteCounter {
+// counter returns the counter for a request.
+func (b *targetByteCounters) counter(turn, far bool) *targetpool.ByteCounter {
 	switch {
 	case turn && far:
 		return &b.turnFar
@@ -21,8 +21,8 @@
 	return &b.plainNear
 }
 
-// bytesGauges serves the counters.
-func (h *Host) bytesGauges() {
+// registerByteGauges registers a gauge of sent and one of received bytes for each counter.
+func (h *Host) registerByteGauges() {
 	for name, b := range map[string]*targetpool.ByteCounter{
 		"targets_near_turns": &h.targetBytes.turnNear, "targets_far_turns": &h.targetBytes.turnFar,
 		"targets_near_plain": &h.targetBytes.plainNear, "targets_far_plain": &h.targetBytes.plainFar,
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -11,100 +11,104 @@
 )
 
 const (
-	// streamPatience is how long the caller of a stream may take nothing before its
-	// connection is closed: less than engines leave an answer unread.
-	streamPatience = 2 * time.Second
-	// answerPatience is the same for other answers, with which no engine is at work any more.
-	answerPatience = 10 * time.Second
-	// writeSlice is how often a write looks whether the caller has taken something.
-	writeSlice = 250 * time.Millisecond
+	// streamWriteTimeout is how long the caller of a stream may read nothing before its
+	// connection is closed. It is shorter than the time for which engines tolerate an unread
+	// answer.
+	streamWriteTimeout = 2 * time.Second
+	// answerWriteTimeout is the same for other answers, which occupy no engine any more.
+	answerWriteTimeout = 10 * time.Second
+	// writeCheckInterval is how often a write checks whether the caller has read something.
+	writeCheckInterval = 250 * time.Millisecond
 )
 
-// callers hands out the connections of a listener as callerConns.
-type callers struct{ net.Listener }
+// callerListener wraps the connections that it accepts in callerConns.
+type callerListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l callers) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := &callerConn{Conn: c}
-	x.patience.Store(int64(answerPatience))
-	return x, nil
+	conn := &callerConn{Conn: c}
+	conn.writeTimeout.Store(int64(answerWriteTimeout))
+	return conn, nil
 }
 
-// callerConn is a caller's connection. A write ends when the caller has taken nothing of it
-// for longer than patience, however long it takes in all: callers that read slowly but
-// steadily are served.
+// callerConn is a caller's connection. A write fails when the caller has read nothing of it for
+// writeTimeout. Its total time is not bounded, so that callers that read slowly but steadily are
+// served.
 type callerConn struct {
 	net.Conn
 	idleness
-	patience atomic.Int64
-	request  atomic.Pointer[holding]
+	writeTimeout atomic.Int64
+	request      atomic.Pointer[holding]
 }
 
-type callerKey struct{}
+// callerConnKey is the context key of a request's callerConn.
+type callerConnKey struct{}
 
-// withCaller is an http.Server.ConnContext hook.
-func withCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+// withCallerConn is an http.Server.ConnContext hook that stores the connection for callerConnOf.
+func withCallerConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerOf is the connection of a request, nil where the host did not accept it itself.
-func callerOf(r *http.Request) *callerConn {
-	c, _ := r.Context().Value(callerKey{}).(*callerConn)
+// callerConnOf is the connection of a request, nil if no callerListener accepted it.
+func callerConnOf(r *http.Request) *callerConn {
+	c, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	return c
 }
 
-// serves notes which request is being answered, nil for none.
-func (c *callerConn) serves(x *holding) {
-	c.patience.Store(int64(answerPatience))
-	c.request.Store(x)
+// setRequest sets the request that is being answered, nil for none, and the write timeout of plain
+// answers.
+func (c *callerConn) setRequest(request *holding) {
+	c.writeTimeout.Store(int64(answerWriteTimeout))
+	c.request.Store(request)
 }
 
-// hurry bounds the writes of a stream.
-func (c *callerConn) hurry() { c.patience.Store(int64(streamPatience)) }
+// useStreamTimeout sets the write timeout of streams.
+func (c *callerConn) useStreamTimeout() { c.writeTimeout.Store(int64(streamWriteTimeout)) }
 
 // Write implements net.Conn.
 func (c *callerConn) Write(p []byte) (int, error) {
-	x := c.request.Load()
-	if x != nil {
-		x.await()
-		defer x.arrived()
+	request := c.request.Load()
+	if request != nil {
+		request.await()
+		defer request.arrived()
 	}
-	written, moved := 0, time.Now()
+	written, lastProgress := 0, time.Now()
 	for {
-		n, err := c.writeFor(writeSlice, p[written:])
+		n, err := c.writeWithin(writeCheckInterval, p[written:])
 		written += n
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
-		patience := time.Duration(c.patience.Load())
+		timeout := time.Duration(c.writeTimeout.Load())
 		switch {
 		case n > 0:
-			moved = time.Now()
-			if x != nil {
-				x.await()
+			lastProgress = time.Now()
+			if request != nil {
+				request.await()
 			}
-		case time.Since(moved) >= patience:
-			if x != nil {
-				x.stalled(patience)
+		case time.Since(lastProgress) >= timeout:
+			if request != nil {
+				request.stalled(timeout)
 			}
 			return written, err
 		}
 	}
 }
 
-func (c *callerConn) writeFor(d time.Duration, p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(d)); err != nil {
+// writeWithin writes p with a deadline after timeout.
+func (c *callerConn) writeWithin(timeout time.Duration, p []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// CloseWrite lets http.Server end an answer before it closes the connection, so that what
-// the caller still sends does not cost it the answer.
+// CloseWrite closes the writing side only. http.Server uses it to end an answer before it closes
+// the connection, so that data that the caller still sends does not lose the answer by a reset.
 func (c *callerConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -12,30 +12,31 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// keyed puts a newer version in force, with customers and the route /open/ that is public.
-func (s *system) keyed(customers ...*routing.Customer) {
+// requireKeys applies a newer configuration version with customers and the public route /open/.
+func (s *testSystem) requireKeys(customers ...*routing.Customer) {
 	s.t.Helper()
-	c, err := routing.NewCustomers(customers)
+	byKey, err := routing.NewCustomers(customers)
 	require.NoError(s.t, err)
-	old := s.host.table.Load()
-	open := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Public: true}
-	service, _ := old.Service("s")
-	routes := append(old.Routes(), open)
-	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, []*routing.Service{service}, routes).RequireKeys(c))
+	current := s.host.table.Load()
+	public := &routing.Route{Host: "example", Prefix: "/open/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Public: true}
+	service, _ := current.Service("s")
+	routes := append(current.Routes(), public)
+	s.host.SetTable(routing.NewTable(current.Version+1, current.Limits, []*routing.Service{service}, routes).RequireKeys(byKey))
 	s.host.confirm(time.Now())
 }
 
-// customer has one key, which is its name with "-key" behind.
+// customer returns a customer with one key, its name followed by "-key".
 func customer(name string) *routing.Customer {
 	return &routing.Customer{Name: name, Keys: []routing.KeyDigest{routing.DigestKey(name + "-key")}}
 }
 
-func answering(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false }
+// answerOK is an answerFunc that answers each request with status 200.
+func answerOK(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
 
-func TestKeyDecidesWhoseTheRequestIs(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestKeyIdentifiesCustomer(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	for name, c := range map[string]struct {
 		path, key, claimed string
 		status             int
@@ -62,44 +63,44 @@
 	}
 }
 
-func TestWithoutCustomersNoKeyIsNeeded(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestNoKeyRequiredWithoutCustomers(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "of another system").status)
 	require.Equal(t, "of another system", x.requests()[0].Key)
 }
 
-func TestRemovedKeyIsRefusedAtOnce(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestRemovedKeyIsRejectedImmediately(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
-	s.keyed(customer("b"))
+	s.requireKeys(customer("b"))
 	require.Equal(t, http.StatusUnauthorized, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "a-key").status)
 	require.Len(t, x.requests(), 1)
 }
 
-// A key that is taken away while a request is repeated is not used for the repeat.
-func TestRepeatNeedsTheKeyToo(t *testing.T) {
-	var s *system
-	breaking := func(n int, _ received, id string) (string, bool) {
-		s.keyed(customer("b"))
-		return refused(id), false
+// A key is removed between two attempts of a request: the second one must not be sent.
+func TestRetryIsRejectedAfterKeyRemoval(t *testing.T) {
+	var s *testSystem
+	refusing := func(n int, _ received, id string) (string, bool) {
+		s.requireKeys(customer("b"))
+		return refusedAnswer(id), false
 	}
-	a, b := newTarget(t, "t1", breaking), newTarget(t, "t2", breaking)
-	s = newSystem(t, a, b)
-	s.keyed(customer("a"), customer("b"))
+	first, second := newFakeTarget(t, "t1", refusing), newFakeTarget(t, "t2", refusing)
+	s = newSystem(t, first, second)
+	s.requireKeys(customer("a"), customer("b"))
 	require.Equal(t, http.StatusUnauthorized, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
-	require.Equal(t, 1, len(a.requests())+len(b.requests()))
+	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
-// A host that has not heard of the platform for the longest time allowed serves no keys,
-// says so, and serves public routes; the first sound word ends that.
-func TestStaleConfigurationServesNoKeys(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+// A host whose configuration was not confirmed for longer than KeyRules.MaxAge is not ready and
+// refuses requests with a key, but serves public routes. The next confirmation ends that.
+func TestStaleConfigurationRejectsKeys(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	require.False(t, s.host.Ready())
 	got := s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key")
@@ -111,23 +112,24 @@
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "3", ownheaders.Key, "a-key").status)
 }
 
-// A host whose word of the platform is not new does not know that a key is unknown.
-func TestUnknownKeyIsSureOnlyWithANewWord(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", answering))
+// A host with an old configuration cannot tell that a key is unknown: the key may have been added
+// since.
+func TestUnknownKeyIsUnauthorizedOnlyWithRecentConfiguration(t *testing.T) {
+	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Minute))
 	require.Equal(t, http.StatusServiceUnavailable, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "b-key").status)
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "a-key").status)
 }
 
-// While the platform is away for all, a request waits for it: one that is answered soon is
-// served then.
-func TestRequestWaitsForTheConfiguration(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+// During an outage of the platform for all hosts, a request waits for a confirmation and is served
+// once it arrives.
+func TestRequestWaitsForConfirmedConfiguration(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
-	s.keyed(customer("a"))
+	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	answers := make(chan answer)
 	go func() { answers <- s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key") }()
@@ -136,7 +138,7 @@
 	require.Equal(t, http.StatusOK, (<-answers).status)
 }
 
-func TestConfirmationNeverGoesBack(t *testing.T) {
+func TestConfirmationTimeIsMonotonic(t *testing.T) {
 	s := newSystem(t)
 	now := time.Now()
 	s.host.confirm(now)
@@ -146,10 +148,10 @@
 	require.Equal(t, at, s.host.confirmedAt.Load())
 }
 
-func TestTurnsBelongToTheirCustomer(t *testing.T) {
-	x := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return streamed(id, 1, "said"), false })
+func TestTurnsAreScopedToCustomer(t *testing.T) {
+	x := newFakeTarget(t, "t1", func(_ int, _ received, id string) (string, bool) { return okStream(id, 1, "said"), false })
 	s := newSystem(t, x)
-	s.keyed(customer("a"), customer("b"))
+	s.requireKeys(customer("a"), customer("b"))
 	turn := func(key, id, previous, input string) answer {
 		return s.post("/turn/", input, ownheaders.ID, id, ownheaders.Program, "p", ownheaders.Previous, previous,
 			ownheaders.Budget, "100", ownheaders.MaxTokens, "12", ownheaders.Key, key)
@@ -162,7 +164,7 @@
 	require.Equal(t, "one said\nthree", seen[1].Body)
 }
 
-func TestCustomersPriorityGoesFirst(t *testing.T) {
+func TestCustomerPriorityOverridesRoute(t *testing.T) {
 	x := &exchange{route: &routing.Route{Priority: 3}}
 	require.Equal(t, 3, x.priority())
 	x.customer = &routing.Customer{Priority: 1}
@@ -171,17 +173,17 @@
 	require.Equal(t, 1, x.priority())
 }
 
-// limited has a quota of so many requests at once, and next to none later.
-func limited(name string, burst float64) *routing.Customer {
+// limitedCustomer returns a customer with a quota of burst requests at once and almost none later.
+func limitedCustomer(name string, burst float64) *routing.Customer {
 	c := customer(name)
 	c.Quota = routing.Quota{Rate: 0.001, Burst: burst}
 	return c
 }
 
-func TestRequestsBeyondTheQuotaAreRefused(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestRequestsOverQuotaAreRejected(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6), customer("b"))
+	s.requireKeys(limitedCustomer("a", 6), customer("b"))
 	s.aged.Store(true)
 	statuses := map[int]int{}
 	for i := range 10 {
@@ -192,15 +194,15 @@
 		}
 	}
 	require.Equal(t, map[int]int{http.StatusOK: 6, http.StatusTooManyRequests: 4}, statuses)
-	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "of b", ownheaders.Key, "b-key").status, "others are not held back")
+	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "of b", ownheaders.Key, "b-key").status, "other customers are not limited")
 	require.Len(t, x.requests(), 7)
 }
 
-// With a member silent, its part of the quota is lost and no more.
-func TestPartsOfTheOthersServeWhereAMemberIsSilent(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+// If a member does not answer, only its part of the quota is lost.
+func TestSilentMemberCostsOnlyItsQuotaPart(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6))
+	s.requireKeys(limitedCustomer("a", 6))
 	s.aged.Store(true)
 	s.members[1].silent.Store(true)
 	served := 0
@@ -212,12 +214,12 @@
 	require.Equal(t, 4, served)
 }
 
-func TestWithoutHistoryHostsAQuotaCannotBeTold(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+func TestQuotaRequestFailsWithoutHistoryHosts(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6), customer("b"))
+	s.requireKeys(limitedCustomer("a", 6), customer("b"))
 	s.aged.Store(true)
-	s.host.HistoryPatience = historyPatience
+	s.host.HistoryPatience = historyTimeout
 	for _, m := range s.members {
 		m.silent.Store(true)
 	}
@@ -225,12 +227,12 @@
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2", ownheaders.Key, "b-key").status)
 }
 
-// History hosts that have just started do not know what they granted before: they begin
-// without tokens.
-func TestHistoryHostsBeginWithoutTokens(t *testing.T) {
-	x := newTarget(t, "t1", answering)
+// History hosts that have just started do not know which tokens they granted before, so they start
+// without any.
+func TestHistoryHostsStartWithoutTokens(t *testing.T) {
+	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.keyed(limited("a", 6))
+	s.requireKeys(limitedCustomer("a", 6))
 	require.Equal(t, http.StatusTooManyRequests, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key").status)
 	require.Empty(t, x.requests())
 }
--- a/daemon/entry/events.go
+++ b/daemon/entry/events.go
@@ -10,38 +10,40 @@
 
 // event is one whole event of a stream.
 type event struct {
-	// raw is the event as it came, with the blank line that ends it.
+	// raw is the event as received, with the blank line that ends it.
 	raw []byte
 	// id and data are the values of its fields; data lines are joined by line feeds.
 	id   string
 	data []byte
 }
 
-// eventReader splits a stream into events.
+// eventReader splits a stream of server-sent events into events.
 type eventReader struct {
-	from io.Reader
-	buf  []byte
-	err  error
-	// room charges what an unfinished event holds beyond charged bytes; nil charges nothing.
-	room    func(n int64) error
-	charged int64
+	source io.Reader
+	buf    []byte
+	err    error
+	// reserve reserves memory for an unfinished event beyond the reserved bytes; nil reserves
+	// nothing.
+	reserve  func(n int64) error
+	reserved int64
 }
 
-// charge makes room for one more chunk.
-func (r *eventReader) charge(chunk int) error {
-	more := int64(len(r.buf)+chunk) - r.charged
-	if r.room == nil || more <= 0 {
+// reserveChunk reserves memory for one more chunk.
+func (r *eventReader) reserveChunk(chunkSize int) error {
+	size := int64(len(r.buf)+chunkSize) - r.reserved
+	if r.reserve == nil || size <= 0 {
 		return nil
 	}
-	if err := r.room(more); err != nil {
+	if err := r.reserve(size); err != nil {
 		return err
 	}
-	r.charged += more
+	r.reserved += size
 	return nil
 }
 
-// next returns the next whole event. At the end of the stream it returns io.EOF,
-// or io.ErrUnexpectedEOF if the stream ended inside an event.
+// next returns the next whole event. At the end of the stream it returns io.EOF, or
+// io.ErrUnexpectedEOF if the stream ended inside an event; for an event of more than
+// maxEventBytes it returns io.ErrShortBuffer.
 func (r *eventReader) next() (event, error) {
 	for {
 		if end := bytes.Index(r.buf, []byte("\n\n")); end >= 0 {
@@ -59,18 +61,19 @@
 			return event{}, io.ErrShortBuffer
 		}
 		var chunk [2048]byte
-		if err := r.charge(len(chunk)); err != nil {
+		if err := r.reserveChunk(len(chunk)); err != nil {
 			return event{}, err
 		}
-		n, err := r.from.Read(chunk[:])
+		n, err := r.source.Read(chunk[:])
 		r.buf = append(r.buf, chunk[:n]...)
 		r.err = err
 	}
 }
 
+// parseEvent reads the fields of an event; raw ends with a blank line.
 func parseEvent(raw []byte) event {
 	e := event{raw: raw}
-	first := true
+	firstData := true
 	for line := range bytes.SplitSeq(bytes.TrimRight(raw, "\n"), []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
@@ -78,11 +81,11 @@
 		case "id":
 			e.id = string(value)
 		case "data":
-			if !first {
+			if !firstData {
 				e.data = append(e.data, '\n')
 			}
 			e.data = append(e.data, value...)
-			first = false
+			firstData = false
 		}
 	}
 	return e
--- a/daemon/entry/events_test.go
+++ b/daemon/entry/events_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func readEvents(from io.Reader) (list []event, err error) {
-	r := &eventReader{from: from}
+// readEvents reads events up to the first error and returns both.
+func readEvents(source io.Reader) (list []event, err error) {
+	r := &eventReader{source: source}
 	for {
 		e, err := r.next()
 		if err != nil {
@@ -20,14 +21,14 @@
 	}
 }
 
-func TestEventsAreSplitHoweverTheyArrive(t *testing.T) {
+func TestEventsAreSplitRegardlessOfReadSizes(t *testing.T) {
 	text := "id: 1\ndata: a\n\nx-weights: 4\nid: 2\ndata: b\ndata:c\n\n"
-	for name, from := range map[string]io.Reader{
-		"at once":     bytes.NewBufferString(text),
-		"by the byte": iotest.OneByteReader(bytes.NewBufferString(text)),
+	for name, source := range map[string]io.Reader{
+		"one read":       bytes.NewBufferString(text),
+		"one-byte reads": iotest.OneByteReader(bytes.NewBufferString(text)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			list, err := readEvents(from)
+			list, err := readEvents(source)
 			require.Equal(t, io.EOF, err)
 			require.Len(t, list, 2)
 			require.Equal(t, "1", list[0].id)
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestStreamThatEndsInsideAnEventIsCut(t *testing.T) {
+func TestStreamEndingInsideEventReturnsUnexpectedEOF(t *testing.T) {
 	for _, tail := range []string{"id: 2", "id: 2\n", "id: 2\ndata: b\n"} {
 		list, err := readEvents(bytes.NewBufferString("id: 1\ndata: a\n\n" + tail))
 		require.Len(t, list, 1)
@@ -54,6 +55,6 @@
 		for _, e := range list {
 			all = append(all, e.raw...)
 		}
-		require.True(t, bytes.HasPrefix(text, all), "what is passed on is what came")
+		require.True(t, bytes.HasPrefix(text, all), "the events are a prefix of the input")
 	})
 }
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -16,70 +16,73 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// Idle times after which a kept connection is not reused, however long its target
-// keeps it.
+// Idle times after which a pooled connection is not reused, even if the target would keep it
+// open for longer.
 const (
-	maxIdle = 10 * time.Second
-	// maxIdleFarOnce is for requests that must not be repeated, to another data
-	// centre that has been silent for farSilence: where the link was cut meanwhile, a
-	// new connection fails before anything is sent, a kept one takes the request with
-	// it. While the data centre is heard, it would only cost connections.
-	maxIdleFarOnce = 500 * time.Millisecond
-	// farSilence is many usual pauses between answers from another data centre.
-	farSilence = 200 * time.Millisecond
+	maxIdleTime = 10 * time.Second
+	// maxFarOnceIdleTime applies to requests that must not be repeated, to another data
+	// centre that has been silent for farSilenceTimeout. If the network is partitioned, a
+	// new connection fails before anything is sent, while on a reused connection the
+	// request is lost. As long as the data centre is heard, the shorter limit would only
+	// cost connections.
+	maxFarOnceIdleTime = 500 * time.Millisecond
+	// farSilenceTimeout is many times the usual interval between answers from another data
+	// centre.
+	farSilenceTimeout = 200 * time.Millisecond
 )
 
-// leastLeft is the least time that a target is told to have left: less would read as no limit.
-const leastLeft = time.Millisecond
+// minTargetTimeout is the least timeout sent to a target. A smaller one would be sent as
+// 0 ms, which means no limit.
+const minTargetTimeout = time.Millisecond
 
-// leastUrgent is the last rank that targets know.
-const leastUrgent = 9
+// maxPriority is the largest priority value, for the least urgent requests, that targets accept.
+const maxPriority = 9
 
-// hopByHop are the headers that concern only one connection.
-var hopByHop = []string{
+// hopByHopHeaders concern only one connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// draw is a number in [0, 1) from the request's id: all attempts at one split
-// spread evenly without a random source.
+// draw hashes the request's id to a number in [0, 1). Requests are spread evenly over weighted
+// choices without a random source, and all attempts of a request get the same number.
 func (x *exchange) draw() float64 {
 	f := fnv.New32a()
 	f.Write([]byte(x.call.ID))
 	return float64(f.Sum32()) / (1 << 32)
 }
 
-// forward sends the request to targets until one answers or no more may be tried.
+// forward sends the request to targets until one answers or no further attempt is allowed.
 func (x *exchange) forward(ctx context.Context) error {
-	var worst error
+	var reported error
 	for {
-		t, err := x.pick()
+		t, err := x.pickTarget()
 		if err != nil {
-			worst = worse(worst, err)
-			if x.awaitRoom(ctx, worst) {
+			reported = failureToReport(reported, err)
+			if x.awaitCapacity(ctx, reported) {
 				continue
 			}
-			return worst
+			return reported
 		}
-		again, err := x.try(ctx, t)
+		retry, err := x.attempt(ctx, t)
 		if err == nil {
 			return nil
 		}
-		worst = worse(worst, err)
-		if !again || ctx.Err() != nil {
-			return worst
+		reported = failureToReport(reported, err)
+		if !retry || ctx.Err() != nil {
+			return reported
 		}
 		x.host.Meter.Count("sends", "repeated", string(failure.From(err).Kind))
-		x.host.Log.Info("request sent again", "request", x.call.ID, "target", t.ID, "sends", x.sends, "error", err.Error())
-		if x.sends >= x.route.MaxAttempts && !x.awaitRoom(ctx, worst) {
-			return worst
+		x.host.Log.Info("send failed, request is repeated", "request", x.call.ID, "target", t.ID, "sends", x.sendCount, "error", err.Error())
+		if x.sendCount >= x.route.MaxAttempts && !x.awaitCapacity(ctx, reported) {
+			return reported
 		}
 	}
 }
 
-// worse is the later failure, unless the earlier one says that the request may
-// have run and the later one does not.
-func worse(earlier, later error) error {
+// failureToReport returns the later failure, unless only the earlier one says that the request
+// may have run. earlier may be nil.
+func failureToReport(earlier, later error) error {
 	if earlier != nil && failure.From(earlier).Ran != failure.RanNo && failure.From(later).Ran == failure.RanNo {
 		return earlier
 	}
@@ -91,51 +94,53 @@
 	return x.route.Kind == routing.Idempotent || x.route.Resumable
 }
 
-// pick chooses the next target, or turns the request away.
-func (x *exchange) pick() (balance.TargetInfo, error) {
+// pickTarget chooses the next target and records the send to it, or returns the failure of a
+// request that no target takes.
+func (x *exchange) pickTarget() (balance.TargetInfo, error) {
 	if err := x.authorise(); err != nil {
 		return balance.TargetInfo{}, err
 	}
 	h := x.host
 	h.mu.Lock()
-	v := h.dispatch.Decide(dispatch.Request{
+	decision := h.dispatch.Decide(dispatch.Request{
 		Query: balance.Query{
-			Service: x.service, WorkKind: x.route.Name, Parts: x.call.Prefix, PromptTokens: x.call.PromptTokens, Exclude: x.tried, Allowed: x.room.only(), DataCentres: x.dataCentres(),
+			Service: x.service, WorkKind: x.route.Name, Parts: x.call.Prefix, PromptTokens: x.call.PromptTokens, Exclude: x.tried, Allowed: x.capacityWait.retryTargets(), DataCentres: x.allowedDataCentres(),
 		},
-		ProgramStarted: !x.begins() || x.sends > 0, Draw: x.draw(),
+		ProgramStarted: !x.startsProgram() || x.sendCount > 0, Draw: x.draw(),
 	}, h.now())
-	if v.Action != dispatch.Send {
+	if decision.Action != dispatch.Send {
 		size := h.registry.Size()
 		h.mu.Unlock()
-		return balance.TargetInfo{}, x.unsent(v, size)
+		return balance.TargetInfo{}, x.notSentFailure(decision, size)
 	}
-	c := v.Choice
-	listed := c.TargetInfo
-	c.RecordSend(x.call.Prefix, h.now())
+	choice := decision.Choice
+	target := choice.TargetInfo
+	choice.RecordSend(x.call.Prefix, h.now())
 	h.mu.Unlock()
-	x.tried[listed.ID] = true
-	x.target, x.born, x.load, x.missing = listed.ID, listed.StartedAtMs, float64(c.Load)/float64(max(1, c.Capacity)), c.UncachedTokens
-	h.Meter.Count("sends", x.sort(), x.distance(listed))
+	x.tried[target.ID] = true
+	x.targetID, x.targetStartedAtMs, x.targetLoad, x.uncachedTokens = target.ID, target.StartedAtMs, float64(choice.Load)/float64(max(1, choice.Capacity)), choice.UncachedTokens
+	h.Meter.Count("sends", x.serviceKind(), x.distance(target))
 	h.Log.Info("request routed", "request", x.call.ID, "program", x.call.Program, "customer", x.customerName(), "route", x.route.Name, "config", x.table.Version,
-		"target", listed.ID, "data_centre", listed.DataCentre, "load", c.Load, "places", c.Capacity, "report_age_ms", c.ReportAge.Milliseconds(),
-		"slowdown", hundredths(c.Slowdown), "predicted_ms", c.Predicted.Milliseconds(), "near", c.NearTarget, "near_predicted_ms", c.NearPredicted.Milliseconds(),
-		"prompt", x.call.PromptTokens, "missing", c.UncachedTokens, "candidates", c.Candidates, "send", x.sends+1,
-		"left_ms", time.Until(x.deadline).Milliseconds(), "program_left_ms", x.programLeft().Milliseconds(), "after_ms", time.Since(x.began).Milliseconds())
-	return listed, nil
+		"target", target.ID, "data_centre", target.DataCentre, "load", choice.Load, "places", choice.Capacity, "report_age_ms", choice.ReportAge.Milliseconds(),
+		"slowdown", roundHundredths(choice.Slowdown), "predicted_ms", choice.Predicted.Milliseconds(), "near", choice.NearTarget, "near_predicted_ms", choice.NearPredicted.Milliseconds(),
+		"prompt", x.call.PromptTokens, "missing", choice.UncachedTokens, "candidates", choice.Candidates, "send", x.sendCount+1,
+		"left_ms", time.Until(x.deadline).Milliseconds(), "program_left_ms", x.remainingProgramTime().Milliseconds(), "after_ms", time.Since(x.startedAt).Milliseconds())
+	return target, nil
 }
 
-// hundredths rounds a figure for the log.
-func hundredths(v float64) float64 { return math.Round(100*v) / 100 }
+// roundHundredths rounds a value to two decimals for the log.
+func roundHundredths(v float64) float64 { return math.Round(100*v) / 100 }
 
-// sort names the targets of the request in metrics.
-func (x *exchange) sort() string {
+// serviceKind names the kind of the service in metrics: "engine" or "plain".
+func (x *exchange) serviceKind() string {
 	if x.call.PromptTokens > 0 {
 		return "engine"
 	}
 	return "plain"
 }
 
-// distance names the way to a target in metrics.
+// distance names the distance of a target in metrics: "near" in the data centre of the host,
+// else "far".
 func (x *exchange) distance(t balance.TargetInfo) string {
 	if t.DataCentre == x.host.DataCentre {
 		return "near"
@@ -143,172 +148,176 @@
 	return "far"
 }
 
-// programLeft is the time that the program has left by now, below zero if it is late; zero
-// if its caller does not say.
-func (x *exchange) programLeft() time.Duration {
+// remainingProgramTime is the time until the program's deadline, negative after it; 0 if the
+// caller gives no deadline for its program.
+func (x *exchange) remainingProgramTime() time.Duration {
 	if x.call.ProgramTimeout == 0 {
 		return 0
 	}
-	return x.call.ProgramTimeout - time.Since(x.began)
+	return x.call.ProgramTimeout - time.Since(x.startedAt)
 }
 
-// unsent is the failure of a request that goes to no target.
-func (x *exchange) unsent(v dispatch.Decision, targets int) error {
-	if v.Action == dispatch.NoTarget {
-		return failure.Retry(failure.NoTarget, retryLater, "no target of %s among %d", x.service, targets)
+// notSentFailure is the failure of a request that is sent to no target.
+func (x *exchange) notSentFailure(decision dispatch.Decision, targetCount int) error {
+	if decision.Action == dispatch.NoTarget {
+		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no usable target of service %s among %d targets", x.service, targetCount)
 	}
 	x.host.Meter.Count("turned_away", "full")
 	x.host.Log.Info("program turned away", "request", x.call.ID, "program", x.call.Program, "service", x.service,
-		"load_percent", int(100*v.Load), "come_back_ms", v.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
-	return failure.Retry(failure.Overloaded, v.RetryDelay, "the engines of %s have a queue, load %.2f", x.service, v.Load)
+		"load_percent", int(100*decision.Load), "come_back_ms", decision.RetryDelay.Milliseconds(), "program_left_ms", x.call.ProgramTimeout.Milliseconds())
+	return failure.Retry(failure.Overloaded, decision.RetryDelay, "engines of service %s have a queue, load %.2f", x.service, decision.Load)
 }
 
-// hasOther reports whether there is a target that has not been tried.
-func (x *exchange) hasOther() bool {
+// hasUntriedTarget reports whether there is a usable target that has not been tried.
+func (x *exchange) hasUntriedTarget() bool {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.registry.Pick(balance.Query{Service: x.service, Exclude: x.tried, DataCentres: x.dataCentres()}, h.now())
+	_, ok := h.registry.Pick(balance.Query{Service: x.service, Exclude: x.tried, DataCentres: x.allowedDataCentres()}, h.now())
 	return ok
 }
 
-// done reports the end of a send to the registry.
-func (x *exchange) done(target string, o balance.Outcome) {
-	x.host.ended(balance.TargetInfo{ID: target, StartedAtMs: x.born}, o)
+// recordOutcome reports the end of a send of this request to the registry.
+func (x *exchange) recordOutcome(targetID string, outcome balance.Outcome) {
+	x.host.recordOutcome(balance.TargetInfo{ID: targetID, StartedAtMs: x.targetStartedAtMs}, outcome)
 }
 
-// ended reports the end of a send to the start of a target.
-func (h *Host) ended(t balance.TargetInfo, o balance.Outcome) {
-	h.Meter.Count("sends", o.String())
+// recordOutcome counts the end of a send and reports it to the registry, unless the target has
+// restarted since.
+func (h *Host) recordOutcome(t balance.TargetInfo, outcome balance.Outcome) {
+	h.Meter.Count("sends", outcome.String())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
-		t.RecordOutcome(o, h.now())
+		t.RecordOutcome(outcome, h.now())
 	}
 }
 
-// took tells the registry how long the target took for a request to a plain service.
-func (x *exchange) took(d time.Duration) {
+// recordDuration tells the registry and the hedger how long a request to a plain service took.
+func (x *exchange) recordDuration(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.TargetIncarnation(x.target, x.born); !ok {
+	if _, ok := h.registry.TargetIncarnation(x.targetID, x.targetStartedAtMs); !ok {
 		return
 	}
-	h.registry.RecordDuration(x.target, x.route.Name, d, h.now())
-	h.hedger.RecordAnswer(x.service, x.route.Name, time.Since(x.firstSent))
+	h.registry.RecordDuration(x.targetID, x.route.Name, d, h.now())
+	h.hedger.RecordAnswer(x.service, x.route.Name, time.Since(x.firstSentAt))
 }
 
-// firstEvent tells the registry how long the target took for the first event of a stream.
-func (x *exchange) firstEvent(d time.Duration) {
+// recordFirstEvent tells the registry how long the target took for the first event of a stream.
+func (x *exchange) recordFirstEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.TargetIncarnation(x.target, x.born); ok {
-		h.registry.RecordFirstEvent(x.target, x.load, x.missing, d, h.now())
+	if _, ok := h.registry.TargetIncarnation(x.targetID, x.targetStartedAtMs); ok {
+		h.registry.RecordFirstEvent(x.targetID, x.targetLoad, x.uncachedTokens, d, h.now())
 	}
 }
 
-// streamed tells the registry how long the target took for one event.
-func (x *exchange) streamed(d time.Duration) {
+// recordEvent tells the registry how long the target took for a further event of a stream.
+func (x *exchange) recordEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.registry.TargetIncarnation(x.target, x.born); !ok {
+	if _, ok := h.registry.TargetIncarnation(x.targetID, x.targetStartedAtMs); !ok {
 		return
 	}
-	h.registry.RecordEvent(x.target, x.load, d, h.now())
+	h.registry.RecordEvent(x.targetID, x.targetLoad, d, h.now())
 }
 
-// heard takes the load that a target tells at the head of its answer. At the end of
-// a stream the word would be old.
-func (h *Host) heard(t balance.TargetInfo, a request.Answer) {
+// recordAnswerHead records that the target was heard, and the load report in the head of its
+// answer. It is called as the head arrives: at the end of a stream the report would be outdated.
+func (h *Host) recordAnswerHead(t balance.TargetInfo, head request.Answer) {
 	h.reach.heard(t.ID)
-	if !a.HasLoad {
+	if !head.HasLoad {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t, ok := h.registry.TargetIncarnation(t.ID, t.StartedAtMs); ok {
-		t.RecordLoadReport(a.Load, h.now())
+		t.RecordLoadReport(head.Load, h.now())
 	}
 }
 
-// try sends the request to one target and passes its answer on. again reports
-// that another target may be tried.
-func (x *exchange) try(ctx context.Context, t balance.TargetInfo) (again bool, err error) {
-	if delay, twice := x.hedgeDelay(); twice {
-		return x.tryTwice(ctx, t, delay)
+// attempt sends the request to one target and forwards its answer. retry reports whether
+// another target may be tried.
+func (x *exchange) attempt(ctx context.Context, t balance.TargetInfo) (retry bool, err error) {
+	if delay, hedged := x.hedgeDelay(); hedged {
+		return x.attemptHedged(ctx, t, delay)
 	}
 	guarded, release := x.host.reach.guard(ctx, t)
 	defer release()
 	resp, err := x.send(guarded, t, x.call.LastEventID)
 	if err != nil {
-		return x.unanswered(ctx, t, err)
+		return x.handleSendError(ctx, t, err)
 	}
-	x.sends++
+	x.sendCount++
 	defer resp.Body.Close()
 	if resp.Answer.NotRun {
-		return x.putBack(t, resp)
+		return x.handleNotRun(t, resp)
 	}
 	if x.route.Kind == routing.Streaming && resp.Status == http.StatusOK {
-		return x.stream(ctx, t, resp)
+		return x.deliverStream(ctx, t, resp)
 	}
 	body, err := x.readAnswer(ctx, resp)
-	return x.plain(ctx, t, resp, body, err)
+	return x.deliverPlain(ctx, t, resp, body, err)
 }
 
-// unanswered ends a send to which no answer began.
-func (x *exchange) unanswered(ctx context.Context, t balance.TargetInfo, err error) (again bool, _ error) {
+// handleSendError ends a send for which no answer head arrived.
+func (x *exchange) handleSendError(ctx context.Context, t balance.TargetInfo, err error) (retry bool, _ error) {
 	f := failure.From(err)
-	x.done(t.ID, outcomeOf(ctx, f))
+	x.recordOutcome(t.ID, failureOutcome(ctx, f))
 	if f.Ran != failure.RanNo {
-		x.sends++
+		x.sendCount++
 	}
 	return f.Ran == failure.RanNo || x.repeatable(), err
 }
 
-// putBack ends a send that its target did not run.
-func (x *exchange) putBack(t balance.TargetInfo, resp *targetpool.Response) (again bool, _ error) {
-	x.done(t.ID, refusal(resp.Answer))
+// handleNotRun ends a send whose target answered that it did not run the request.
+func (x *exchange) handleNotRun(t balance.TargetInfo, resp *targetpool.Response) (retry bool, _ error) {
+	x.recordOutcome(t.ID, refusalOutcome(resp.Answer))
 	if !resp.Answer.Misdirected {
-		x.room.refused(t.ID)
+		x.capacityWait.addFull(t.ID)
 	}
-	return true, failure.Retry(failure.TargetFull, retryLater, "target %s refused with %d", t.ID, resp.Status)
+	return true, failure.Retry(failure.TargetFull, defaultRetryDelay, "target %s refused the request with status %d", t.ID, resp.Status)
 }
 
-// send sends the request to one target; a connection that cannot be made starts
-// probes of it.
-func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEvent string) (*targetpool.Response, error) {
-	x.sent = time.Now()
-	x.firstSent = x.sent
-	return x.host.ask(ctx, t, x.outgoing(t, lastEvent))
+// send sends the request to one target, and starts probes of it if no connection can be
+// made.
+func (x *exchange) send(ctx context.Context, t balance.TargetInfo, lastEventID string) (*targetpool.Response, error) {
+	x.sentAt = time.Now()
+	x.firstSentAt = x.sentAt
+	return x.host.roundTrip(ctx, t, x.newTargetRequest(t, lastEventID))
 }
 
-// ask sends a request to a target, and takes what its answer says of it.
-func (h *Host) ask(ctx context.Context, t balance.TargetInfo, out *targetpool.Request) (*targetpool.Response, error) {
-	sent := time.Now()
-	resp, err := h.pool.Do(ctx, out, h.decode)
+// roundTrip sends a request to a target and records what the head of the answer says of the
+// target.
+func (h *Host) roundTrip(ctx context.Context, t balance.TargetInfo, req *targetpool.Request) (*targetpool.Response, error) {
+	sentAt := time.Now()
+	resp, err := h.pool.Do(ctx, req, h.decodeAnswer)
 	switch {
 	case err == nil:
-		h.Meter.Observe("target_head", time.Since(sent))
-		h.heard(t, resp.Answer)
+		h.Meter.Observe("target_head", time.Since(sentAt))
+		h.recordAnswerHead(t, resp.Answer)
 	case failure.From(err).Ran == failure.RanNo && ctx.Err() == nil:
 		h.reach.lost(t.ID, t.Address)
 	}
 	return resp, err
 }
 
-func refusal(a request.Answer) balance.Outcome {
-	if a.Misdirected {
+// refusalOutcome is the outcome of a send that the target did not run. A misdirected one counts
+// as failed: the address belongs to another target.
+func refusalOutcome(head request.Answer) balance.Outcome {
+	if head.Misdirected {
 		return balance.Failed
 	}
 	return balance.Refused
 }
 
-// endedBy is the kind of a failure under a context: what ended the context, where
-// it has ended. A caller that left says nothing of the target, a timeout does.
-func endedBy(ctx context.Context, kind failure.Kind) failure.Kind {
+// failureKind returns the kind of a failure: Timeout or CallerGone if ctx has ended, else kind.
+// A timeout counts against the target, a caller that left does not.
+func failureKind(ctx context.Context, kind failure.Kind) failure.Kind {
 	switch {
 	case ctx.Err() == nil:
 		return kind
@@ -319,44 +328,45 @@
 	}
 }
 
-func outcomeOf(ctx context.Context, f *failure.Failure) balance.Outcome {
-	if endedBy(ctx, f.Kind) == failure.CallerGone {
+// failureOutcome is the outcome for the target of a send that failed under ctx.
+func failureOutcome(ctx context.Context, f *failure.Failure) balance.Outcome {
+	if failureKind(ctx, f.Kind) == failure.CallerGone {
 		return balance.Abandoned
 	}
 	return balance.Failed
 }
 
-func (h *Host) decode(status int, header map[string][]string) request.Answer {
+func (h *Host) decodeAnswer(status int, header map[string][]string) request.Answer {
 	return h.Headers.Answer(status, header)
 }
 
-// outgoing builds the request to a target.
-func (x *exchange) outgoing(t balance.TargetInfo, lastEvent string) *targetpool.Request {
+// newTargetRequest builds the request to a target.
+func (x *exchange) newTargetRequest(t balance.TargetInfo, lastEventID string) *targetpool.Request {
 	header := x.host.Headers.Outgoing(x.r.Header, request.SendOptions{
-		Instance: t.ID, Timeout: max(leastLeft, time.Until(x.deadline)), LastEventID: lastEvent,
-		Priority: min(leastUrgent, x.priority()), HasPriority: x.engine != nil,
+		Instance: t.ID, Timeout: max(minTargetTimeout, time.Until(x.deadline)), LastEventID: lastEventID,
+		Priority: min(maxPriority, x.priority()), HasPriority: x.engine != nil,
 		HideKey: x.host.table.Load().RequiresKey(), Customer: x.customerName(),
 	})
-	stripHop(header)
-	idle := maxIdle
-	once := x.route.Kind != routing.Idempotent
+	removeHopByHopHeaders(header)
+	idleTime := maxIdleTime
+	notIdempotent := x.route.Kind != routing.Idempotent
 	far := t.DataCentre != x.host.DataCentre
-	if once && far && !x.host.heardFrom(t.DataCentre, farSilence) {
-		idle = maxIdleFarOnce
+	if notIdempotent && far && !x.host.heardFrom(t.DataCentre, farSilenceTimeout) {
+		idleTime = maxFarOnceIdleTime
 	}
 	return &targetpool.Request{
 		Address: t.Address, Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host,
-		Header: header, Body: x.body, ID: x.call.ID, MaxIdle: idle,
-		Bytes: x.host.targetBytes.of(x.isTurn(), far),
+		Header: header, Body: x.body, ID: x.call.ID, MaxIdle: idleTime,
+		Bytes: x.host.targetBytes.counter(x.isTurn(), far),
 	}
 }
 
-// stripHop removes the headers that concern only one connection.
-func stripHop(header http.Header) {
+// removeHopByHopHeaders removes the headers that concern only one connection.
+func removeHopByHopHeaders(header http.Header) {
 	for _, name := range connectionOptions(header) {
 		header.Del(name)
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -24,12 +24,12 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// soon is how long calls of the tests are waited for before they are sent again.
-const soon = time.Millisecond
+// testHedgeDelay is the delay before the tests' calls are sent a second time.
+const testHedgeDelay = time.Millisecond
 
-// uneven makes the host one that knows its calls, with n tokens at most, and its targets such
-// that tell their slowdown.
-func (s *system) uneven(tokens int) {
+// enableHedging gives the host enough recorded answers to hedge its calls, at most tokens tokens of
+// the hedge budget, and targets that report their slowdown.
+func (s *testSystem) enableHedging(tokens int) {
 	h := s.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,15 +40,15 @@
 	}
 	h.hedger = hedge.New()
 	for range max(100, tokens*int(1/hedge.BudgetRatio)+1) {
-		h.hedger.RecordAnswer("s", "", soon)
+		h.hedger.RecordAnswer("s", "", testHedgeDelay)
 	}
 	for range max(0, hedge.Burst-tokens) {
 		h.hedger.TakeToken("s")
 	}
 }
 
-// inFlight is the host's own requests at all targets.
-func (s *system) inFlight() int {
+// inFlight is the number of the host's requests in flight at all targets.
+func (s *testSystem) inFlight() int {
 	n := 0
 	for _, t := range s.host.State().Targets {
 		n += t.InFlight
@@ -56,47 +56,48 @@
 	return n
 }
 
-// settled waits until the sends that were broken off are noted as ended.
-func (s *system) settled() {
+// awaitNoneInFlight waits until cancelled sends are recorded as ended.
+func (s *testSystem) awaitNoneInFlight() {
 	s.t.Helper()
-	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessPatience, time.Millisecond)
+	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessTimeout, time.Millisecond)
 }
 
-// stalls answers the first request of all targets once release is closed, others at once.
-func stalls(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
+// stallFirst returns an answerFunc that answers the first request at any target only once release
+// is closed, and all others at once, and the number of requests.
+func stallFirst(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
 	asked = &atomic.Int32{}
 	return func(_ int, r received, id string) (string, bool) {
 		if asked.Add(1) == 1 {
 			<-release
-			return whole(id, "late"), false
+			return okAnswer(id, "late"), false
 		}
-		return whole(id, "answer to "+id), false
+		return okAnswer(id, "answer to "+id), false
 	}, asked
 }
 
-// The first answer that is whole goes to the caller; what the stalled target writes later
-// reaches neither this caller nor the next ones.
-func TestStalledCallIsSentToAnotherTarget(t *testing.T) {
+// The first complete answer goes to the caller. The late answer of the stalled target reaches
+// neither this caller nor later ones.
+func TestStalledCallIsHedged(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stalls(release)
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(5)
+	answer, asked := stallFirst(release)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(5)
 	got := s.post("/plain/", "x", ownheaders.ID, "1")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "answer to 1", got.body)
 	require.EqualValues(t, 2, asked.Load())
-	s.settled()
+	s.awaitNoneInFlight()
 	close(release)
 	for _, id := range []string{"2", "3", "4", "5"} {
 		require.Equal(t, "answer to "+id, s.post("/plain/", "x", ownheaders.ID, id).body)
 	}
 }
 
-// A call that must run at most once is sent once, however long it takes. The other call
-// shows that the time for a second send has passed.
-func TestCallsAtMostOnceAreNeverSentTwice(t *testing.T) {
+// An at-most-once call is sent once, however long it takes. The other call shows that the hedge
+// delay has passed.
+func TestAtMostOnceCallsAreNotHedged(t *testing.T) {
 	release := make(chan struct{})
-	plain, asked := stalls(release)
+	plain, asked := stallFirst(release)
 	var once atomic.Int32
 	answer := func(n int, r received, id string) (string, bool) {
 		if r.URI != "/once/" {
@@ -104,13 +105,13 @@
 		}
 		once.Add(1)
 		<-release
-		return whole(id, "done"), false
+		return okAnswer(id, "done"), false
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer), newTarget(t, "t3", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
+	s.enableHedging(5)
 	got := make(chan int)
 	go func() { got <- s.post("/once/", "x", ownheaders.ID, "1").status }()
-	require.Eventually(t, func() bool { return once.Load() == 1 }, harnessPatience, time.Millisecond)
+	require.Eventually(t, func() bool { return once.Load() == 1 }, harnessTimeout, time.Millisecond)
 	require.Equal(t, "answer to 2", s.post("/plain/", "x", ownheaders.ID, "2").body)
 	require.EqualValues(t, 2, asked.Load())
 	close(release)
@@ -118,64 +119,64 @@
 	require.EqualValues(t, 1, once.Load())
 }
 
-// Which calls are sent twice, and which never are.
-func TestOnlyIdempotentPlainCallsMayBeSentTwice(t *testing.T) {
-	fresh := newSystem(t, newTarget(t, "t1", nil), newTarget(t, "t2", nil))
-	s := newSystem(t, newTarget(t, "t1", nil), newTarget(t, "t2", nil))
-	s.uneven(5)
-	call := func(change func(*exchange)) bool {
+func TestOnlyIdempotentPlainCallsAreHedged(t *testing.T) {
+	unhedged := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
+	s := newSystem(t, newFakeTarget(t, "t1", nil), newFakeTarget(t, "t2", nil))
+	s.enableHedging(5)
+	hedgeable := func(change func(*exchange)) bool {
 		x := &exchange{host: s.host, service: "s", deadline: time.Now().Add(time.Hour), route: &routing.Route{MaxAttempts: 2}}
 		change(x)
 		_, ok := x.hedgeDelay()
 		return ok
 	}
-	usual := func(*exchange) {}
-	require.True(t, call(usual))
-	require.False(t, call(func(x *exchange) { x.host = fresh.host }), "a host that knows no times yet")
-	require.True(t, call(func(x *exchange) { x.service = "other" }), "targets that do not tell their slowdown")
-	for why, change := range map[string]func(*exchange){
+	unchanged := func(*exchange) {}
+	require.True(t, hedgeable(unchanged))
+	require.False(t, hedgeable(func(x *exchange) { x.host = unhedged.host }), "host without recorded answers")
+	require.True(t, hedgeable(func(x *exchange) { x.service = "other" }), "targets that report no slowdown")
+	for reason, change := range map[string]func(*exchange){
 		"at most once":             func(x *exchange) { x.route.Kind = routing.AtMostOnce },
 		"a stream":                 func(x *exchange) { x.route.Kind = routing.Streaming },
 		"a prompt":                 func(x *exchange) { x.call.PromptTokens = 1 },
 		"one attempt":              func(x *exchange) { x.route.MaxAttempts = 1 },
-		"the last attempt":         func(x *exchange) { x.sends = 1 },
-		"after a wait for room":    func(x *exchange) { x.room.waited = time.Millisecond },
+		"the last attempt":         func(x *exchange) { x.sendCount = 1 },
+		"after a capacity wait":    func(x *exchange) { x.capacityWait.waited = time.Millisecond },
 		"less time than the delay": func(x *exchange) { x.deadline = time.Now() },
-		"a kind that is not known": func(x *exchange) { x.route.Name = "other" },
-		"no attempts left":         func(x *exchange) { x.sends = 2 },
+		"unknown kind of work":     func(x *exchange) { x.route.Name = "other" },
+		"no attempts left":         func(x *exchange) { x.sendCount = 2 },
 	} {
-		require.False(t, call(change), why)
+		require.False(t, hedgeable(change), reason)
 	}
 }
 
-// Without a token a call waits for its first target.
-func TestSecondSendsNeedAToken(t *testing.T) {
+// Without a token of the hedge budget, a call waits for its first target.
+func TestSecondSendRequiresToken(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stalls(release)
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(0)
+	answer, asked := stallFirst(release)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(0)
 	s.host.Meter = meter.New()
-	got := make(chan answerBody, 1)
-	go func() { got <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
+	body := make(chan answerBody, 1)
+	go func() { body <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
 	decided := func() bool { return s.host.Meter.Value("second_sends_no_token") == 1 }
-	require.Eventually(t, decided, harnessPatience, time.Millisecond)
+	require.Eventually(t, decided, harnessTimeout, time.Millisecond)
 	require.Equal(t, 1, s.inFlight())
 	close(release)
-	require.EqualValues(t, "late", <-got)
+	require.EqualValues(t, "late", <-body)
 	require.EqualValues(t, 1, asked.Load())
 	require.Zero(t, s.host.Meter.Value("second_sends_sent"))
 }
 
+// answerBody is the body of an answer that a caller got.
 type answerBody string
 
-// A second target that refuses, fails or breaks off does not end the call: the first one's
-// answer is still waited for.
-func TestFailedSecondSendLeavesTheFirst(t *testing.T) {
+// If the second target refuses the call, fails or ends its answer early, the call still waits for the
+// first one.
+func TestFailedSecondSendDoesNotEndCall(t *testing.T) {
 	for name, raw := range map[string]func(id string) (string, bool){
-		"refuses":    func(id string) (string, bool) { return refused(id), false },
-		"fails":      func(id string) (string, bool) { return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false },
-		"breaks off": func(id string) (string, bool) { return whole(id, "whole")[:60], true },
-		"closes":     func(string) (string, bool) { return "", true },
+		"refuses":     func(id string) (string, bool) { return refusedAnswer(id), false },
+		"fails":       func(id string) (string, bool) { return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false },
+		"truncates":   func(id string) (string, bool) { return okAnswer(id, "whole")[:60], true },
+		"disconnects": func(string) (string, bool) { return "", true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -183,90 +184,90 @@
 			answer := func(_ int, _ received, id string) (string, bool) {
 				if asked.Add(1) == 1 {
 					<-release
-					return whole(id, "first"), false
+					return okAnswer(id, "first"), false
 				}
 				defer close(release)
 				return raw(id)
 			}
-			s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-			s.uneven(5)
+			s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+			s.enableHedging(5)
 			got := s.post("/plain/", "x", ownheaders.ID, "1")
 			require.Equal(t, http.StatusOK, got.status)
 			require.Equal(t, "first", got.body)
 			require.EqualValues(t, 2, asked.Load())
-			s.settled()
+			s.awaitNoneInFlight()
 		})
 	}
 }
 
-// unsaid is an answer whose status promises that the call has not run, though its target
-// does not say so.
-func unsaid(id string) string {
+// unmarkedRefusal is an answer whose status implies that the call has not run, but which does not
+// mark it as not run.
+func unmarkedRefusal(id string) string {
 	return "HTTP/1.1 429 Limited\r\n" + ownheaders.ID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-// No caller is told that its call has not run while the other send is at work, nor after that
-// one broke off and may have run.
-func TestNoPromiseBesideAnotherSend(t *testing.T) {
+// No caller is told that its call has not run while the other send is in flight, or after the other
+// send failed and may have run.
+func TestNotRunStatusIsWithheldWhileOtherSendMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		breaks bool
 		status int
 	}{
-		"the first is at work": {false, http.StatusOK},
-		"the first breaks off": {true, http.StatusBadGateway},
+		"the first is in flight": {false, http.StatusOK},
+		"the first disconnects":  {true, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
 			var asked atomic.Int32
 			answer := func(_ int, _ received, id string) (string, bool) {
 				if asked.Add(1) > 1 {
-					return unsaid(id), false
+					return unmarkedRefusal(id), false
 				}
 				<-release
 				if c.breaks {
 					return "", true
 				}
-				return whole(id, "first"), false
+				return okAnswer(id, "first"), false
 			}
-			s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-			s.uneven(5)
+			s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+			s.enableHedging(5)
 			s.host.Meter = meter.New()
 			got := make(chan int, 1)
 			go func() { got <- s.post("/plain/", "x", ownheaders.ID, "1").status }()
 			heard := func() bool { return s.host.Meter.Value("sends_served") > 0 || len(got) > 0 }
-			require.Eventually(t, heard, harnessPatience, time.Millisecond)
+			require.Eventually(t, heard, harnessTimeout, time.Millisecond)
 			close(release)
 			require.Equal(t, c.status, <-got)
 			require.EqualValues(t, 2, asked.Load())
-			s.settled()
+			s.awaitNoneInFlight()
 		})
 	}
 }
 
-// A target is not taken to fail where the caller left while its answer was read, or where this
-// host had no room for the answer.
-func TestSendsThatEndForOtherReasonsAreNotHeldAgainstTheirTarget(t *testing.T) {
-	left, leave := context.WithCancel(t.Context())
-	leave()
+// A send that ends because the caller left, or because this host has no memory for the answer, is
+// recorded as abandoned and not as a failure of the target.
+func TestCallerOrHostFailuresAreNotTargetFailures(t *testing.T) {
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for name, c := range map[string]struct {
 		ctx context.Context
 		err error
 	}{
-		"the caller left":      {left, context.Canceled},
-		"the host has no room": {t.Context(), failure.Retry(failure.Overloaded, soon, "no room")},
+		"the caller left":        {cancelled, context.Canceled},
+		"the host has no memory": {t.Context(), failure.Retry(failure.Overloaded, testHedgeDelay, "no memory")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSystem(t, newTarget(t, "t1", nil))
+			s := newSystem(t, newFakeTarget(t, "t1", nil))
 			s.host.Meter = meter.New()
 			x := &exchange{host: s.host}
-			r := &reply{target: balance.TargetInfo{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
-			require.NotEqual(t, failure.RanNo, failure.From(x.failedSend(c.ctx, r)).Ran)
+			r := &sendResult{target: balance.TargetInfo{ID: "t1"}, resp: &targetpool.Response{Status: http.StatusOK}, err: c.err}
+			require.NotEqual(t, failure.RanNo, failure.From(x.recordFailedSend(c.ctx, r)).Ran)
 			require.EqualValues(t, 1, s.host.Meter.Value("sends_abandoned"))
 		})
 	}
 }
 
-// Both targets fail: the route's attempts are used up, and the caller is told so.
+// If both targets fail, the route's attempts are used up and the caller gets an error.
 func TestBothSendsFail(t *testing.T) {
 	var asked atomic.Int32
 	both := make(chan struct{})
@@ -277,80 +278,80 @@
 		<-both
 		return "", true
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer), newTarget(t, "t3", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
+	s.enableHedging(5)
 	require.Equal(t, http.StatusBadGateway, s.post("/plain/", "x", ownheaders.ID, "1").status)
 	require.EqualValues(t, 2, asked.Load())
-	s.settled()
+	s.awaitNoneInFlight()
 }
 
-// Two stalled targets hold a call no longer than its caller waits.
-func TestBothSendsEndAtTheDeadline(t *testing.T) {
+// Two stalled targets do not delay the answer beyond the caller's timeout.
+func TestBothSendsEndAtDeadline(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	answer := func(int, received, string) (string, bool) {
 		<-release
 		return "", true
 	}
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	s.enableHedging(5)
 	got := s.post("/plain/", "x", ownheaders.ID, "1", ownheaders.Timeout, "150")
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
-	s.settled()
+	s.awaitNoneInFlight()
 }
 
-// The state says when calls are sent again and what is left for it.
+// The state shows the hedge delay and the hedge budget.
 func TestStateShowsSecondSends(t *testing.T) {
-	s := newSystem(t, newTarget(t, "t1", nil))
-	s.uneven(5)
+	s := newSystem(t, newFakeTarget(t, "t1", nil))
+	s.enableHedging(5)
 	state := s.host.State()
-	require.Equal(t, soon.Milliseconds(), state.SecondSends.Kinds[0].DelayMs)
+	require.Equal(t, testHedgeDelay.Milliseconds(), state.SecondSends.Kinds[0].DelayMs)
 	require.Equal(t, "s", state.SecondSends.Services[0].Service)
 	require.InDelta(t, 1, state.Targets[0].Slowdown, 0.01)
-	_, told := s.host.registry.Pick(balance.Query{Service: "s"}, s.host.now())
-	require.True(t, told)
+	_, picked := s.host.registry.Pick(balance.Query{Service: "s"}, s.host.now())
+	require.True(t, picked)
 }
 
-// lines is a log that can be read while it is written.
-type lines struct {
+// logBuffer is a log output that can be read while it is written to.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-// first is the first line.
-func (l *lines) first() string {
+// firstLine returns the first line.
+func (l *logBuffer) firstLine() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	line, _, _ := strings.Cut(l.buf.String(), "\n")
 	return line
 }
 
-// The line of a request that was routed says what decided: the target's slowdown, the time
-// predicted there, and the target at home that was left for another data centre.
-func TestRoutingLineSaysWhatDecided(t *testing.T) {
-	answer := func(_ int, _ received, id string) (string, bool) { return whole(id, "ok"), false }
-	s := newSystem(t, newTarget(t, "t1", answer), newTarget(t, "t2", answer))
-	var out lines
-	s.host.Log = log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})
-	s.uneven(0)
+// The log message "request routed" names what decided: the slowdown of the target, the duration
+// predicted there, and the near target that was not chosen.
+func TestRequestRoutedLogExplainsChoice(t *testing.T) {
+	answer := func(_ int, _ received, id string) (string, bool) { return okAnswer(id, "ok"), false }
+	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
+	var buffer logBuffer
+	s.host.Log = log.NewWithOptions(&buffer, log.Options{Formatter: log.JSONFormatter})
+	s.enableHedging(0)
 	h := s.host
 	h.mu.Lock()
-	home, _ := h.registry.Target("t1")
-	away, _ := h.registry.Target("t2")
-	moved := away.TargetInfo
+	near, _ := h.registry.Target("t1")
+	far, _ := h.registry.Target("t2")
+	moved := far.TargetInfo
 	moved.DataCentre = "dc2"
 	h.registry.SetTarget(moved)
-	home.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
+	near.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
-	line := out.first()
-	var said struct {
+	line := buffer.firstLine()
+	var entry struct {
 		Target     string  `json:"target"`
 		DataCentre string  `json:"data_centre"`
 		Slowdown   float64 `json:"slowdown"`
@@ -358,11 +359,11 @@
 		Near       string  `json:"near"`
 		NearMs     int64   `json:"near_predicted_ms"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(line), &said), line)
-	require.Equal(t, "t2", said.Target)
-	require.Equal(t, "dc2", said.DataCentre)
-	require.Equal(t, "t1", said.Near)
-	require.Greater(t, said.NearMs, said.Predicted)
-	require.Positive(t, said.Slowdown)
+	require.NoError(t, json.Unmarshal([]byte(line), &entry), line)
+	require.Equal(t, "t2", entry.Target)
+	require.Equal(t, "dc2", entry.DataCentre)
+	require.Equal(t, "t1", entry.Near)
+	require.Greater(t, entry.NearMs, entry.Predicted)
+	require.Positive(t, entry.Slowdown)
 	t.Log(line)
 }
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	// tokenWait and tokenShare bound the wait for a token that is about to come, in all and
-	// as a part of the time that the caller has. More programs end within their quota so than where their callers are refused
-	// at once and come back.
-	tokenWait  = 600 * time.Millisecond
-	tokenShare = 3
-	// firstTokenWait is the same for the first request of a program, which has lost nothing
-	// yet by coming back.
-	firstTokenWait = 40 * time.Millisecond
+	// maxTokenWait bounds the wait for the next token, and tokenWaitDivisor bounds it as a
+	// fraction, 1/tokenWaitDivisor, of the time until the request's deadline. With the wait,
+	// more programs end within their quota than if callers are refused at once and retry.
+	maxTokenWait     = 600 * time.Millisecond
+	tokenWaitDivisor = 3
+	// maxFirstTokenWait is the same for the first request of a program, which loses nothing
+	// by a retry.
+	maxFirstTokenWait = 40 * time.Millisecond
 )
 
-// tokenPatience is how long the request may wait for a token.
-func (x *exchange) tokenPatience() time.Duration {
-	if x.begins() {
-		return firstTokenWait
+// tokenWaitTimeout is how long the request may wait for a token.
+func (x *exchange) tokenWaitTimeout() time.Duration {
+	if x.startsProgram() {
+		return maxFirstTokenWait
 	}
-	return min(tokenWait, time.Until(x.deadline)/tokenShare)
+	return min(maxTokenWait, time.Until(x.deadline)/tokenWaitDivisor)
 }
 
-// withinQuota takes a token of the customer's quota, which counts over all hosts.
-func (x *exchange) withinQuota(ctx context.Context) error {
+// awaitQuotaToken takes a token of the customer's quota, which is shared by all hosts. It waits for
+// one up to tokenWaitTimeout, and returns a failure with a retry delay if it gets none.
+func (x *exchange) awaitQuotaToken(ctx context.Context) error {
 	if x.customer == nil || !x.customer.Quota.Limited() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
-	grant, err := x.takeToken(ctx)
-	for left := x.tokenPatience(); err == nil && !grant.Granted && grant.RetryDelay <= left && sleep(ctx, grant.RetryDelay); {
-		left -= grant.RetryDelay
-		grant, err = x.takeToken(ctx)
+	grant, err := x.requestToken(ctx)
+	for remaining := x.tokenWaitTimeout(); err == nil && !grant.Granted && grant.RetryDelay <= remaining && sleep(ctx, grant.RetryDelay); {
+		remaining -= grant.RetryDelay
+		grant, err = x.requestToken(ctx)
 	}
 	switch {
 	case err != nil:
-		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "quota of %s: %v", x.customer.Name, err)
+		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "quota of customer %s: %v", x.customer.Name, err)
 	case !grant.Granted:
 		x.host.Meter.Count("turned_away", "quota")
-		return failure.Retry(failure.QuotaExceeded, grant.RetryDelay, "customer %s, %g requests a second and %g at once, version %d, first of its program: %t",
-			x.customer.Name, x.customer.Quota.Rate, x.customer.Quota.Burst, x.customerVersion, x.begins())
+		return failure.Retry(failure.QuotaExceeded, grant.RetryDelay, "quota of customer %s exhausted: %g requests/s, burst %g, configuration version %d, first request of its program: %t",
+			x.customer.Name, x.customer.Quota.Rate, x.customer.Quota.Burst, x.customerVersion, x.startsProgram())
 	}
 	return nil
 }
 
-func (x *exchange) takeToken(ctx context.Context) (quota.Grant, error) {
+// requestToken asks history hosts once for a token of the customer's quota.
+func (x *exchange) requestToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
 	return x.host.History.Take(ctx, quota.TokenRequest{
 		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
-		FirstOfProgram: x.begins(),
+		FirstOfProgram: x.startsProgram(),
 	})
 }
 
-// begins reports whether the request is the first of its program.
-func (x *exchange) begins() bool { return x.isTurn() && !x.underWay }
+// startsProgram reports whether the request is the first of its program.
+func (x *exchange) startsProgram() bool { return x.isTurn() && !x.programStarted }
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -13,30 +13,30 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// stream passes events on as they come. A stream that breaks is resumed at other
-// targets where the route allows it.
-func (x *exchange) stream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (again bool, err error) {
-	last := x.call.LastEventID
+// deliverStream forwards events to the caller as they arrive. A stream that ends early is resumed
+// at other targets if the route allows it.
+func (x *exchange) deliverStream(ctx context.Context, t balance.TargetInfo, resp *targetpool.Response) (retry bool, err error) {
+	lastEventID := x.call.LastEventID
 	for {
-		err = x.pump(ctx, resp, &last)
+		err = x.deliverEvents(ctx, resp, &lastEventID)
 		if err == nil {
-			x.done(t.ID, balance.Served)
+			x.recordOutcome(t.ID, balance.Served)
 			return false, x.finishStream(ctx, resp)
 		}
-		if ours := endedHere(err); ours != nil {
-			// Says nothing of the target.
-			x.done(t.ID, balance.Abandoned)
-			return false, failure.Unknown(ours.Kind, "stream of %s: %v", t.ID, err)
+		if local := localFailure(err); local != nil {
+			// The target has not failed.
+			x.recordOutcome(t.ID, balance.Abandoned)
+			return false, failure.Unknown(local.Kind, "stream of target %s: %v", t.ID, err)
 		}
-		f := failure.Unknown(failure.BadAnswer, "stream of %s broke off: %v", t.ID, err)
-		f.Kind = endedBy(ctx, f.Kind)
-		x.done(t.ID, outcomeOf(ctx, f))
+		f := failure.Unknown(failure.BadAnswer, "stream of target %s ended early: %v", t.ID, err)
+		f.Kind = failureKind(ctx, f.Kind)
+		x.recordOutcome(t.ID, failureOutcome(ctx, f))
 		_ = resp.Body.Close()
 		if !x.route.Resumable || ctx.Err() != nil {
 			return false, f
 		}
 		var release context.CancelFunc
-		if t, resp, release, err = x.resume(ctx, last); err != nil {
+		if t, resp, release, err = x.resume(ctx, lastEventID); err != nil {
 			return false, failure.Unknown(failure.BadAnswer, "%v; resume: %v", f, err)
 		}
 		defer release()
@@ -44,16 +44,16 @@
 	}
 }
 
-// The failures of a stream that lie on this side of it: the caller takes nothing more, or
-// there is no room for what it has not taken.
+// Failures of a stream that its target has not caused: the caller reads no more, or there is no
+// memory for events that it has not read.
 var (
-	errCallerWrite = failure.New(failure.CallerGone, "write to the caller")
-	errNoRoom      = failure.New(failure.Overloaded, "no room for the stream")
+	errCallerWrite = failure.New(failure.CallerGone, "write to the caller failed")
+	errNoMemory    = failure.New(failure.Overloaded, "no memory for the stream")
 )
 
-// endedHere returns the failure if it lies on this side of the stream.
-func endedHere(err error) *failure.Failure {
-	for _, f := range []*failure.Failure{errCallerWrite, errNoRoom} {
+// localFailure returns the failure that err wraps if the target has not caused it, else nil.
+func localFailure(err error) *failure.Failure {
+	for _, f := range []*failure.Failure{errCallerWrite, errNoMemory} {
 		if errors.Is(err, f) {
 			return f
 		}
@@ -61,12 +61,13 @@
 	return nil
 }
 
-// pump passes whole events on until the stream ends.
-func (x *exchange) pump(ctx context.Context, resp *targetpool.Response, last *string) error {
-	flush := http.NewResponseController(x.w)
-	events := &eventReader{from: resp.Body, room: x.roomFor(ctx, held.Events)}
-	defer func() { x.held.release(held.Events, events.charged) }()
-	var heard time.Time
+// deliverEvents forwards whole events until the stream ends, and sets lastEventID to the id of
+// the last one forwarded.
+func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, lastEventID *string) error {
+	controller := http.NewResponseController(x.w)
+	events := &eventReader{source: resp.Body, reserve: x.reserveFunc(ctx, held.Events)}
+	defer func() { x.held.release(held.Events, events.reserved) }()
+	var lastEventAt time.Time
 	for {
 		e, err := events.next()
 		if err == io.EOF {
@@ -75,79 +76,79 @@
 		if err != nil {
 			return err
 		}
-		x.begin(resp)
-		x.host.reach.heard(x.target)
+		x.writeHead(resp)
+		x.host.reach.heard(x.targetID)
 		now := time.Now()
-		if heard.IsZero() {
-			x.firstEvent(now.Sub(x.sent))
+		if lastEventAt.IsZero() {
+			x.recordFirstEvent(now.Sub(x.sentAt))
 		} else {
-			x.streamed(now.Sub(heard))
+			x.recordEvent(now.Sub(lastEventAt))
 		}
-		heard = now
-		if x.turn != nil && !x.turn.note(ctx, e) {
-			return errNoRoom
+		lastEventAt = now
+		if x.turn != nil && !x.turn.addEvent(ctx, e) {
+			return errNoMemory
 		}
 		if _, err := x.w.Write(e.raw); err != nil {
 			return errCallerWrite
 		}
-		if err := flush.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return errCallerWrite
 		}
 		if e.id != "" {
-			*last = e.id
+			*lastEventID = e.id
 		}
 	}
 }
 
-// begin sends the head of the answer, once: that of the first target. Until then
-// a failure is answered by a head of our own.
-func (x *exchange) begin(resp *targetpool.Response) {
-	if x.answered {
+// writeHead sends the head of the first target's answer to the caller, once. Before that, a
+// failure is answered with a head of the host's own.
+func (x *exchange) writeHead(resp *targetpool.Response) {
+	if x.headSent {
 		return
 	}
-	x.copyHead(resp.Header)
-	x.answered, x.firstByte = true, time.Now()
-	if c := callerOf(x.r); c != nil {
-		c.hurry()
+	x.copyHeader(resp.Header)
+	x.headSent, x.firstByteAt = true, time.Now()
+	if c := callerConnOf(x.r); c != nil {
+		c.useStreamTimeout()
 	}
 	x.w.WriteHeader(resp.Status)
 }
 
-// resume sends the request to another target, after the last event passed on. The
-// caller releases the guard of the new target.
-func (x *exchange) resume(ctx context.Context, last string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
-	for x.sends < x.route.MaxAttempts {
-		t, err := x.pick()
+// resume sends the request to another target, to continue after the last event forwarded. The
+// returned function releases the guard of the new target.
+func (x *exchange) resume(ctx context.Context, lastEventID string) (balance.TargetInfo, *targetpool.Response, context.CancelFunc, error) {
+	for x.sendCount < x.route.MaxAttempts {
+		t, err := x.pickTarget()
 		if err != nil {
 			return balance.TargetInfo{}, nil, nil, err
 		}
 		x.host.Meter.Count("streams", "resumed")
-		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", last)
+		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", lastEventID)
 		guarded, release := x.host.reach.guard(ctx, t)
-		resp, err := x.send(guarded, t, last)
+		resp, err := x.send(guarded, t, lastEventID)
 		if err != nil {
 			release()
 			f := failure.From(err)
-			x.done(t.ID, outcomeOf(ctx, f))
+			x.recordOutcome(t.ID, failureOutcome(ctx, f))
 			if f.Ran != failure.RanNo {
-				x.sends++
+				x.sendCount++
 			}
 			continue
 		}
-		x.sends++
+		x.sendCount++
 		if resp.Status == http.StatusOK {
 			return t, resp, release, nil
 		}
-		x.done(t.ID, balance.Refused)
+		x.recordOutcome(t.ID, balance.Refused)
 		_ = resp.Body.Close()
 		release()
 	}
-	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "%d targets tried", x.sends)
+	return balance.TargetInfo{}, nil, nil, failure.Unknown(failure.TargetFailed, "no target resumed the stream after %d sends", x.sendCount)
 }
 
-// finishStream makes a turn durable before its caller sees it end.
+// finishStream makes a turn durable before its caller receives the end of the stream.
 func (x *exchange) finishStream(ctx context.Context, resp *targetpool.Response) error {
-	x.begin(resp)
+	x.writeHead(resp)
 	if x.turn == nil {
 		return nil
 	}
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -13,76 +13,80 @@
 )
 
 const (
-	// historyPatience bounds the wait for history hosts before a turn is sent: a
-	// caller that is refused comes back to another host.
-	historyPatience = 800 * time.Millisecond
-	// settlementWait is how long a refusal for want of budget waits for settlements on
-	// their way: one takes some 5 ms, and the refusal ends the program.
-	settlementWait = 300 * time.Millisecond
-	settlementPoll = 30 * time.Millisecond
-	// cutPatience is how long history hosts may be out of reach until a turn that cannot be
-	// kept is broken off: its caller sends it again elsewhere, and would else wait for the end
-	// of the cut, or give up after two seconds and more.
-	cutPatience = 500 * time.Millisecond
-	// settlePatience bounds the settling of a budget after an answer.
-	settlePatience = 3 * time.Second
+	// historyTimeout is the default bound of the wait for history hosts before a turn is
+	// sent. A caller that is refused retries at another host.
+	historyTimeout = 800 * time.Millisecond
+	// maxSettlementWait bounds the wait for pending settlements before a turn is refused
+	// because its budget is exhausted. A settlement takes about 5 ms, and the refusal ends
+	// the program.
+	maxSettlementWait      = 300 * time.Millisecond
+	settlementPollInterval = 30 * time.Millisecond
+	// unreachableHistoryTimeout is how long history hosts may be unreachable before a turn
+	// that cannot be stored is aborted. Its caller then sends it again to another host;
+	// otherwise it would wait for the end of the partition, or give up after two seconds or
+	// more.
+	unreachableHistoryTimeout = 500 * time.Millisecond
+	// settleTimeout bounds the settling of a budget after an answer.
+	settleTimeout = 3 * time.Second
 )
 
-// turn is one turn of a program while it runs.
+// turn is the state of one turn of a program while it runs.
 type turn struct {
-	x      *exchange
-	input  []byte
-	output []byte
-	events int64
-	// kept is the program under which the turn and those before it are kept; see keptAs.
-	kept string
+	x          *exchange
+	input      []byte
+	output     []byte
+	eventCount int64
+	// historyProgram is the program name under which the turn and those before it are
+	// stored; see exchange.historyProgram.
+	historyProgram string
 }
 
-// defaultRetention is for routes that do not say how long programs are kept.
+// defaultRetention applies to routes that do not set a retention.
 const defaultRetention = 2 * time.Minute
 
-// retention is how long the program is kept after this turn: also while a next turn runs that
-// begins at its end.
+// retention is how long the program is stored after this turn. It covers a next turn that starts
+// at the end of the route's retention.
 func (x *exchange) retention() time.Duration {
-	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
-	return keep + x.host.History.Outlast(patience(0, x.route.Timeout))
+	retention := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
+	return retention + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
 }
 
+// isTurn reports whether the request is a turn of a program: a stream of an engine service.
 func (x *exchange) isTurn() bool {
 	return x.route.Kind == routing.Streaming && x.call.Program != "" && x.engine != nil
 }
 
-// note counts an event that is about to go to the caller, or reports that there is no
-// room to keep it.
-func (t *turn) note(ctx context.Context, e event) bool {
+// addEvent counts an event that is about to be sent to the caller, and adds it to the output of
+// a retained turn. It reports false if there is no memory for it.
+func (t *turn) addEvent(ctx context.Context, e event) bool {
 	if t.x.route.Retained {
-		// Once here, once in the record of the turn.
-		copies := 2 * int64(len(e.data)+1)
-		if t.x.held.grow(ctx, held.Record, copies, answerWait) != nil {
+		// One copy in the output, one in the record of the turn.
+		size := 2 * int64(len(e.data)+1)
+		if t.x.held.grow(ctx, held.Record, size, answerWait) != nil {
 			return false
 		}
 		t.output = append(t.output, e.data...)
 		t.output = append(t.output, '\n')
 	}
-	t.events++
+	t.eventCount++
 	return true
 }
 
-// tokens is what was handed to the caller so far.
-func (t *turn) tokens() int64 { return t.events * t.x.engine.TokensPerEvent }
+// deliveredTokens is the number of tokens sent to the caller so far.
+func (t *turn) deliveredTokens() int64 { return t.eventCount * t.x.engine.TokensPerEvent }
 
-// serveTurn reserves budget, rebuilds the prompt, and forwards the turn.
+// serveTurn reserves budget, rebuilds the prompt, takes a quota token and forwards the turn.
 func (x *exchange) serveTurn(ctx context.Context) error {
 	t := &turn{x: x, input: x.body}
 	var err error
-	if t.kept, err = x.keptAs(); err != nil {
+	if t.historyProgram, err = x.historyProgram(); err != nil {
 		return err
 	}
 	err = t.begin(ctx)
 	if err == nil {
-		err = x.withinQuota(ctx)
+		err = x.awaitQuotaToken(ctx)
 	}
-	x.host.Meter.Observe("turn_begin", time.Since(x.began))
+	x.host.Meter.Observe("turn_begin", time.Since(x.startedAt))
 	if err != nil {
 		t.settle()
 		return err
@@ -94,50 +98,50 @@
 	return err
 }
 
-// begin reserves the most that the turn can generate, then reads what all turns
-// of the program reserved before and the chain that this one continues.
+// begin reserves the maximum number of tokens that the turn can generate, then reads the
+// reservations of all turns of the program and the chain of turns that this one continues.
 func (t *turn) begin(ctx context.Context) error {
 	x := t.x
-	if !x.host.History.Servable(x.program()) || !x.host.History.Servable(t.kept) {
-		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "history hosts of the program are out of reach")
+	if !x.host.History.Servable(x.budgetProgram()) || !x.host.History.Servable(t.historyProgram) {
+		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are unreachable")
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
 	defer cancel()
-	reserve := &historypb.Record{Change: &historypb.Record_Reserve{
+	reservation := &historypb.Record{Change: &historypb.Record_Reserve{
 		Reserve: &historypb.Reserve{Turn: x.call.ID, Tokens: x.call.MaxTokens},
 	}}
 	history := x.host.History
-	if err := history.Write(ctx, x.program(), x.retention(), reserve); err != nil {
-		return t.later(err)
+	if err := history.Write(ctx, x.budgetProgram(), x.retention(), reservation); err != nil {
+		return t.historyFailure(err)
 	}
-	past, err := t.past(ctx)
+	past, err := t.readPast(ctx)
 	if err != nil {
-		return t.later(err)
+		return t.historyFailure(err)
 	}
-	if past, err = t.afford(ctx, past); err != nil {
+	if past, err = t.checkBudget(ctx, past); err != nil {
 		return err
 	}
 	x.learn(past.Ran)
-	x.underWay = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
-	return t.prepend(ctx, past.Chain, past.Elsewhere)
+	x.programStarted = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
+	return t.prependChain(ctx, past.Chain, past.Elsewhere)
 }
 
-// past reads the budget use of the program, where its turns ran, and the chain that the turn
-// continues.
-func (t *turn) past(ctx context.Context) (*quorum.Past, error) {
+// readPast reads the budget use of the program, the targets that ran its turns, and the chain
+// of turns that this one continues.
+func (t *turn) readPast(ctx context.Context) (*quorum.Past, error) {
 	x := t.x
 	previous := ""
 	if x.route.Retained {
-		previous = x.owned(x.call.PreviousTurn)
+		previous = x.customerScoped(x.call.PreviousTurn)
 	}
-	if t.kept == x.program() || previous == "" {
-		return x.host.History.Read(ctx, x.program(), previous, x.ownParts()...)
+	if t.historyProgram == x.budgetProgram() || previous == "" {
+		return x.host.History.Read(ctx, x.budgetProgram(), previous, x.ownParts()...)
 	}
-	past, err := x.host.History.Read(ctx, x.program(), "", x.ownParts()...)
+	past, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.ownParts()...)
 	if err != nil {
 		return nil, err
 	}
-	chain, err := x.host.History.Read(ctx, t.kept, previous)
+	chain, err := x.host.History.Read(ctx, t.historyProgram, previous)
 	if err != nil {
 		return nil, err
 	}
@@ -145,28 +149,29 @@
 	return past, nil
 }
 
-// afford refuses the turn if the budget does not allow it, once no settlement that
-// would make room can be on its way any more. It returns the newest reading.
-func (t *turn) afford(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
+// checkBudget refuses the turn if the budget does not allow it. Before, it waits for pending
+// settlements, up to maxSettlementWait, if they could free enough budget. It returns past with
+// the latest usage.
+func (t *turn) checkBudget(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
 	call := &t.x.call
-	for end := time.Now().Add(settlementWait); ; {
+	for deadline := time.Now().Add(maxSettlementWait); ; {
 		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
 			return past, nil
 		}
-		wait := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(end)
-		if !wait || !sleep(ctx, settlementPoll) {
-			return nil, failure.New(failure.BudgetExhausted, "%d of %d used by others, %d wanted",
+		pending := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(deadline)
+		if !pending || !sleep(ctx, settlementPollInterval) {
+			return nil, failure.New(failure.BudgetExhausted, "other turns use %d of %d tokens, %d requested",
 				past.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
 		}
-		newer, err := t.x.host.History.Read(ctx, t.x.program(), "")
+		latest, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
 		if err != nil {
-			return nil, t.later(err)
+			return nil, t.historyFailure(err)
 		}
-		past.Usage = newer.Usage
+		past.Usage = latest.Usage
 	}
 }
 
-// sleep waits, or reports that the context ended.
+// sleep waits for d; it reports false if the context ended before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -178,108 +183,111 @@
 	}
 }
 
-// later tells the caller to come back, unless trying again cannot help.
-func (t *turn) later(err error) error {
+// historyFailure turns an error of history hosts into a failure with a retry delay, unless a retry
+// cannot succeed.
+func (t *turn) historyFailure(err error) error {
 	f := *failure.From(err)
 	if f.Kind == failure.UnknownTurn {
 		return &f
 	}
-	f.Kind, f.Ran, f.RetryAfter = failure.HistoryUnavailable, failure.RanNo, t.x.comeBack()
+	f.Kind, f.Ran, f.RetryAfter = failure.HistoryUnavailable, failure.RanNo, t.x.historyRetryDelay()
 	return &f
 }
 
-// comeBack is when the caller should try again after history hosts could not serve it.
-func (x *exchange) comeBack() time.Duration {
+// historyRetryDelay is the retry delay for a caller that history hosts could not serve.
+func (x *exchange) historyRetryDelay() time.Duration {
 	if x.isTurn() && x.host.History.CutAlone() {
 		return turnPause
 	}
 	return x.host.comeBack()
 }
 
-// prepend puts the chain, oldest turn first, before the new input. A chain that
-// another program kept is copied, so that it lives as long as this program.
-func (t *turn) prepend(ctx context.Context, chain []*historypb.Turn, elsewhere bool) error {
-	kept, err := t.hold(ctx, chain)
+// prependChain puts the chain, oldest turn first, before the new input. A chain that is stored
+// for another program is copied, so that it is retained as long as this program.
+func (t *turn) prependChain(ctx context.Context, chain []*historypb.Turn, fromOtherProgram bool) error {
+	chainBytes, err := t.reserveMemory(ctx, chain)
 	if err != nil || len(chain) == 0 {
 		return err
 	}
-	defer t.x.held.release(held.Prompt, kept)
-	size := len(t.input) + int(kept)
+	defer t.x.held.release(held.Prompt, chainBytes)
+	size := len(t.input) + int(chainBytes)
 	body := make([]byte, 0, size)
 	for i := len(chain) - 1; i >= 0; i-- {
 		body = append(body, chain[i].Content...)
 	}
 	t.x.body = append(body, t.input...)
-	if !elsewhere {
+	if !fromOtherProgram {
 		return nil
 	}
 	records := make([]*historypb.Record, 0, len(chain))
-	for _, c := range chain {
-		records = append(records, &historypb.Record{Change: &historypb.Record_Turn{Turn: c}})
+	for _, previous := range chain {
+		records = append(records, &historypb.Record{Change: &historypb.Record_Turn{Turn: previous}})
 	}
-	if err := t.x.host.History.Write(ctx, t.kept, t.x.retention(), records...); err != nil {
-		return t.later(err)
+	if err := t.x.host.History.Write(ctx, t.historyProgram, t.x.retention(), records...); err != nil {
+		return t.historyFailure(err)
 	}
 	return nil
 }
 
-// hold makes room for the chain, which is kept bytes long, the prompt that is built of it,
-// and the input in the record of the turn.
-func (t *turn) hold(ctx context.Context, chain []*historypb.Turn) (kept int64, err error) {
-	for _, c := range chain {
-		kept += int64(len(c.Content))
+// reserveMemory reserves memory for the chain, for the prompt that is built from it, and for the
+// input in the record of the turn. It returns the size of the chain in bytes.
+func (t *turn) reserveMemory(ctx context.Context, chain []*historypb.Turn) (chainBytes int64, err error) {
+	for _, previous := range chain {
+		chainBytes += int64(len(previous.Content))
 	}
-	input := int64(len(t.input))
-	more := kept
+	inputBytes := int64(len(t.input))
+	size := chainBytes
 	if len(chain) > 0 {
-		more += kept + input
+		size += chainBytes + inputBytes
 	}
 	if t.x.route.Retained {
-		more += input
+		size += inputBytes
 	}
-	return kept, t.x.held.grow(ctx, held.Prompt, more, requestWait)
+	return chainBytes, t.x.held.grow(ctx, held.Prompt, size, requestWait)
 }
 
-// finish makes the turn and its budget use durable. Where no later turn needs this
-// one, its caller does not wait for that: what was reserved holds until then. That
-// saves 5 to 8 ms a turn, and the whole turn where history hosts are cut off.
+// finish makes the turn and its budget use durable. The caller of a turn that is not retained
+// does not wait for that, as the reservation holds until the settlement. This saves 5 to 8 ms
+// per turn, and the whole turn if history hosts are unreachable.
 func (t *turn) finish(ctx context.Context) error {
 	if !t.x.route.Retained {
 		t.settle()
 		return nil
 	}
-	began := time.Now()
-	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(began)) }()
+	startedAt := time.Now()
+	defer func() { t.x.host.Meter.Observe("turn_finish", time.Since(startedAt)) }()
 	content := append(append([]byte(nil), t.input...), t.output...)
-	records := []*historypb.Record{t.settlement(), {Change: &historypb.Record_Turn{
-		Turn: &historypb.Turn{Turn: t.x.owned(t.x.call.ID), Previous: t.x.owned(t.x.call.PreviousTurn), Content: content},
+	records := []*historypb.Record{t.settlementRecord(), {Change: &historypb.Record_Turn{
+		Turn: &historypb.Turn{Turn: t.x.customerScoped(t.x.call.ID), Previous: t.x.customerScoped(t.x.call.PreviousTurn), Content: content},
 	}}}
-	if t.kept != t.x.program() {
-		// The settlement beside the turn only makes all replicas there keep the turns before it.
+	if t.historyProgram != t.x.budgetProgram() {
+		// The settlement stored with the turn only makes all replicas there retain the
+		// turns before it.
 		defer t.settle()
 	}
-	if err := t.x.host.History.WriteWithin(ctx, cutPatience, t.kept, t.x.retention(), records...); err != nil {
-		return failure.Unknown(failure.HistoryUnavailable, "turn not kept: %v", err)
+	if err := t.x.host.History.WriteWithin(ctx, unreachableHistoryTimeout, t.historyProgram, t.x.retention(), records...); err != nil {
+		return failure.Unknown(failure.HistoryUnavailable, "turn not stored: %v", err)
 	}
 	return nil
 }
 
-func (t *turn) settlement() *historypb.Record {
+// settlementRecord replaces the reservation by the tokens delivered.
+func (t *turn) settlementRecord() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
-		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.tokens(), Ran: t.ran()},
+		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.ran()},
 	}}
 }
 
-// settle replaces the reservation of a turn that did not end whole by what was
-// handed out, without the caller waiting for it.
+// settle replaces the reservation of the turn by the tokens delivered, in the background: the
+// caller does not wait for it.
 func (t *turn) settle() {
 	h := t.x.host
 	h.work.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settlePatience)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
-		if err := h.History.Write(ctx, t.x.program(), t.x.retention(), t.settlement()); err != nil {
+		if err := h.History.Write(ctx, t.x.budgetProgram(), t.x.retention(), t.settlementRecord()); err != nil {
 			h.Meter.Count("budgets", "unsettled")
-			h.Log.Warn("budget not settled", "request", t.x.call.ID, "program", t.x.call.Program, "tokens", t.tokens(), "error", err.Error())
+			h.Log.Warn("budget not settled", "request", t.x.call.ID, "program", t.x.call.Program, "tokens", t.deliveredTokens(), "error", err.Error())
 		}
 	})
 }
