--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -202,8 +202,8 @@
 	keeper := history.NewKeeper(server, store, self, max(1, c.faults), c.retire, vnet.Dialer{Net: c.net, From: h.place}, logger())
 	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
 	relays := relay.NewServer(ctx, source, logger(),
-		relay.Kind{Name: configKind, Wait: c.configWatch(300 * time.Millisecond), Renew: c.keyed}, relay.Kind{Name: targetKind, Wait: watchFor},
-		relay.Kind{Name: evacuationKind, Wait: watchFor}, relay.Kind{Name: history.Kind, Wait: watchFor})
+		relay.Kind{Name: configKind, WatchTimeout: c.configWatch(300 * time.Millisecond), ForwardConfirmations: c.keyed}, relay.Kind{Name: targetKind, WatchTimeout: watchFor},
+		relay.Kind{Name: evacuationKind, WatchTimeout: watchFor}, relay.Kind{Name: history.Kind, WatchTimeout: watchFor})
 	server.Relay(relays.Handle)
 	go func() {
 		defer close(h.ended)
@@ -319,9 +319,9 @@
 	e.stop = cancel
 	store := c.store.At(e.place)
 	source := func() *relay.Source {
-		return relay.NewSource(e.name, store, e.past.Members(), logger()).Patient(relay.MembersPatience)
+		return relay.NewSource(e.name, store, e.past.Members(), logger()).WithStartTimeout(relay.MembersStartTimeout)
 	}
-	slots := relay.NewSource(e.name, store, e.past, logger()).Patient(relay.StartPatience)
+	slots := relay.NewSource(e.name, store, e.past, logger()).WithStartTimeout(relay.StartTimeout)
 	followConfig := objects.Follow
 	if c.keyed {
 		followConfig = objects.FollowFastRetry
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -63,13 +63,13 @@
 // start follows all that the host needs until the context ends; it returns the sources by kind.
 func (f follower) start(ctx context.Context, host *entry.Host) map[string]*relay.Source {
 	config, targets, slots := f.source(), f.source(), f.slots()
-	targets.Holding(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
+	targets.WithSubset(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
 	followConfig := objects.Follow
 	if f.set.KeyRemoval > 0 {
 		followConfig = objects.FollowFastRetry
 	}
 	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
-	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).Holding(targets.Steps))
+	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).Holding(targets.Halvings))
 	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, f.past)
 	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.Kind: slots}
 	if f.set.Evacuation > 0 {
@@ -84,7 +84,7 @@
 func (f follower) slots() *relay.Source {
 	source := relay.NewSource(f.set.Host, f.store, f.past, f.logger)
 	if len(f.set.Seeds) > 0 {
-		source.Patient(relay.StartPatience)
+		source.WithStartTimeout(relay.StartTimeout)
 	}
 	return source
 }
@@ -92,9 +92,9 @@
 // source is one of anything else, which waits for the slot map where there are seeds.
 func (f follower) source() *relay.Source {
 	if len(f.set.Seeds) == 0 {
-		return relay.NewSource(f.set.Host, f.store, f.past, f.logger).Patient(relay.StartPatience)
+		return relay.NewSource(f.set.Host, f.store, f.past, f.logger).WithStartTimeout(relay.StartTimeout)
 	}
-	return relay.NewSource(f.set.Host, f.store, f.past.Members(), f.logger).Patient(relay.MembersPatience)
+	return relay.NewSource(f.set.Host, f.store, f.past.Members(), f.logger).WithStartTimeout(relay.MembersStartTimeout)
 }
 
 // entryState is the dump of an entry host for operators.
@@ -108,7 +108,7 @@
 func relaysOf(followed map[string]*relay.Source) map[string]string {
 	relays := make(map[string]string, len(followed))
 	for kind, source := range followed {
-		relays[kind] = source.From()
+		relays[kind] = source.CurrentRelay()
 	}
 	return relays
 }
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -57,10 +57,10 @@
 // change, of slots that have moved among them.
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
-		{Name: platform.ConfigKind, Wait: set.RelayedConfigWatch(), Renew: set.KeyRemoval > 0},
-		{Name: platform.TargetKind, Wait: set.WatchFor(), Pace: targetPace, GroupOf: platform.DecodeTargetGroup},
-		{Name: platform.EvacuationKind, Wait: set.WatchFor()},
-		{Name: platform.RetirementKind, Wait: set.WatchFor()},
-		{Name: history.Kind, Wait: set.WatchFor()},
+		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatch(), ForwardConfirmations: set.KeyRemoval > 0},
+		{Name: platform.TargetKind, WatchTimeout: set.WatchFor(), MinWatchInterval: targetPace, GroupOf: platform.DecodeTargetGroup},
+		{Name: platform.EvacuationKind, WatchTimeout: set.WatchFor()},
+		{Name: platform.RetirementKind, WatchTimeout: set.WatchFor()},
+		{Name: history.Kind, WatchTimeout: set.WatchFor()},
 	}
 }
--- a/daemon/cmd/pistachiod/observe_test.go
+++ b/daemon/cmd/pistachiod/observe_test.go
@@ -118,7 +118,7 @@
 	for _, contact := range []time.Duration{3 * time.Second, 6 * time.Second} {
 		set := &settings.Role{Contact: contact}
 		for _, kind := range relayedKinds(set) {
-			require.LessOrEqual(t, kind.Wait, contact, kind.Name)
+			require.LessOrEqual(t, kind.WatchTimeout, contact, kind.Name)
 		}
 	}
 }
--- a/daemon/history/upstream.go
+++ b/daemon/history/upstream.go
@@ -27,11 +27,11 @@
 	return m.Upstream(k.self.ID, k.self.DataCentre, k.answers())
 }
 
-// Gathering implements relay.Peers: members ask those before them, with slots or without.
-func (k *Keeper) Gathering() bool { return false }
+// AwaitsSlotAssignment implements relay.Peers: members ask those before them, with slots or without.
+func (k *Keeper) AwaitsSlotAssignment() bool { return false }
 
-// Relaying implements relay.Peers. Where none is known to ask, nobody relays for this member.
-func (k *Keeper) Relaying() bool {
+// IsRelay implements relay.Peers. Where none is known to ask, nobody relays for this member.
+func (k *Keeper) IsRelay() bool {
 	m := k.server.Map()
 	if m == nil {
 		return true
@@ -39,8 +39,8 @@
 	return m.IsRelay(k.self.ID, k.self.DataCentre, k.answers()) || len(k.Relays()) == 0
 }
 
-// Ask implements relay.Peers.
-func (k *Keeper) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+// Call implements relay.Peers.
+func (k *Keeper) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	m := k.server.Map()
 	if m == nil {
 		return nil, failure.New(failure.PeerUnavailable, "no slot map")
@@ -49,5 +49,5 @@
 	if !in {
 		return nil, failure.New(failure.PeerUnavailable, "member %s is gone", member)
 	}
-	return relay.Ask(ctx, k.peers.pool.Client(to.Address), member, req, wait)
+	return relay.Call(ctx, k.peers.pool.Client(to.Address), member, req, wait)
 }
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -42,22 +42,22 @@
 	return m.Client.Relays()
 }
 
-// Gathering implements relay.Peers.
-func (m membersOnly) Gathering() bool {
+// AwaitsSlotAssignment implements relay.Peers.
+func (m membersOnly) AwaitsSlotAssignment() bool {
 	slots := m.current()
 	return slots != nil && !slots.IsAssigned()
 }
 
-// Gathering implements relay.Peers: the members of a map without slots are asked as well.
-func (c *Client) Gathering() bool { return false }
+// AwaitsSlotAssignment implements relay.Peers: the members of a map without slots are asked as well.
+func (c *Client) AwaitsSlotAssignment() bool { return false }
 
-// Relaying implements relay.Peers: entry hosts relay nothing.
-func (c *Client) Relaying() bool { return false }
+// IsRelay implements relay.Peers: entry hosts relay nothing.
+func (c *Client) IsRelay() bool { return false }
 
-// Ask sends a request that concerns no slot to one member, or to the seed of that address.
-func (c *Client) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+// Call sends a request that concerns no slot to one member, or to the seed of that address.
+func (c *Client) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	if slices.Contains(c.seeds, member) {
-		return relay.Ask(ctx, c.pool.Client(member), "", req, wait)
+		return relay.Call(ctx, c.pool.Client(member), "", req, wait)
 	}
 	m := c.current()
 	if m == nil {
@@ -67,9 +67,9 @@
 	if !in {
 		return nil, failure.New(failure.PeerUnavailable, "member %s is gone", member)
 	}
-	reply, err := relay.Ask(ctx, c.pool.Client(to.Address), member, req, wait)
+	reply, err := relay.Call(ctx, c.pool.Client(to.Address), member, req, wait)
 	switch {
-	case relay.Refused(err):
+	case relay.IsRefusal(err):
 		c.note(member, nil)
 	case ctx.Err() == nil: // else this host gave up, and a silent connection ends by itself
 		c.note(member, err)
--- a/daemon/relay/ask.go
+++ b/daemon/relay/ask.go
@@ -58,7 +58,7 @@
 	case failure.Is(err, failure.PlatformUnavailable):
 		return false
 	}
-	return time.Now().Before(s.patientUntil) || pending && s.peers.Gathering()
+	return time.Now().Before(s.patientUntil) || pending && s.peers.AwaitsSlotAssignment()
 }
 
 // ask sends a request to the host's relay, and to the next ones if it fails: with one of
@@ -125,14 +125,14 @@
 }
 
 func (s *Source) askInto(ctx context.Context, member string, req *historypb.Request, wait time.Duration, answers chan<- answerOf) {
-	reply, err := s.peers.Ask(ctx, member, req, wait)
+	reply, err := s.peers.Call(ctx, member, req, wait)
 	answers <- answerOf{member, reply, err}
 }
 
 // inTurn returns the relays from this host's own on, so that hosts are spread over them. A
 // relay takes those before it in their order, so that one of them follows the platform.
 func (s *Source) inTurn(relays []string) []string {
-	if len(relays) == 0 || s.peers.Relaying() {
+	if len(relays) == 0 || s.peers.IsRelay() {
 		return relays
 	}
 	first := int(s.place % uint32(len(relays)))
@@ -169,7 +169,7 @@
 func (s *Source) askOne(ctx context.Context, kind, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+askTimeout)
 	defer cancel()
-	reply, err := s.peers.Ask(ctx, member, req, wait)
+	reply, err := s.peers.Call(ctx, member, req, wait)
 	switch {
 	case err == nil:
 		delete(s.failed, member)
@@ -183,7 +183,7 @@
 
 // use notes the relay that answers.
 func (s *Source) use(kind, member string) {
-	if s.From() != member {
+	if s.CurrentRelay() != member {
 		s.logger.Info("platform followed through a relay", "kind", kind, "member", member)
 	}
 	s.from.Store(&member)
@@ -191,7 +191,7 @@
 
 // leave notes that a relay does not answer.
 func (s *Source) leave(kind, member string, err error) {
-	if s.From() != "" {
+	if s.CurrentRelay() != "" {
 		s.logger.Warn("relay lost", "kind", kind, "member", member, "revision", s.seen, "error", err.Error())
 	}
 	s.from.Store(nil)
--- a/daemon/relay/fresh_test.go
+++ b/daemon/relay/fresh_test.go
@@ -154,9 +154,9 @@
 	delays *delays
 }
 
-func (p slowPeers) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+func (p slowPeers) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	p.delays.pass()
-	reply, err := p.Peers.Ask(ctx, member, req, wait)
+	reply, err := p.Peers.Call(ctx, member, req, wait)
 	p.delays.pass()
 	p.delays.mu.Lock()
 	lost := p.delays.stops && p.delays.r.IntN(40) == 0
@@ -199,7 +199,7 @@
 		source := func() objects.Reader {
 			return wrap(NewSource(id, store, slowPeers{member{f.peers, id}, f.delays}, logger))
 		}
-		f.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: kind, Wait: relayedWait, Renew: true})
+		f.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: kind, WatchTimeout: relayedWait, ForwardConfirmations: true})
 	}
 	for i := range hosts {
 		w := &witness{truth: &f.truth, name: string(rune('a' + i))}
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -168,15 +168,15 @@
 	return append([]string(nil), p.order...)
 }
 
-func (p *peers) Relaying() bool { return false }
+func (p *peers) IsRelay() bool { return false }
 
-func (p *peers) Gathering() bool {
+func (p *peers) AwaitsSlotAssignment() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.gathering
 }
 
-func (p *peers) Ask(ctx context.Context, member string, req *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
+func (p *peers) Call(ctx context.Context, member string, req *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
 	p.mu.Lock()
 	server := p.servers[member]
 	p.mu.Unlock()
@@ -198,11 +198,11 @@
 
 func (hanging) Relays() []string { return []string{"a", "b", "c"} }
 
-func (hanging) Relaying() bool { return false }
+func (hanging) IsRelay() bool { return false }
 
-func (hanging) Gathering() bool { return false }
+func (hanging) AwaitsSlotAssignment() bool { return false }
 
-func (hanging) Ask(ctx context.Context, member string, _ *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
+func (hanging) Call(ctx context.Context, member string, _ *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
 	<-ctx.Done()
 	return nil, failure.New(failure.PeerUnavailable, "%s does not answer", member)
 }
@@ -221,7 +221,7 @@
 	return relays
 }
 
-func (m member) Relaying() bool { return slices.Contains(m.peers.Relays(), m.id) }
+func (m member) IsRelay() bool { return slices.Contains(m.peers.Relays(), m.id) }
 
 // mirror keeps what a Follow tells it.
 type mirror struct {
@@ -278,7 +278,7 @@
 		w := &world{relayed: p, link: &link{platform: p}, peers: &peers{order: []string{"a", "b"}, servers: map[string]*Server{}}}
 		for _, id := range w.peers.order {
 			source := func() objects.Reader { return NewSource(id, w.link, member{w.peers, id}, logger) }
-			w.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: kind, Wait: waitTime})
+			w.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: kind, WatchTimeout: waitTime})
 		}
 		p.set("one", "1")
 		for i := range hosts {
--- a/daemon/relay/list_test.go
+++ b/daemon/relay/list_test.go
@@ -25,14 +25,14 @@
 	before  func(list *historypb.ListObjects)
 }
 
-func (w *watched) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+func (w *watched) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	if list := req.GetListObjects(); list != nil && w.before != nil {
 		w.mu.Lock()
 		w.before(list)
 		w.mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 	}
-	reply, err := w.peers.Ask(ctx, member, req, wait)
+	reply, err := w.peers.Call(ctx, member, req, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.longest = max(w.longest, proto.Size(reply))
--- a/daemon/relay/look.go
+++ b/daemon/relay/look.go
@@ -93,7 +93,7 @@
 			known, looked = v.asOf, true
 		}
 		reply := v.since(after, call)
-		if !last && len(reply.Objects) == 0 && !(v.kind.Renew && v.asOf.After(known)) {
+		if !last && len(reply.Objects) == 0 && !(v.kind.ForwardConfirmations && v.asOf.After(known)) {
 			after = reply.Revision // what came until now need not be looked at again
 			return nil, v.changed
 		}
--- a/daemon/relay/message.go
+++ b/daemon/relay/message.go
@@ -98,9 +98,9 @@
 	return asked.Add(time.Duration(reply.GetAsOfUs()) * time.Microsecond)
 }
 
-// Ask sends a request about the platform's objects to the member that client reaches; it
-// is the common part of Peers.Ask.
-func Ask(ctx context.Context, client *rpc.Client, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+// Call sends a request about the platform's objects to the member that client reaches; it
+// is the common part of Peers.Call.
+func Call(ctx context.Context, client *rpc.Client, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	own := proto.CloneOf(req) // one that was sent before may still be on its way out
 	own.Member = member
 	reply, err := client.CallWaiting(ctx, own, wait)
@@ -126,9 +126,9 @@
 	}
 }
 
-// Refused reports whether err is a member's answer that it cannot tell what it was asked for, and
+// IsRefusal reports whether err is a member's answer that it cannot tell what it was asked for, and
 // not a sign that it is gone.
-func Refused(err error) bool {
+func IsRefusal(err error) bool {
 	return failure.Is(err, failure.PlatformUnavailable) || failure.Is(err, failure.HistoryGone) || failure.Is(err, failure.ListPending)
 }
 
--- a/daemon/relay/ownpart.go
+++ b/daemon/relay/ownpart.go
@@ -21,7 +21,7 @@
 	held map[string]subset.Group
 }
 
-func newOwnPart(host, dataCentre string, groupOf GroupOf) *ownPart {
+func newOwnPart(host, dataCentre string, groupOf GroupFunc) *ownPart {
 	return &ownPart{holder: &historypb.Holder{Host: host, DataCentre: dataCentre}, all: newParts(groupOf), held: map[string]subset.Group{}}
 }
 
--- a/daemon/relay/part.go
+++ b/daemon/relay/part.go
@@ -6,9 +6,9 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// GroupOf decodes to which group an object belongs; ok is false where it names nothing that
+// GroupFunc decodes to which group an object belongs; ok is false where it names nothing that
 // a host could hold.
-type GroupOf func(name string, spec []byte) (g subset.Group, ok bool)
+type GroupFunc func(name string, spec []byte) (g subset.Group, ok bool)
 
 // event is a change, and the groups to which its object belongs before and after it.
 type event struct {
@@ -23,12 +23,12 @@
 // parts says which objects of a kind each entry host holds, so that what a host is told does
 // not grow with the number of objects.
 type parts struct {
-	groupOf GroupOf // nil: all hosts hold all objects
+	groupOf GroupFunc // nil: all hosts hold all objects
 	index   *subset.Index
 	groups  map[string]subset.Group // by object; none of those that belong to no group
 }
 
-func newParts(groupOf GroupOf) *parts {
+func newParts(groupOf GroupFunc) *parts {
 	return &parts{groupOf: groupOf, index: subset.NewIndex(subset.DefaultSizes()), groups: map[string]subset.Group{}}
 }
 
--- a/daemon/relay/part_test.go
+++ b/daemon/relay/part_test.go
@@ -85,7 +85,7 @@
 func partedRelays(t *testing.T, p *platform, names ...string) *peers {
 	r := &peers{order: names, servers: map[string]*Server{}}
 	for _, name := range names {
-		r.servers[name] = NewServer(t.Context(), read(p), log.New(io.Discard), Kind{Name: kind, Wait: waitTime, Pace: 150 * time.Millisecond, GroupOf: groupOf})
+		r.servers[name] = NewServer(t.Context(), read(p), log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime, MinWatchInterval: 150 * time.Millisecond, GroupOf: groupOf})
 	}
 	return r
 }
@@ -115,7 +115,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := fleetPlatform(6, targets)
 			relays := partedRelays(t, p, "a")
-			got := follow(t, NewSource("h", p, relays, log.New(io.Discard)).Holding("h", "dc0", groupOf))
+			got := follow(t, NewSource("h", p, relays, log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 			settle(time.Second)
 			require.Equal(t, wanted(p, "h"), got.items)
 			require.LessOrEqual(t, len(got.items), 400)
@@ -139,7 +139,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(6, 300)
 		relays := partedRelays(t, p, "a", "b", "c")
-		got := follow(t, NewSource("h", p, relays, log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		got := follow(t, NewSource("h", p, relays, log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		for i := range 3 {
 			relays.lose([]string{"a", "b", "c"}[i])
@@ -159,7 +159,7 @@
 func TestAGrowingFleetCostsNoLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(6, 20)
-		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		for i := range 900 {
 			for c := range 6 {
@@ -179,7 +179,7 @@
 func TestPartsFollowTheNumberOfTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(6, 300)
-		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		for i := range 210 {
 			for c := range 6 {
@@ -203,7 +203,7 @@
 func TestAHostHoldsItsPartOfThePlatformsList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(6, 300)
-		got := follow(t, NewSource("h", p, &peers{}, log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		got := follow(t, NewSource("h", p, &peers{}, log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		require.Equal(t, wanted(p, "h"), got.items)
 		for i := range 40 {
@@ -219,7 +219,7 @@
 func TestAnObjectThatNamesNothingIsToldToItsHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(1, 20)
-		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		got := follow(t, NewSource("h", p, partedRelays(t, p, "a"), log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		p.set("t-0-3", "unreadable")
 		p.set("foreign", "unreadable")
@@ -249,11 +249,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := fleetPlatform(6, 300)
 		f := &forgetful{platform: p}
-		first := &peers{order: []string{"a"}, servers: map[string]*Server{"a": NewServer(t.Context(), read(f), log.New(io.Discard), Kind{Name: kind, Wait: waitTime, GroupOf: groupOf})}}
+		first := &peers{order: []string{"a"}, servers: map[string]*Server{"a": NewServer(t.Context(), read(f), log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime, GroupOf: groupOf})}}
 		second := &peers{order: []string{"b"}, servers: map[string]*Server{"b": NewServer(t.Context(), func() objects.Reader {
 			return NewSource("b", p, first, log.New(io.Discard))
-		}, log.New(io.Discard), Kind{Name: kind, Wait: waitTime, GroupOf: groupOf})}}
-		got := follow(t, NewSource("h", p, second, log.New(io.Discard)).Holding("h", "dc0", groupOf))
+		}, log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime, GroupOf: groupOf})}}
+		got := follow(t, NewSource("h", p, second, log.New(io.Discard)).WithSubset("h", "dc0", groupOf))
 		settle(time.Second)
 		before, _ := p.state()
 		f.gone.Store(true)
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -80,17 +80,17 @@
 			mirrors := make([]*mirror, 40)
 			for i := range mirrors {
 				mirrors[i] = &mirror{}
-				source := NewSource(string(rune('a'+i)), p, peers, logger).Patient(StartPatience)
+				source := NewSource(string(rune('a'+i)), p, peers, logger).WithStartTimeout(StartTimeout)
 				go objects.Follow(ctx, source, kind, waitTime, mirrors[i])
 			}
-			time.Sleep(min(known, StartPatience))
+			time.Sleep(min(known, StartTimeout))
 			peers.mu.Lock()
-			if known < StartPatience {
+			if known < StartTimeout {
 				peers.order = []string{"a", "b"}
-				peers.servers["a"], peers.servers["b"] = NewServer(ctx, read(p), logger, Kind{Name: kind, Wait: waitTime}), NewServer(ctx, read(p), logger, Kind{Name: kind, Wait: waitTime})
+				peers.servers["a"], peers.servers["b"] = NewServer(ctx, read(p), logger, Kind{Name: kind, WatchTimeout: waitTime}), NewServer(ctx, read(p), logger, Kind{Name: kind, WatchTimeout: waitTime})
 			}
 			peers.mu.Unlock()
-			time.Sleep(StartPatience)
+			time.Sleep(StartTimeout)
 			calls, _ := p.state()
 			require.LessOrEqual(t, calls, most)
 			for _, m := range mirrors {
@@ -147,7 +147,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		m := &mirror{}
-		go objects.Follow(ctx, NewSource("new", w.relayed, w.peers, log.New(io.Discard)).Patient(StartPatience), kind, waitTime, m)
+		go objects.Follow(ctx, NewSource("new", w.relayed, w.peers, log.New(io.Discard)).WithStartTimeout(StartTimeout), kind, waitTime, m)
 		time.Sleep(time.Second)
 		require.Equal(t, map[string]string{"one": "1"}, m.get())
 		w.relayed.fail(false, false)
@@ -182,8 +182,8 @@
 		p := newPlatform()
 		p.set("one", "1")
 		m := &mirror{}
-		go objects.Follow(ctx, NewSource("new", p, hanging{}, log.New(io.Discard)).Patient(StartPatience), kind, waitTime, m)
-		time.Sleep(StartPatience + askTimeout)
+		go objects.Follow(ctx, NewSource("new", p, hanging{}, log.New(io.Discard)).WithStartTimeout(StartTimeout), kind, waitTime, m)
+		time.Sleep(StartTimeout + askTimeout)
 		require.Equal(t, map[string]string{"one": "1"}, m.get())
 	})
 }
@@ -271,7 +271,7 @@
 }
 
 func TestOtherKindsAndRequestsAreRefused(t *testing.T) {
-	s := NewServer(t.Context(), read(newPlatform()), log.New(io.Discard), Kind{Name: kind, Wait: waitTime})
+	s := NewServer(t.Context(), read(newPlatform()), log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime})
 	for _, req := range []*historypb.Request{
 		{Call: &historypb.Request_ListObjects{ListObjects: &historypb.ListObjects{Kind: "other"}}},
 		{Call: &historypb.Request_WatchObjects{WatchObjects: &historypb.WatchObjects{Kind: "other"}}},
--- a/daemon/relay/server.go
+++ b/daemon/relay/server.go
@@ -19,15 +19,15 @@
 // Kind is a kind of objects to relay, and how long one watch of the platform for it
 // waits: each is a priced call, and one that hangs delays changes by that time.
 type Kind struct {
-	Name string
-	Wait time.Duration
-	// Renew makes each answer of the platform known at once, also one that tells no change:
+	Name         string
+	WatchTimeout time.Duration
+	// ForwardConfirmations makes each answer of the platform known at once, also one that tells no change:
 	// followers need to know how new their word is.
-	Renew bool
-	// Pace is the least time between two reads of changes.
-	Pace time.Duration
+	ForwardConfirmations bool
+	// MinWatchInterval is the least time between two reads of changes.
+	MinWatchInterval time.Duration
 	// GroupOf is set where entry hosts hold parts of the kind.
-	GroupOf GroupOf
+	GroupOf GroupFunc
 }
 
 // NewServer returns a server for some kinds of the store's objects. source makes the
@@ -83,7 +83,7 @@
 		return
 	}
 	wait := min(time.Duration(call.WaitMs)*time.Millisecond, maxWait)
-	if v.kind.Renew {
+	if v.kind.ForwardConfirmations {
 		wait += renewSlack
 	}
 	v.answer(v.changes(call, taken), wait, answer)
--- a/daemon/relay/source.go
+++ b/daemon/relay/source.go
@@ -19,14 +19,14 @@
 	// Relays returns the members to ask, the same at all hosts as long as they see the
 	// same members alive; a member that relays itself asks those before it.
 	Relays() []string
-	// Relaying reports whether this process is a relay itself.
-	Relaying() bool
-	// Gathering reports whether no relay is known only because the members that start together
+	// IsRelay reports whether this process is a relay itself.
+	IsRelay() bool
+	// AwaitsSlotAssignment reports whether no relay is known only because the members that start together
 	// have no slots yet.
-	Gathering() bool
-	// Ask sends a request whose answer may take wait. An error for which Refused holds is the
+	AwaitsSlotAssignment() bool
+	// Call sends a request whose answer may take wait. An error for which Refused holds is the
 	// member's answer; with any other one it did not answer.
-	Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error)
+	Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error)
 }
 
 const (
@@ -35,15 +35,15 @@
 	// (seconds). A watch made at the platform itself ends by then, so that the host goes
 	// back to a relay.
 	avoidFor = 3 * time.Second
-	// StartPatience is how long a host that has just started waits for the first relay to
+	// StartTimeout is how long a host that has just started waits for the first relay to
 	// answer: a process needs some 100 ms until it listens, and all start within 300 ms.
 	// relayPoll is how often it tries. Hosts that start together would else all ask the
 	// platform, before any relay is known.
-	StartPatience = 600 * time.Millisecond
-	relayPoll     = 40 * time.Millisecond
-	// MembersPatience is the same for what is asked of members only, which a slot map has to
+	StartTimeout = 600 * time.Millisecond
+	relayPoll    = 40 * time.Millisecond
+	// MembersStartTimeout is the same for what is asked of members only, which a slot map has to
 	// name first. It does not count while the members gather.
-	MembersPatience = 4 * time.Second
+	MembersStartTimeout = 4 * time.Second
 )
 
 // Source reads one kind of objects through a relay, or from the platform itself.
@@ -78,23 +78,23 @@
 	return &Source{direct: direct, peers: peers, place: place, logger: logger, failed: map[string]time.Time{}, pace: newPace(place), versions: newVersions()}
 }
 
-// Patient makes the source wait so long for the first relay to answer before it asks the
+// WithStartTimeout makes the source wait so long for the first relay to answer before it asks the
 // platform. The source by which relays become known must not wait, unless some are known
 // from the start.
-func (s *Source) Patient(d time.Duration) *Source {
+func (s *Source) WithStartTimeout(d time.Duration) *Source {
 	s.patience = d
 	return s
 }
 
-// Holding makes the source read only what a host of a data centre holds of the kind.
-func (s *Source) Holding(host, dataCentre string, groupOf GroupOf) *Source {
+// WithSubset makes the source read only what a host of a data centre holds of the kind.
+func (s *Source) WithSubset(host, dataCentre string, groupOf GroupFunc) *Source {
 	s.part, s.versions = newOwnPart(host, dataCentre, groupOf), nil
 	return s
 }
 
-// Steps are those of the part that the host holds, none where it holds all; for the goroutine
+// Halvings are those of the part that the host holds, none where it holds all; for the goroutine
 // that reads.
-func (s *Source) Steps() []subset.Halvings {
+func (s *Source) Halvings() []subset.Halvings {
 	if s.part == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 // List implements objects.Reader.
 func (s *Source) List(ctx context.Context, kind string) (objects.Snapshot, error) {
 	snapshot, err := s.listRelayed(ctx, &historypb.ListObjects{Kind: kind, Revision: s.seen})
-	if err != nil && s.pace.allows(err, s.seen == 0 || s.peers.Relaying()) {
+	if err != nil && s.pace.allows(err, s.seen == 0 || s.peers.IsRelay()) {
 		snapshot, err = s.direct.List(ctx, kind)
 		s.pace.asked(err)
 		snapshot = s.part.ofList(snapshot)
@@ -139,8 +139,8 @@
 	if err == nil {
 		changes = s.part.told(changes, steps)
 	}
-	if err != nil && !failure.Is(err, failure.HistoryGone) && s.pace.allows(err, s.peers.Relaying()) {
-		if !s.peers.Relaying() {
+	if err != nil && !failure.Is(err, failure.HistoryGone) && s.pace.allows(err, s.peers.IsRelay()) {
+		if !s.peers.IsRelay() {
 			wait = min(wait, avoidFor)
 		}
 		changes, err = s.direct.Watch(ctx, kind, revision, wait)
@@ -161,9 +161,9 @@
 	return e, err
 }
 
-// From is the relay that answered last, empty if none has since one failed. Safe for
+// CurrentRelay is the relay that answered last, empty if none has since one failed. Safe for
 // concurrent use.
-func (s *Source) From() string {
+func (s *Source) CurrentRelay() string {
 	if from := s.from.Load(); from != nil {
 		return *from
 	}
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -38,7 +38,7 @@
 	for _, name := range names {
 		above := before
 		source := func() objects.Reader { return NewSource(name, p, above, log.New(io.Discard)) }
-		all.servers[name] = NewServer(ctx, source, log.New(io.Discard), Kind{Name: kind, Wait: waitTime, GroupOf: groupOf})
+		all.servers[name] = NewServer(ctx, source, log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime, GroupOf: groupOf})
 		before = &peers{order: []string{name}, servers: all.servers}
 		all.order = []string{name}
 	}
@@ -58,7 +58,7 @@
 // startHost follows as a host does that has just started.
 func startHost(ctx context.Context, name string, p objects.Reader, relays Peers) *collected {
 	got := &collected{}
-	source := NewSource(name, p, relays, log.New(io.Discard)).Holding(name, "dc0", groupOf).Patient(MembersPatience)
+	source := NewSource(name, p, relays, log.New(io.Discard)).WithSubset(name, "dc0", groupOf).WithStartTimeout(MembersStartTimeout)
 	go objects.Follow(ctx, source, kind, waitTime, got)
 	return got
 }
@@ -98,7 +98,7 @@
 			for i := range hosts {
 				hosts[i] = startHost(ctx, fmt.Sprint("h", i), p, relays)
 			}
-			settle(3 * MembersPatience)
+			settle(3 * MembersStartTimeout)
 			calls, _ := p.state()
 			if !gathering {
 				require.GreaterOrEqual(t, calls, len(hosts))
--- a/daemon/relay/versions_test.go
+++ b/daemon/relay/versions_test.go
@@ -26,8 +26,8 @@
 	bytes atomic.Int64
 }
 
-func (w *weighed) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
-	reply, err := w.peers.Ask(ctx, member, req, wait)
+func (w *weighed) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+	reply, err := w.peers.Call(ctx, member, req, wait)
 	w.bytes.Add(int64(proto.Size(reply)))
 	return reply, err
 }
--- a/daemon/relay/view.go
+++ b/daemon/relay/view.go
@@ -85,16 +85,16 @@
 	ctx, stop := context.WithCancel(v.ctx)
 	v.stop, v.opening = stop, true
 	v.logger.Info("relay follows the platform", "kind", v.kind.Name)
-	if v.kind.Renew {
-		go objects.FollowFastRetry(ctx, v.source, v.kind.Name, v.kind.Wait, v)
+	if v.kind.ForwardConfirmations {
+		go objects.FollowFastRetry(ctx, v.source, v.kind.Name, v.kind.WatchTimeout, v)
 		return
 	}
-	go objects.FollowThrottled(ctx, v.source, v.kind.Name, v.kind.Wait, v.kind.Pace, v)
+	go objects.FollowThrottled(ctx, v.source, v.kind.Name, v.kind.WatchTimeout, v.kind.MinWatchInterval, v)
 }
 
 // sound reports whether the view may be told; the caller holds mu.
 func (v *view) sound() bool {
-	return !v.confirmed.IsZero() && time.Since(v.confirmed) <= v.kind.Wait+confirmSlack
+	return !v.confirmed.IsZero() && time.Since(v.confirmed) <= v.kind.WatchTimeout+confirmSlack
 }
 
 func (v *view) isSound() bool {
@@ -207,7 +207,7 @@
 	if len(c.Events) > 0 {
 		v.keep(c)
 	}
-	if len(c.Events) > 0 || v.kind.Renew {
+	if len(c.Events) > 0 || v.kind.ForwardConfirmations {
 		v.wake()
 	}
 	v.rest()
