--- /dev/null
+++ b/daemon/relay/directlimit.go
@@ -0,0 +1,60 @@
+package relay
+
+import (
+	"time"
+
+	"github.com/pistachioarch/pistachioarch/core/failure"
+)
+
+const (
+	// directRetryInterval separates a host's calls to the platform while relays answer that the
+	// platform does not answer them, and it does not answer the host either. The platform may
+	// serve the host and not the relays, but most often it is unavailable to all.
+	directRetryInterval = 3 * time.Second
+	// maxFirstDirectDelay bounds the delay before the first of these calls. The delay differs
+	// by host, so that short outages cost no such calls and long ones cause no burst.
+	maxFirstDirectDelay = 1500 * time.Millisecond
+)
+
+// directLimiter limits the rate of a host's direct calls to the platform.
+type directLimiter struct {
+	firstDelay time.Duration
+	nextAt     time.Time // zero while relays answer
+}
+
+func newDirectLimiter(hostHash uint32) directLimiter {
+	const delays = 256
+	return directLimiter{firstDelay: maxFirstDirectDelay * time.Duration(hostHash%delays) / delays}
+}
+
+// allows reports whether the host may call the platform after relays failed with err. It may
+// call at once if no relay answered, or if always is true.
+func (l *directLimiter) allows(err error, always bool) bool {
+	relayAnswered := failure.Is(err, failure.PlatformUnavailable) || failure.Is(err, failure.ListPending)
+	if always || !relayAnswered {
+		return true
+	}
+	if l.nextAt.IsZero() {
+		l.nextAt = time.Now().Add(l.firstDelay)
+	}
+	return !time.Now().Before(l.nextAt)
+}
+
+// recordResult records the result of a call to the platform.
+func (l *directLimiter) recordResult(err error) {
+	l.nextAt = time.Now()
+	if err != nil {
+		l.nextAt = l.nextAt.Add(directRetryInterval)
+	}
+}
+
+// limitWait limits the wait for a relay to the time until the next call to the platform.
+func (l *directLimiter) limitWait(wait time.Duration) time.Duration {
+	if l.nextAt.IsZero() {
+		return wait
+	}
+	return max(0, min(wait, time.Until(l.nextAt)))
+}
+
+// recordRelayAnswer records that a relay answered.
+func (l *directLimiter) recordRelayAnswer() { l.nextAt = time.Time{} }
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -19,65 +19,66 @@
 )
 
 const (
-	kind     = "things"
-	waitTime = 2 * time.Second
+	testKind     = "things"
+	watchTimeout = 2 * time.Second
 )
 
-// platform is a store of one kind whose watches can hang or fail.
-type platform struct {
+// fakePlatform is a store of one kind whose calls can fail and whose watches can hang.
+type fakePlatform struct {
 	mu       sync.Mutex
 	items    map[string]objects.Object
 	events   []objects.Event
 	revision uint64
 	down     bool
-	hang     bool
+	hangs    bool
 	changed  chan struct{}
 	calls    int
 }
 
-func newPlatform() *platform {
-	return &platform{items: map[string]objects.Object{}, revision: 10, changed: make(chan struct{})}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{items: map[string]objects.Object{}, revision: 10, changed: make(chan struct{})}
 }
 
-func (p *platform) set(name, spec string) {
+func (p *fakePlatform) set(name, spec string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	o := objects.Object{Name: name, Revision: p.revision, Spec: []byte(spec)}
 	p.items[name] = o
-	p.tell(objects.Event{Object: o})
+	p.publish(objects.Event{Object: o})
 }
 
-func (p *platform) remove(name string) {
+func (p *fakePlatform) remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	delete(p.items, name)
-	p.tell(objects.Event{Object: objects.Object{Name: name, Revision: p.revision}, Removed: true})
+	p.publish(objects.Event{Object: objects.Object{Name: name, Revision: p.revision}, Removed: true})
 }
 
 // state returns the number of calls so far and the revision.
-func (p *platform) state() (calls int, revision uint64) {
+func (p *fakePlatform) state() (calls int, revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.revision
 }
 
-func (p *platform) tell(e objects.Event) {
+func (p *fakePlatform) publish(e objects.Event) {
 	p.events = append(p.events, e)
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *platform) fail(down, hang bool) {
+// setFailure sets whether all calls fail and whether watches hang.
+func (p *fakePlatform) setFailure(down, hangs bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.down, p.hang = down, hang
+	p.down, p.hangs = down, hangs
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *platform) List(context.Context, string) (objects.Snapshot, error) {
+func (p *fakePlatform) List(context.Context, string) (objects.Snapshot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
@@ -91,7 +92,7 @@
 	return s, nil
 }
 
-func (p *platform) Watch(ctx context.Context, _ string, revision uint64, wait time.Duration) (objects.Changes, error) {
+func (p *fakePlatform) Watch(ctx context.Context, _ string, revision uint64, wait time.Duration) (objects.Changes, error) {
 	p.mu.Lock()
 	p.calls++
 	p.mu.Unlock()
@@ -99,7 +100,7 @@
 	defer end.Stop()
 	for {
 		p.mu.Lock()
-		c, changed, down, hang := objects.Changes{Revision: p.revision}, p.changed, p.down, p.hang
+		c, changed, down, hangs := objects.Changes{Revision: p.revision}, p.changed, p.down, p.hangs
 		for _, e := range p.events {
 			if e.Object.Revision > revision {
 				c.Events = append(c.Events, e)
@@ -109,8 +110,8 @@
 		switch {
 		case down:
 			return objects.Changes{}, failure.New(failure.PlatformUnavailable, "down")
-		case hang:
-			// Nothing comes any more on this call; the client gives it up.
+		case hangs:
+			// This call gets no reply; the client gives it up.
 			time.Sleep(wait + 300*time.Millisecond)
 			return objects.Changes{}, failure.New(failure.PlatformUnavailable, "no answer")
 		case len(c.Events) > 0:
@@ -126,104 +127,104 @@
 	}
 }
 
-// link is the way of the relays to the platform; it can be cut.
-type link struct {
-	*platform
-	cut atomic.Bool
+// relayLink is the connection of relays to the platform; it can be partitioned.
+type relayLink struct {
+	*fakePlatform
+	partitioned atomic.Bool
 }
 
-func (l *link) List(ctx context.Context, kind string) (objects.Snapshot, error) {
-	if l.cut.Load() {
-		return objects.Snapshot{}, failure.New(failure.PlatformUnavailable, "cut")
+func (l *relayLink) List(ctx context.Context, kind string) (objects.Snapshot, error) {
+	if l.partitioned.Load() {
+		return objects.Snapshot{}, failure.New(failure.PlatformUnavailable, "partitioned")
 	}
-	return l.platform.List(ctx, kind)
+	return l.fakePlatform.List(ctx, kind)
 }
 
-func (l *link) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
-	if l.cut.Load() {
-		return objects.Changes{}, failure.New(failure.PlatformUnavailable, "cut")
+func (l *relayLink) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
+	if l.partitioned.Load() {
+		return objects.Changes{}, failure.New(failure.PlatformUnavailable, "partitioned")
 	}
-	c, err := l.platform.Watch(ctx, kind, revision, wait)
-	if l.cut.Load() {
-		return objects.Changes{}, failure.New(failure.PlatformUnavailable, "cut")
+	c, err := l.fakePlatform.Watch(ctx, kind, revision, wait)
+	if l.partitioned.Load() {
+		return objects.Changes{}, failure.New(failure.PlatformUnavailable, "partitioned")
 	}
 	return c, err
 }
 
-// read makes all views read from one reader.
-func read(r objects.Reader) func() objects.Reader { return func() objects.Reader { return r } }
+// sharedReader makes all views read from one reader.
+func sharedReader(r objects.Reader) func() objects.Reader { return func() objects.Reader { return r } }
 
-// peers reaches servers by member id without a network.
-type peers struct {
+// fakePeers reaches servers by member id without a network.
+type fakePeers struct {
 	mu      sync.Mutex
-	order   []string
+	relays  []string
 	servers map[string]*Server
-	// gathering peers will name relays later.
-	gathering bool
+	// awaitingAssignment is the result of AwaitsSlotAssignment.
+	awaitingAssignment bool
 }
 
-func (p *peers) Relays() []string {
+func (p *fakePeers) Relays() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.order...)
+	return append([]string(nil), p.relays...)
 }
 
-func (p *peers) IsRelay() bool { return false }
+func (p *fakePeers) IsRelay() bool { return false }
 
-func (p *peers) AwaitsSlotAssignment() bool {
+func (p *fakePeers) AwaitsSlotAssignment() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.gathering
+	return p.awaitingAssignment
 }
 
-func (p *peers) Call(ctx context.Context, member string, req *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
+func (p *fakePeers) Call(ctx context.Context, member string, req *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
 	p.mu.Lock()
 	server := p.servers[member]
 	p.mu.Unlock()
 	if server == nil {
 		return nil, failure.New(failure.PeerUnavailable, "%s is gone", member)
 	}
-	answer := make(chan *historypb.Reply, 1)
-	server.Handle(req, func(r *historypb.Reply) { answer <- r })
+	replies := make(chan *historypb.Reply, 1)
+	server.Handle(req, func(r *historypb.Reply) { replies <- r })
 	select {
-	case r := <-answer:
-		return r, refused(r.Status, member)
+	case r := <-replies:
+		return r, statusError(r.Status, member)
 	case <-ctx.Done():
 		return nil, failure.Wrap(ctx.Err(), failure.PeerUnavailable, "ask")
 	}
 }
 
-// hanging are relays that never answer.
-type hanging struct{}
+// hangingPeers are relays that never answer.
+type hangingPeers struct{}
 
-func (hanging) Relays() []string { return []string{"a", "b", "c"} }
+func (hangingPeers) Relays() []string { return []string{"a", "b", "c"} }
 
-func (hanging) IsRelay() bool { return false }
+func (hangingPeers) IsRelay() bool { return false }
 
-func (hanging) AwaitsSlotAssignment() bool { return false }
+func (hangingPeers) AwaitsSlotAssignment() bool { return false }
 
-func (hanging) Call(ctx context.Context, member string, _ *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
+func (hangingPeers) Call(ctx context.Context, member string, _ *historypb.Request, _ time.Duration) (*historypb.Reply, error) {
 	<-ctx.Done()
 	return nil, failure.New(failure.PeerUnavailable, "%s does not answer", member)
 }
 
-// member is how the relay id reaches the relays before it.
-type member struct {
-	*peers
+// relayPeers gives the relay id the relays before it.
+type relayPeers struct {
+	*fakePeers
 	id string
 }
 
-func (m member) Relays() []string {
-	relays := m.peers.Relays()
-	if i := slices.Index(relays, m.id); i >= 0 {
+func (p relayPeers) Relays() []string {
+	relays := p.fakePeers.Relays()
+	if i := slices.Index(relays, p.id); i >= 0 {
 		return relays[:i]
 	}
 	return relays
 }
 
-func (m member) IsRelay() bool { return slices.Contains(m.peers.Relays(), m.id) }
+func (p relayPeers) IsRelay() bool { return slices.Contains(p.fakePeers.Relays(), p.id) }
 
-// mirror keeps what a Follow tells it.
+// mirror is a listener that keeps the current objects.
 type mirror struct {
 	mu    sync.Mutex
 	items map[string]string
@@ -252,7 +253,7 @@
 
 func (m *mirror) Lost(error) {}
 
-func (m *mirror) get() map[string]string {
+func (m *mirror) contents() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	copied := map[string]string{}
@@ -262,40 +263,42 @@
 	return copied
 }
 
-// world is a platform, two relays and some entry hosts that follow through them.
-type world struct {
-	relayed *platform
-	link    *link // of the relays to it
-	peers   *peers
-	mirrors []*mirror
+// testSystem is a platform, two relays and some entry hosts that follow the platform through them.
+type testSystem struct {
+	platform *fakePlatform
+	link     *relayLink // from the relays to the platform
+	peers    *fakePeers
+	mirrors  []*mirror
 }
 
-func play(t *testing.T, hosts int, test func(w *world)) {
+// runSystem runs a test in virtual time against a testSystem with the given number of entry hosts.
+func runSystem(t *testing.T, hosts int, test func(sys *testSystem)) {
 	synctest.Test(t, func(t *testing.T) {
 		logger := log.New(io.Discard)
 		ctx, stop := context.WithCancel(context.Background())
-		p := newPlatform()
-		w := &world{relayed: p, link: &link{platform: p}, peers: &peers{order: []string{"a", "b"}, servers: map[string]*Server{}}}
-		for _, id := range w.peers.order {
-			source := func() objects.Reader { return NewSource(id, w.link, member{w.peers, id}, logger) }
-			w.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: kind, WatchTimeout: waitTime})
+		p := newFakePlatform()
+		sys := &testSystem{platform: p, link: &relayLink{fakePlatform: p}, peers: &fakePeers{relays: []string{"a", "b"}, servers: map[string]*Server{}}}
+		for _, id := range sys.peers.relays {
+			source := func() objects.Reader { return NewSource(id, sys.link, relayPeers{sys.peers, id}, logger) }
+			sys.peers.servers[id] = NewServer(ctx, source, logger, Kind{Name: testKind, WatchTimeout: watchTimeout})
 		}
 		p.set("one", "1")
 		for i := range hosts {
 			m := &mirror{}
-			w.mirrors = append(w.mirrors, m)
-			go objects.Follow(ctx, NewSource(string(rune('a'+i)), p, w.peers, logger), kind, waitTime, m)
+			sys.mirrors = append(sys.mirrors, m)
+			go objects.Follow(ctx, NewSource(string(rune('a'+i)), p, sys.peers, logger), testKind, watchTimeout, m)
 		}
-		time.Sleep(2 * avoidFor) // everybody follows through a relay now
-		test(w)
+		time.Sleep(2 * relayRetryDelay) // all hosts follow through a relay now
+		test(sys)
 		stop()
 		time.Sleep(time.Minute)
 	})
 }
 
-func (w *world) eventually(t *testing.T, within time.Duration, want map[string]string) {
+// requireItems waits for within and then requires that all hosts hold the items.
+func (sys *testSystem) requireItems(t *testing.T, within time.Duration, want map[string]string) {
 	time.Sleep(within)
-	for i, m := range w.mirrors {
-		require.Equal(t, want, m.get(), "host %d", i)
+	for i, m := range sys.mirrors {
+		require.Equal(t, want, m.contents(), "host %d", i)
 	}
 }
--- a/daemon/relay/message.go
+++ b/daemon/relay/message.go
@@ -13,65 +13,66 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// asker sends one request to whoever relays, and returns a reply whose status is OK.
-type asker func(ctx context.Context, req *historypb.Request, wait time.Duration) (*historypb.Reply, error)
+// requestFunc sends one request to a relay, whichever it selects, and returns a reply whose
+// status is OK. wait is how long the relay may delay the reply.
+type requestFunc func(ctx context.Context, req *historypb.Request, wait time.Duration) (*historypb.Reply, error)
 
-// listBy reads a list through an asker.
-func listBy(ctx context.Context, ask asker, list *historypb.ListObjects) (objects.Snapshot, error) {
-	snapshot, _, err := listPart(ctx, ask, list)
+// listVia reads a list through request.
+func listVia(ctx context.Context, request requestFunc, list *historypb.ListObjects) (objects.Snapshot, error) {
+	snapshot, _, err := listSubsetVia(ctx, request, list)
 	return snapshot, err
 }
 
-// listPart is listBy that also returns the steps of the holder's part. It begins again where
-// these change from one page to the next.
-func listPart(ctx context.Context, ask asker, list *historypb.ListObjects) (objects.Snapshot, []*historypb.Step, error) {
-	var all objects.Snapshot
-	var steps []*historypb.Step
+// listSubsetVia is listVia that also returns the halvings of the holder's subset. It begins again
+// if these change from one page to the next.
+func listSubsetVia(ctx context.Context, request requestFunc, list *historypb.ListObjects) (objects.Snapshot, []*historypb.Step, error) {
+	var snapshot objects.Snapshot
+	var halvings []*historypb.Step
 	page := proto.CloneOf(list)
 	for {
-		asked := time.Now()
-		reply, err := ask(ctx, &historypb.Request{Call: &historypb.Request_ListObjects{ListObjects: page}}, 0)
+		sentAt := time.Now()
+		reply, err := request(ctx, &historypb.Request{Call: &historypb.Request_ListObjects{ListObjects: page}}, 0)
 		if err != nil {
 			return objects.Snapshot{}, nil, err
 		}
 		switch {
 		case page.After == "":
-			all = objects.Snapshot{Revision: reply.Revision, AsOf: asOf(reply, asked)}
-			steps = reply.Steps
-		case !slices.Equal(stepsOf(steps), stepsOf(reply.Steps)):
+			snapshot = objects.Snapshot{Revision: reply.Revision, AsOf: replyAsOf(reply, sentAt)}
+			halvings = reply.Steps
+		case !slices.Equal(decodeHalvings(halvings), decodeHalvings(reply.Steps)):
 			page = proto.CloneOf(list)
 			continue
 		}
 		for _, o := range reply.Objects {
-			all.Items = append(all.Items, decode(o).Object)
+			snapshot.Items = append(snapshot.Items, decode(o).Object)
 		}
 		if !reply.More || len(reply.Objects) == 0 {
-			return all, steps, nil
+			return snapshot, halvings, nil
 		}
-		page = proto.CloneOf(page) // the one before may still be on its way out
-		page.After, page.Revision = all.Items[len(all.Items)-1].Name, all.Revision
+		page = proto.CloneOf(page) // the previous request may still be in transmission
+		page.After, page.Revision = snapshot.Items[len(snapshot.Items)-1].Name, snapshot.Revision
 	}
 }
 
-// watchBy waits for changes through an asker.
-func watchBy(ctx context.Context, ask asker, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
-	whole := func(o *historypb.Object) (objects.Event, error) { return decode(o), nil }
-	changes, _, err := watchPart(ctx, ask, &historypb.WatchObjects{Kind: kind, Revision: revision}, wait, whole)
+// watchVia waits for changes through request.
+func watchVia(ctx context.Context, request requestFunc, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
+	decodeFull := func(o *historypb.Object) (objects.Event, error) { return decode(o), nil }
+	changes, _, err := watchSubsetVia(ctx, request, &historypb.WatchObjects{Kind: kind, Revision: revision}, wait, decodeFull)
 	return changes, err
 }
 
-// watchPart is watchBy for any call, which also returns the steps of the holder's part. Objects
-// are decoded by restore.
-func watchPart(ctx context.Context, ask asker, watch *historypb.WatchObjects, wait time.Duration, restore func(*historypb.Object) (objects.Event, error)) (objects.Changes, []*historypb.Step, error) {
+// watchSubsetVia is watchVia for any call. It also returns the halvings of the holder's subset.
+// decodeChange decodes the objects of the reply.
+func watchSubsetVia(ctx context.Context, request requestFunc, watch *historypb.WatchObjects, wait time.Duration, decodeChange func(*historypb.Object) (objects.Event, error)) (objects.Changes, []*historypb.Step, error) {
 	watch.WaitMs = uint32(wait.Milliseconds())
-	asked := time.Now()
-	reply, err := ask(ctx, &historypb.Request{Call: &historypb.Request_WatchObjects{WatchObjects: watch}}, wait)
+	sentAt := time.Now()
+	reply, err := request(ctx, &historypb.Request{Call: &historypb.Request_WatchObjects{WatchObjects: watch}}, wait)
 	if err != nil {
 		return objects.Changes{}, nil, err
 	}
-	changes := objects.Changes{Revision: max(watch.Revision, reply.Revision), AsOf: asOf(reply, asked)}
+	changes := objects.Changes{Revision: max(watch.Revision, reply.Revision), AsOf: replyAsOf(reply, sentAt)}
 	for _, o := range reply.Objects {
-		e, err := restore(o)
+		e, err := decodeChange(o)
 		if err != nil {
 			return objects.Changes{}, nil, err
 		}
@@ -80,59 +81,63 @@
 	return changes, reply.Steps, nil
 }
 
-// date notes in a reply when its state was surely the newest, for a request taken at taken.
-func date(reply *historypb.Reply, state, taken time.Time) {
+// setAsOf sets in a reply the time as of which its state was certainly the newest, relative to
+// the receipt of the request at receivedAt.
+func setAsOf(reply *historypb.Reply, state, receivedAt time.Time) {
 	if !state.IsZero() {
-		reply.AsOfUs = proto.Int64(state.Sub(taken).Microseconds() - 1)
+		reply.AsOfUs = proto.Int64(state.Sub(receivedAt).Microseconds() - 1)
 	}
 }
 
-// asOf is the instant that date noted, as the sender of a request may count it: the
-// request was taken after it was asked, so the sender's instant is never later.
+// replyAsOf returns the time that setAsOf set, on the clock of the sender, which sent the request
+// at sentAt. The request was received after it was sent, so the result is never later than the
+// actual time. It returns the zero time if the reply carries none.
 //
-// asked is before any relay that failed was asked first.
-func asOf(reply *historypb.Reply, asked time.Time) time.Time {
+// sentAt is before the first call to any relay that failed.
+func replyAsOf(reply *historypb.Reply, sentAt time.Time) time.Time {
 	if reply.AsOfUs == nil {
 		return time.Time{}
 	}
-	return asked.Add(time.Duration(reply.GetAsOfUs()) * time.Microsecond)
+	return sentAt.Add(time.Duration(reply.GetAsOfUs()) * time.Microsecond)
 }
 
 // Call sends a request about the platform's objects to the member that client reaches; it
-// is the common part of Peers.Call.
+// is the common part of implementations of Peers.Call. Errors are failures of kind HistoryGone,
+// ListPending, PlatformUnavailable or PeerUnavailable for a reply whose status is not OK, and
+// those of client.CallWaiting otherwise.
 func Call(ctx context.Context, client *rpc.Client, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
-	own := proto.CloneOf(req) // one that was sent before may still be on its way out
-	own.Member = member
-	reply, err := client.CallWaiting(ctx, own, wait)
+	clone := proto.CloneOf(req) // a previous one may still be in transmission
+	clone.Member = member
+	reply, err := client.CallWaiting(ctx, clone, wait)
 	if err != nil {
 		return nil, err
 	}
-	return reply, refused(reply.Status, member)
+	return reply, statusError(reply.Status, member)
 }
 
-// refused is the failure that a status means, nil for OK.
-func refused(status historypb.Status, member string) error {
+// statusError returns the failure for a reply's status, nil for OK.
+func statusError(status historypb.Status, member string) error {
 	switch status {
 	case historypb.Status_STATUS_OK:
 		return nil
 	case historypb.Status_STATUS_HISTORY_GONE:
 		return failure.New(failure.HistoryGone, "member %s", member)
 	case historypb.Status_STATUS_LIST_PENDING:
-		return failure.New(failure.ListPending, "member %s: its list is on its way", member)
+		return failure.New(failure.ListPending, "member %s: first list not loaded yet", member)
 	case historypb.Status_STATUS_UNAVAILABLE:
-		return failure.New(failure.PlatformUnavailable, "member %s: the platform does not answer it", member)
+		return failure.New(failure.PlatformUnavailable, "member %s: no current view of the platform", member)
 	default:
 		return failure.New(failure.PeerUnavailable, "member %s: %s", member, status)
 	}
 }
 
-// IsRefusal reports whether err is a member's answer that it cannot tell what it was asked for, and
-// not a sign that it is gone.
+// IsRefusal reports whether err is a member's answer that it cannot serve the request, and not a
+// sign that the member is gone.
 func IsRefusal(err error) bool {
 	return failure.Is(err, failure.PlatformUnavailable) || failure.Is(err, failure.HistoryGone) || failure.Is(err, failure.ListPending)
 }
 
-func refusal(status historypb.Status) *historypb.Reply { return &historypb.Reply{Status: status} }
+func refusalReply(status historypb.Status) *historypb.Reply { return &historypb.Reply{Status: status} }
 
 func encode(e objects.Event) *historypb.Object {
 	return &historypb.Object{Name: e.Object.Name, Revision: e.Object.Revision, Spec: e.Object.Spec, Removed: e.Removed}
--- a/daemon/relay/server.go
+++ b/daemon/relay/server.go
@@ -10,28 +10,29 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// Server answers entry hosts from what it follows of the platform. Safe for
+// Server answers entry hosts and other relays from its views of the platform's objects. Safe for
 // concurrent use.
 type Server struct {
 	views map[string]*view // by kind
 }
 
-// Kind is a kind of objects to relay, and how long one watch of the platform for it
-// waits: each is a priced call, and one that hangs delays changes by that time.
+// Kind configures how a kind of objects is relayed.
 type Kind struct {
-	Name         string
+	Name string
+	// WatchTimeout is how long one watch of the platform waits for changes. Each watch is a
+	// priced call, and one that hangs delays changes by this time.
 	WatchTimeout time.Duration
-	// ForwardConfirmations makes each answer of the platform known at once, also one that tells no change:
-	// followers need to know how new their word is.
+	// ForwardConfirmations forwards each answer of the platform at once, even one without
+	// changes, for followers that need to know as of when their state is current.
 	ForwardConfirmations bool
-	// MinWatchInterval is the least time between two reads of changes.
+	// MinWatchInterval is the minimum time between two reads of changes.
 	MinWatchInterval time.Duration
-	// GroupOf is set where entry hosts hold parts of the kind.
+	// GroupOf is set if entry hosts hold subsets of the kind.
 	GroupOf GroupFunc
 }
 
-// NewServer returns a server for some kinds of the store's objects. source makes the
-// reader by which it follows one kind. Nothing is followed after the context ends.
+// NewServer returns a server for the given kinds of objects. It calls source once per kind for the
+// reader by which it follows the kind. It follows nothing after ctx ends.
 func NewServer(ctx context.Context, source func() objects.Reader, logger *log.Logger, kinds ...Kind) *Server {
 	s := &Server{views: make(map[string]*view, len(kinds))}
 	for _, kind := range kinds {
@@ -40,51 +41,53 @@
 	return s
 }
 
-// Handle answers ListObjects and WatchObjects; it is an rpc.Handler.
-func (s *Server) Handle(req *historypb.Request, answer func(*historypb.Reply)) {
-	taken := time.Now()
+// Handle answers ListObjects and WatchObjects; it is an rpc.Handler. Other requests, and those for
+// kinds that are not relayed, get STATUS_UNAVAILABLE.
+func (s *Server) Handle(req *historypb.Request, respond func(*historypb.Reply)) {
+	receivedAt := time.Now()
 	switch call := req.Call.(type) {
 	case *historypb.Request_ListObjects:
-		s.list(call.ListObjects, taken, answer)
+		s.list(call.ListObjects, receivedAt, respond)
 	case *historypb.Request_WatchObjects:
-		s.watch(call.WatchObjects, taken, answer)
+		s.watch(call.WatchObjects, receivedAt, respond)
 	default:
-		answer(refusal(historypb.Status_STATUS_UNAVAILABLE))
+		respond(refusalReply(historypb.Status_STATUS_UNAVAILABLE))
 	}
 }
 
-func (s *Server) list(call *historypb.ListObjects, taken time.Time, answer func(*historypb.Reply)) {
+func (s *Server) list(call *historypb.ListObjects, receivedAt time.Time, respond func(*historypb.Reply)) {
 	v := s.views[call.Kind]
 	if v == nil {
-		answer(refusal(historypb.Status_STATUS_UNAVAILABLE))
+		respond(refusalReply(historypb.Status_STATUS_UNAVAILABLE))
 		return
 	}
-	v.answer(func(last bool) (*historypb.Reply, <-chan struct{}) {
-		return v.list(call, taken, last)
-	}, openWait, answer)
+	v.serve(func(last bool) (*historypb.Reply, <-chan struct{}) {
+		return v.list(call, receivedAt, last)
+	}, maxListWait, respond)
 }
 
 const (
-	// openWait bounds the wait for a view that was not followed before: some answers
-	// of the platform (4 ms), and half of what a sender takes for silence.
-	openWait = 150 * time.Millisecond
-	// maxWait bounds the wait that a sender may ask for.
-	maxWait = 30 * time.Second
-	// renewSlack lets a sender that waits for as long as this member's own watches hear of the
-	// next renewal, which comes an answer of the platform later, in place of the last one:
-	// with watches of 0.3 s a word is 0.6 s old at most, not 1.5 (three relays in a row).
-	renewSlack = 100 * time.Millisecond
+	// maxListWait bounds the wait for a view that was not followed before. It covers several
+	// answers of the platform (4 ms) and is half of the silence timeout of senders.
+	maxListWait = 150 * time.Millisecond
+	// maxWatchWait bounds the wait that a sender may request.
+	maxWatchWait = 30 * time.Second
+	// confirmationGrace extends the wait of a sender whose watch is as long as this member's
+	// own, so that it gets the next confirmation, which comes an answer of the platform later,
+	// instead of the last one. With watches of 0.3 s and three relays in a row, a host's state
+	// is at most 0.6 s old, not 1.5 s.
+	confirmationGrace = 100 * time.Millisecond
 )
 
-func (s *Server) watch(call *historypb.WatchObjects, taken time.Time, answer func(*historypb.Reply)) {
+func (s *Server) watch(call *historypb.WatchObjects, receivedAt time.Time, respond func(*historypb.Reply)) {
 	v := s.views[call.Kind]
 	if v == nil {
-		answer(refusal(historypb.Status_STATUS_UNAVAILABLE))
+		respond(refusalReply(historypb.Status_STATUS_UNAVAILABLE))
 		return
 	}
-	wait := min(time.Duration(call.WaitMs)*time.Millisecond, maxWait)
+	wait := min(time.Duration(call.WaitMs)*time.Millisecond, maxWatchWait)
 	if v.kind.ForwardConfirmations {
-		wait += renewSlack
+		wait += confirmationGrace
 	}
-	v.answer(v.changes(call, taken), wait, answer)
+	v.serve(v.changesQuery(call, receivedAt), wait, respond)
 }
--- a/daemon/relay/source.go
+++ b/daemon/relay/source.go
@@ -14,158 +14,161 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// Peers reaches the members that relay.
+// Peers reaches the relays.
 type Peers interface {
-	// Relays returns the members to ask, the same at all hosts as long as they see the
-	// same members alive; a member that relays itself asks those before it.
+	// Relays returns the ids of the members to call, in order. The result is the same at all
+	// hosts as long as they see the same members alive. For a member that is a relay itself,
+	// it contains only the relays before it.
 	Relays() []string
 	// IsRelay reports whether this process is a relay itself.
 	IsRelay() bool
-	// AwaitsSlotAssignment reports whether no relay is known only because the members that start together
-	// have no slots yet.
+	// AwaitsSlotAssignment reports whether no relay is known only because the members that
+	// start together have no slots yet.
 	AwaitsSlotAssignment() bool
-	// Call sends a request whose answer may take wait. An error for which Refused holds is the
-	// member's answer; with any other one it did not answer.
+	// Call sends a request whose reply may take wait. An error for which IsRefusal holds is the
+	// member's answer; with any other error the member did not answer.
 	Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error)
 }
 
 const (
-	// avoidFor is how long a relay that failed is not asked: long enough that calls fail
-	// over once and not at each watch, short against the outages that make relays fail
-	// (seconds). A watch made at the platform itself ends by then, so that the host goes
-	// back to a relay.
-	avoidFor = 3 * time.Second
+	// relayRetryDelay is how long a relay that failed is avoided: long enough that calls fail
+	// over once and not at each watch, short compared with the outages that make relays fail
+	// (seconds). A direct watch of the platform lasts no longer, so that the host returns to a
+	// relay.
+	relayRetryDelay = 3 * time.Second
 	// StartTimeout is how long a host that has just started waits for the first relay to
-	// answer: a process needs some 100 ms until it listens, and all start within 300 ms.
-	// relayPoll is how often it tries. Hosts that start together would else all ask the
-	// platform, before any relay is known.
+	// answer: a process needs some 100 ms until it listens, and all start within 300 ms. Hosts
+	// that start together would otherwise all call the platform before any relay is known.
 	StartTimeout = 600 * time.Millisecond
-	relayPoll    = 40 * time.Millisecond
-	// MembersStartTimeout is the same for what is asked of members only, which a slot map has to
-	// name first. It does not count while the members gather.
+	// startRetryInterval separates a host's attempts to reach a relay after its start.
+	startRetryInterval = 40 * time.Millisecond
+	// MembersStartTimeout is the StartTimeout of kinds that only members can serve, which first
+	// have to be known from a slot map. It does not bound the wait for the assignment of slots.
 	MembersStartTimeout = 4 * time.Second
 )
 
-// Source reads one kind of objects through a relay, or from the platform itself.
+// Source reads one kind of objects through a relay, or directly from the platform.
 // It is an objects.Reader for one goroutine.
 type Source struct {
-	direct objects.Reader
-	peers  Peers
-	logger *log.Logger
-	// place spreads hosts over relays.
-	place uint32
-	// patience is how long the first answer of a relay is waited for, zero once that is
-	// over; patientUntil is when.
-	patience     time.Duration
-	patientUntil time.Time
-	// seen is the newest revision returned.
-	seen uint64
-	// failed is when each relay that is avoided failed.
-	failed map[string]time.Time
-	// from is the relay in use, empty for the platform; others read it too.
-	from atomic.Pointer[string]
-	pace pace
-	// part is set where the host holds a part of the kind, versions where it holds all.
-	part     *ownPart
-	versions *versions
+	platform objects.Reader
+	peers    Peers
+	logger   *log.Logger
+	// hostHash spreads hosts over relays.
+	hostHash uint32
+	// startTimeout is how long to wait for the first answer of a relay, zero once this wait is
+	// over. startDeadline is the time at which it ends.
+	startTimeout  time.Duration
+	startDeadline time.Time
+	// lastRevision is the newest revision returned.
+	lastRevision uint64
+	// failedAt is the time of the last failure of each relay that has not answered since.
+	failedAt map[string]time.Time
+	// currentRelay is the relay in use, nil for the platform; other goroutines read it too.
+	currentRelay  atomic.Pointer[string]
+	directLimiter directLimiter
+	// subset is set if the host holds a subset of the kind, deltaBases if it holds all objects.
+	subset     *hostSubset
+	deltaBases *deltaBases
 }
 
-// NewSource returns the source of the host of that name.
-func NewSource(host string, direct objects.Reader, peers Peers, logger *log.Logger) *Source {
+// NewSource returns a source for the host with the given id, which reads from platform where no
+// relay can serve it.
+func NewSource(host string, platform objects.Reader, peers Peers, logger *log.Logger) *Source {
 	h := fnv.New32a()
 	h.Write([]byte(host))
-	place := h.Sum32()
-	return &Source{direct: direct, peers: peers, place: place, logger: logger, failed: map[string]time.Time{}, pace: newPace(place), versions: newVersions()}
+	hostHash := h.Sum32()
+	return &Source{platform: platform, peers: peers, hostHash: hostHash, logger: logger, failedAt: map[string]time.Time{}, directLimiter: newDirectLimiter(hostHash), deltaBases: newDeltaBases()}
 }
 
-// WithStartTimeout makes the source wait so long for the first relay to answer before it asks the
-// platform. The source by which relays become known must not wait, unless some are known
-// from the start.
-func (s *Source) WithStartTimeout(d time.Duration) *Source {
-	s.patience = d
+// WithStartTimeout makes the source wait up to timeout for the first relay to answer before it
+// calls the platform, and returns the source. The source through which relays become known must
+// not wait, unless some relays are known from the start.
+func (s *Source) WithStartTimeout(timeout time.Duration) *Source {
+	s.startTimeout = timeout
 	return s
 }
 
-// WithSubset makes the source read only what a host of a data centre holds of the kind.
+// WithSubset makes the source read only the subset of the kind that a host of a data centre holds,
+// and returns the source.
 func (s *Source) WithSubset(host, dataCentre string, groupOf GroupFunc) *Source {
-	s.part, s.versions = newOwnPart(host, dataCentre, groupOf), nil
+	s.subset, s.deltaBases = newHostSubset(host, dataCentre, groupOf), nil
 	return s
 }
 
-// Halvings are those of the part that the host holds, none where it holds all; for the goroutine
-// that reads.
+// Halvings returns the halvings of the subset that the host holds, nil if it holds all objects.
+// Only the goroutine that reads may call it.
 func (s *Source) Halvings() []subset.Halvings {
-	if s.part == nil {
+	if s.subset == nil {
 		return nil
 	}
-	return stepsOf(s.part.holder.Steps)
+	return decodeHalvings(s.subset.holder.Steps)
 }
 
 // List implements objects.Reader.
 func (s *Source) List(ctx context.Context, kind string) (objects.Snapshot, error) {
-	snapshot, err := s.listRelayed(ctx, &historypb.ListObjects{Kind: kind, Revision: s.seen})
-	if err != nil && s.pace.allows(err, s.seen == 0 || s.peers.IsRelay()) {
-		snapshot, err = s.direct.List(ctx, kind)
-		s.pace.asked(err)
-		snapshot = s.part.ofList(snapshot)
+	snapshot, err := s.listFromRelay(ctx, &historypb.ListObjects{Kind: kind, Revision: s.lastRevision})
+	if err != nil && s.directLimiter.allows(err, s.lastRevision == 0 || s.peers.IsRelay()) {
+		snapshot, err = s.platform.List(ctx, kind)
+		s.directLimiter.recordResult(err)
+		snapshot = s.subset.filterList(snapshot)
 	}
-	if err != nil && s.seen == 0 {
-		if old, oldErr := s.listRelayed(ctx, &historypb.ListObjects{Kind: kind, AnyAge: true}); oldErr == nil {
+	if err != nil && s.lastRevision == 0 {
+		if old, oldErr := s.listFromRelay(ctx, &historypb.ListObjects{Kind: kind, AnyAge: true}); oldErr == nil {
 			s.logger.Warn("platform does not answer, a relay's last list is used", "kind", kind, "revision", old.Revision, "error", err.Error())
 			snapshot, err = old, nil
 		}
 	}
 	if err == nil {
-		s.versions.replaced(snapshot)
+		s.deltaBases.replace(snapshot)
 	}
-	s.seen = max(s.seen, snapshot.Revision)
+	s.lastRevision = max(s.lastRevision, snapshot.Revision)
 	return snapshot, err
 }
 
-// listRelayed lists through a relay.
-func (s *Source) listRelayed(ctx context.Context, list *historypb.ListObjects) (objects.Snapshot, error) {
-	list.Holder = s.part.holderOf()
-	snapshot, steps, err := listPart(ctx, s.asker(list.Kind, s.seen == 0), list)
+// listFromRelay lists through a relay.
+func (s *Source) listFromRelay(ctx context.Context, list *historypb.ListObjects) (objects.Snapshot, error) {
+	list.Holder = s.subset.encodeHolder()
+	snapshot, halvings, err := listSubsetVia(ctx, s.requester(list.Kind, s.lastRevision == 0), list)
 	if err == nil {
-		s.part.listed(snapshot, steps)
+		s.subset.replaceFromRelay(snapshot, halvings)
 	}
 	return snapshot, err
 }
 
 // Watch implements objects.Reader.
 func (s *Source) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
-	call := &historypb.WatchObjects{Kind: kind, Revision: revision, Holder: s.part.holderOf(), Deltas: s.versions != nil}
-	changes, steps, err := watchPart(ctx, s.asker(kind, false), call, s.pace.bound(wait), s.restore)
+	call := &historypb.WatchObjects{Kind: kind, Revision: revision, Holder: s.subset.encodeHolder(), Deltas: s.deltaBases != nil}
+	changes, halvings, err := watchSubsetVia(ctx, s.requester(kind, false), call, s.directLimiter.limitWait(wait), s.decodeChange)
 	if err == nil {
-		changes = s.part.told(changes, steps)
+		changes = s.subset.applyRelayChanges(changes, halvings)
 	}
-	if err != nil && !failure.Is(err, failure.HistoryGone) && s.pace.allows(err, s.peers.IsRelay()) {
+	if err != nil && !failure.Is(err, failure.HistoryGone) && s.directLimiter.allows(err, s.peers.IsRelay()) {
 		if !s.peers.IsRelay() {
-			wait = min(wait, avoidFor)
+			wait = min(wait, relayRetryDelay)
 		}
-		changes, err = s.direct.Watch(ctx, kind, revision, wait)
-		s.pace.asked(err)
-		changes = s.part.ofChanges(changes)
-		s.versions.changed(changes)
+		changes, err = s.platform.Watch(ctx, kind, revision, wait)
+		s.directLimiter.recordResult(err)
+		changes = s.subset.filterChanges(changes)
+		s.deltaBases.recordChanges(changes)
 	}
-	s.seen = max(s.seen, changes.Revision)
+	s.lastRevision = max(s.lastRevision, changes.Revision)
 	return changes, err
 }
 
-// restore decodes a change; see versions.restore.
-func (s *Source) restore(o *historypb.Object) (objects.Event, error) {
-	e, err := s.versions.restore(o)
+// decodeChange decodes a change; see deltaBases.decodeChange.
+func (s *Source) decodeChange(o *historypb.Object) (objects.Event, error) {
+	e, err := s.deltaBases.decodeChange(o)
 	if err != nil {
 		s.logger.Warn("difference not taken, listing again", "name", o.Name, "revision", o.Revision, "base", o.Base, "error", err.Error())
 	}
 	return e, err
 }
 
-// CurrentRelay is the relay that answered last, empty if none has since one failed. Safe for
+// CurrentRelay returns the relay that answered last, empty if a relay has failed since. Safe for
 // concurrent use.
 func (s *Source) CurrentRelay() string {
-	if from := s.from.Load(); from != nil {
-		return *from
+	if member := s.currentRelay.Load(); member != nil {
+		return *member
 	}
 	return ""
 }
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -15,38 +15,39 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// pagedPlatform is a platform whose lists take long, as those of many pages do.
+// pagedPlatform is a platform whose lists take long, as lists of many pages do, or fail.
 type pagedPlatform struct {
-	*platform
-	takes time.Duration
-	fails bool
+	*fakePlatform
+	listDelay  time.Duration
+	failsLists bool
 }
 
 func (p pagedPlatform) List(ctx context.Context, kind string) (objects.Snapshot, error) {
-	time.Sleep(p.takes)
-	s, err := p.platform.List(ctx, kind)
-	if p.fails {
-		return objects.Snapshot{}, failure.New(failure.PlatformUnavailable, "a page is missing")
+	time.Sleep(p.listDelay)
+	s, err := p.fakePlatform.List(ctx, kind)
+	if p.failsLists {
+		return objects.Snapshot{}, failure.New(failure.PlatformUnavailable, "read of a page failed")
 	}
 	return s, err
 }
 
-// tree are relays each of which follows the one before it, the first of them the platform.
-func tree(ctx context.Context, p objects.Reader, names ...string) *peers {
-	all := &peers{servers: map[string]*Server{}}
-	before := &peers{servers: all.servers}
+// startRelayChain starts relays of which the first follows the platform and each other one the
+// relay before it. The returned peers reach all of them and name the last.
+func startRelayChain(ctx context.Context, p objects.Reader, names ...string) *fakePeers {
+	all := &fakePeers{servers: map[string]*Server{}}
+	previous := &fakePeers{servers: all.servers}
 	for _, name := range names {
-		above := before
-		source := func() objects.Reader { return NewSource(name, p, above, log.New(io.Discard)) }
-		all.servers[name] = NewServer(ctx, source, log.New(io.Discard), Kind{Name: kind, WatchTimeout: waitTime, GroupOf: groupOf})
-		before = &peers{order: []string{name}, servers: all.servers}
-		all.order = []string{name}
+		upstream := previous
+		source := func() objects.Reader { return NewSource(name, p, upstream, log.New(io.Discard)) }
+		all.servers[name] = NewServer(ctx, source, log.New(io.Discard), Kind{Name: testKind, WatchTimeout: watchTimeout, GroupOf: groupOf})
+		previous = &fakePeers{relays: []string{name}, servers: all.servers}
+		all.relays = []string{name}
 	}
 	return all
 }
 
-// starting plays hosts that start, and lets everything end.
-func starting(t *testing.T, test func(ctx context.Context)) {
+// runInBubble runs a test in virtual time, then stops its system and waits until it has ended.
+func runInBubble(t *testing.T, test func(ctx context.Context)) {
 	synctest.Test(t, func(*testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		test(ctx)
@@ -55,29 +56,29 @@
 	})
 }
 
-// startHost follows as a host does that has just started.
-func startHost(ctx context.Context, name string, p objects.Reader, relays Peers) *collected {
-	got := &collected{}
+// startHost follows with a start timeout, as a host that has just started.
+func startHost(ctx context.Context, name string, p objects.Reader, relays Peers) *recorder {
+	got := &recorder{}
 	source := NewSource(name, p, relays, log.New(io.Discard)).WithSubset(name, "dc0", groupOf).WithStartTimeout(MembersStartTimeout)
-	go objects.Follow(ctx, source, kind, waitTime, got)
+	go objects.Follow(ctx, source, testKind, watchTimeout, got)
 	return got
 }
 
-// Hosts and relays that start together wait for the first relay's list, however long that takes:
-// each would else read all of the platform's pages by itself.
-func TestAFleetThatStartsCostsOneList(t *testing.T) {
-	for _, takes := range []time.Duration{100 * time.Millisecond, time.Second, 6 * time.Second} {
-		starting(t, func(ctx context.Context) {
-			p := fleetPlatform(6, 30)
-			paged := pagedPlatform{platform: p, takes: takes}
-			relays := tree(ctx, paged, "a", "b", "c")
-			hosts := make([]*collected, 40)
+// Hosts and relays that start together must wait for the first relay's list, however long it takes:
+// otherwise each of them would read all of the platform's pages.
+func TestStartingFleetListsPlatformOnce(t *testing.T) {
+	for _, listDelay := range []time.Duration{100 * time.Millisecond, time.Second, 6 * time.Second} {
+		runInBubble(t, func(ctx context.Context) {
+			p := newFleetPlatform(6, 30)
+			paged := pagedPlatform{fakePlatform: p, listDelay: listDelay}
+			relays := startRelayChain(ctx, paged, "a", "b", "c")
+			hosts := make([]*recorder, 40)
 			for i := range hosts {
 				hosts[i] = startHost(ctx, fmt.Sprint("h", i), paged, relays)
 			}
-			settle(takes + time.Second)
+			settle(listDelay + time.Second)
 			for i, host := range hosts {
-				require.Equal(t, wanted(p, fmt.Sprint("h", i)), host.items, "host %d", i)
+				require.Equal(t, expectedSubset(p, fmt.Sprint("h", i)), host.items, "host %d", i)
 			}
 			calls, _ := p.state()
 			require.LessOrEqual(t, calls, 2, "a list, and the watch after it")
@@ -85,63 +86,63 @@
 	}
 }
 
-// However long members take to come together, hosts wait for them; they do not wait for members
-// of which nobody knows.
-func TestHostsWaitWhileMembersGather(t *testing.T) {
-	for _, gathering := range []bool{true, false} {
-		starting(t, func(ctx context.Context) {
-			p := fleetPlatform(6, 30)
-			relays := tree(ctx, p, "a")
-			order := relays.order
-			relays.order, relays.gathering = nil, gathering
-			hosts := make([]*collected, 40)
+// Hosts must wait without a bound while members await the assignment of slots. If no members are
+// known, they must call the platform after the start timeout.
+func TestHostsWaitForSlotAssignment(t *testing.T) {
+	for _, awaitingAssignment := range []bool{true, false} {
+		runInBubble(t, func(ctx context.Context) {
+			p := newFleetPlatform(6, 30)
+			relays := startRelayChain(ctx, p, "a")
+			ids := relays.relays
+			relays.relays, relays.awaitingAssignment = nil, awaitingAssignment
+			hosts := make([]*recorder, 40)
 			for i := range hosts {
 				hosts[i] = startHost(ctx, fmt.Sprint("h", i), p, relays)
 			}
 			settle(3 * MembersStartTimeout)
 			calls, _ := p.state()
-			if !gathering {
+			if !awaitingAssignment {
 				require.GreaterOrEqual(t, calls, len(hosts))
 				return
 			}
 			require.Zero(t, calls)
 			relays.mu.Lock()
-			relays.order, relays.gathering = order, false
+			relays.relays, relays.awaitingAssignment = ids, false
 			relays.mu.Unlock()
 			settle(time.Second)
 			for i, host := range hosts {
-				require.Equal(t, wanted(p, fmt.Sprint("h", i)), host.items, "host %d", i)
+				require.Equal(t, expectedSubset(p, fmt.Sprint("h", i)), host.items, "host %d", i)
 			}
 		})
 	}
 }
 
-// A relay whose list fails says so: hosts ask the platform themselves.
-func TestHostsDoNotWaitForAListThatFails(t *testing.T) {
-	starting(t, func(ctx context.Context) {
-		p := fleetPlatform(6, 30)
-		relays := tree(ctx, pagedPlatform{platform: p, takes: time.Second, fails: true}, "a", "b")
+// A relay whose first list fails must refuse requests, so that hosts call the platform themselves.
+func TestHostsDoNotWaitForFailedList(t *testing.T) {
+	runInBubble(t, func(ctx context.Context) {
+		p := newFleetPlatform(6, 30)
+		relays := startRelayChain(ctx, pagedPlatform{fakePlatform: p, listDelay: time.Second, failsLists: true}, "a", "b")
 		got := startHost(ctx, "h", p, relays)
 		settle(5 * time.Second)
-		require.Equal(t, wanted(p, "h"), got.items)
+		require.Equal(t, expectedSubset(p, "h"), got.items)
 	})
 }
 
-// A relay that starts anew while hosts follow it is no reason to wait: they have a list, and go on
-// by another relay or the platform.
-func TestHostsThatHaveAListDoNotWaitForARelayThatStarts(t *testing.T) {
-	starting(t, func(ctx context.Context) {
-		p := fleetPlatform(6, 30)
-		relays := tree(ctx, p, "a")
+// Hosts that have a list must not wait for a relay that restarts: they continue through another
+// relay or the platform.
+func TestHostsWithListDoNotWaitForRestartingRelay(t *testing.T) {
+	runInBubble(t, func(ctx context.Context) {
+		p := newFleetPlatform(6, 30)
+		relays := startRelayChain(ctx, p, "a")
 		got := startHost(ctx, "h", p, relays)
 		settle(time.Second)
-		slow := tree(ctx, pagedPlatform{platform: p, takes: time.Minute}, "a")
+		slow := startRelayChain(ctx, pagedPlatform{fakePlatform: p, listDelay: time.Minute}, "a")
 		relays.mu.Lock()
 		relays.servers = slow.servers
 		relays.mu.Unlock()
-		settle(waitTime)
+		settle(watchTimeout)
 		p.remove("t-0-3")
 		settle(time.Second)
-		require.Equal(t, wanted(p, "h"), got.items)
+		require.Equal(t, expectedSubset(p, "h"), got.items)
 	})
 }
--- a/daemon/relay/view.go
+++ b/daemon/relay/view.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// idleAfter is how long a kind is followed after the last entry host asked for it:
-	// longer than any watch that an entry host makes at the platform itself (20 s).
-	idleAfter = time.Minute
-	// confirmSlack is allowed on top of one watch for the platform to confirm the
-	// view: the time after which a watch that hangs is given up, and a new list.
-	confirmSlack = time.Second
-	// keptBatches bounds the changes kept for watches: an entry host that is further
-	// behind lists again. Changes come a few a second at most.
-	keptBatches = 256
-	// refuseFor is how long questions are refused after the source was lost: the way of
-	// the refusal and of one more question between data centres.
-	refuseFor = 100 * time.Millisecond
-	// regainWait bounds the wait for a source that is lost: a sender paces its questions
-	// to two a second or less (objects.Follow), so that one that may wait this long always
-	// has one waiting.
-	regainWait = 800 * time.Millisecond
+	// idleTimeout is how long a kind is followed after the last request for it: longer than any
+	// watch that an entry host makes directly at the platform (20 s).
+	idleTimeout = time.Minute
+	// watchGrace is the time beyond one watch in which the platform must confirm the view: the
+	// time after which a watch that hangs is given up, and a new list.
+	watchGrace = time.Second
+	// maxBatches bounds the changes kept for watches. A follower that is further behind lists
+	// again. There are at most a few changes a second.
+	maxBatches = 256
+	// refusalWindow is how long requests are refused after the source was lost: the transfer
+	// time of the refusal and of one more request between data centres.
+	refusalWindow = 100 * time.Millisecond
+	// maxRecoveryWait bounds the wait of a request for a lost source. A follower sends at most
+	// two requests a second (objects.Follow), so one that may wait this long always has a
+	// request waiting.
+	maxRecoveryWait = 800 * time.Millisecond
 )
 
-// batch is what one watch of the platform returned.
+// batch is the changes that one watch of the source returned.
 type batch struct {
-	// upTo is the platform's revision after the batch.
-	upTo   uint64
-	events []event
+	// revision is the platform's revision after the batch.
+	revision uint64
+	events   []event
 }
 
-// view is one kind of objects as its source last told it; an objects.Listener.
+// view is the state of one kind of objects as received from its source; an objects.Listener.
 type view struct {
 	ctx    context.Context
 	source objects.Reader
@@ -49,41 +49,43 @@
 
 	mu   sync.Mutex
 	stop context.CancelFunc // nil while the kind is not followed
-	// opening: the source has been asked for its first list and has neither given it nor failed.
-	opening bool
-	// asked is when an entry host last asked; waiting is how many wait for changes.
-	asked   time.Time
-	waiting int
-	// confirmed is when the source last answered; zero while it does not.
-	confirmed time.Time
-	// lost is when it last ceased to answer.
-	lost     time.Time
+	// loading is set from the first request for a list until the source has returned it or failed.
+	loading bool
+	// lastRequestAt is the time of the last request; waiters is the number of requests that
+	// wait for changes.
+	lastRequestAt time.Time
+	waiters       int
+	// confirmedAt is the time of the source's last answer; zero while the source is lost.
+	confirmedAt time.Time
+	// lostAt is the time at which the source was last lost.
+	lostAt   time.Time
 	items    *btree.Map[string, objects.Object] // by name; nil without a list
 	revision uint64
-	// parts says which objects each entry host holds.
-	parts *parts
-	// asOf is when the state here was surely the newest; see objects.Snapshot.
+	// subsets determines which objects each entry host holds.
+	subsets *subsetIndex
+	// asOf is the time as of which this state was certainly the newest; see objects.Snapshot.
 	asOf    time.Time
 	batches []batch
-	// oldest is the revision after which all changes are in batches.
-	oldest uint64
-	// changed is closed when there are changes, or none can be told any more.
+	// oldestRevision is the revision after which all changes are in batches.
+	oldestRevision uint64
+	// changed is closed and replaced when there are changes or a new list, and when the source is
+	// lost.
 	changed chan struct{}
 }
 
 func newView(ctx context.Context, source objects.Reader, kind Kind, logger *log.Logger) *view {
-	return &view{ctx: ctx, source: source, kind: kind, logger: logger, parts: newParts(kind.GroupOf), changed: make(chan struct{})}
+	return &view{ctx: ctx, source: source, kind: kind, logger: logger, subsets: newSubsetIndex(kind.GroupOf), changed: make(chan struct{})}
 }
 
-// ask notes that somebody wants the kind and starts to follow it; the caller
+// ensureFollowing records a request for the kind and starts to follow it if necessary; the caller
 // holds mu.
-func (v *view) ask() {
-	v.asked = time.Now()
+func (v *view) ensureFollowing() {
+	v.lastRequestAt = time.Now()
 	if v.stop != nil || v.ctx.Err() != nil {
 		return
 	}
 	ctx, stop := context.WithCancel(v.ctx)
-	v.stop, v.opening = stop, true
+	v.stop, v.loading = stop, true
 	v.logger.Info("relay follows the platform", "kind", v.kind.Name)
 	if v.kind.ForwardConfirmations {
 		go objects.FollowFastRetry(ctx, v.source, v.kind.Name, v.kind.WatchTimeout, v)
@@ -92,45 +94,47 @@
 	go objects.FollowThrottled(ctx, v.source, v.kind.Name, v.kind.WatchTimeout, v.kind.MinWatchInterval, v)
 }
 
-// sound reports whether the view may be told; the caller holds mu.
-func (v *view) sound() bool {
-	return !v.confirmed.IsZero() && time.Since(v.confirmed) <= v.kind.WatchTimeout+confirmSlack
+// isCurrentLocked reports whether the source has confirmed the view recently enough to serve it;
+// the caller holds mu.
+func (v *view) isCurrentLocked() bool {
+	return !v.confirmedAt.IsZero() && time.Since(v.confirmedAt) <= v.kind.WatchTimeout+watchGrace
 }
 
-func (v *view) isSound() bool {
+func (v *view) isCurrent() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.sound()
+	return v.isCurrentLocked()
 }
 
-// answer replies at once if there is something to say, otherwise within wait.
-func (v *view) answer(ask look, wait time.Duration, answer func(*historypb.Reply)) {
-	reply, changed := ask(wait <= 0)
+// serve replies at once if the query has a reply, otherwise within wait.
+func (v *view) serve(q query, wait time.Duration, respond func(*historypb.Reply)) {
+	reply, changed := q(wait <= 0)
 	if reply != nil {
-		answer(reply)
+		respond(reply)
 		return
 	}
-	go func() { answer(v.await(ask, changed, wait)) }()
+	go func() { respond(v.awaitReply(q, changed, wait)) }()
 }
 
-// await looks again at each change, and for the last time after wait. While the view is
-// not sound, the first change is that it is sound again, or surely is not.
-func (v *view) await(ask look, changed <-chan struct{}, wait time.Duration) *historypb.Reply {
-	sound := v.isSound()
-	if !sound {
-		wait = min(wait, regainWait)
+// awaitReply evaluates the query at each change, and for the last time after wait. If the view is
+// not current, the first change means that it is current again or that its source has failed, so
+// the query then has to reply.
+func (v *view) awaitReply(q query, changed <-chan struct{}, wait time.Duration) *historypb.Reply {
+	current := v.isCurrent()
+	if !current {
+		wait = min(wait, maxRecoveryWait)
 	}
-	v.count(1)
-	defer v.count(-1)
+	v.addWaiters(1)
+	defer v.addWaiters(-1)
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
 		var reply *historypb.Reply
 		select {
 		case <-changed:
-			reply, changed = ask(!sound)
+			reply, changed = q(!current)
 		case <-end.C:
-			reply, _ = ask(true)
+			reply, _ = q(true)
 		}
 		if reply != nil {
 			return reply
@@ -138,47 +142,47 @@
 	}
 }
 
-func (v *view) count(waiting int) {
+func (v *view) addWaiters(n int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.waiting += waiting
+	v.waiters += n
 }
 
-// wake lets those who wait look again; the caller holds mu.
-func (v *view) wake() {
+// notifyWaiters makes all waiting requests evaluate their queries again; the caller holds mu.
+func (v *view) notifyWaiters() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Replaced implements objects.Listener. A list that follows an earlier one is told as the changes
-// between them: those who follow this view would else all list anew, and those who follow them,
-// whenever the platform drops its history.
+// Replaced implements objects.Listener. A list that follows an earlier one is forwarded as the
+// changes between them. Otherwise all followers of this view, and their followers in turn, would
+// list again whenever the platform drops its history.
 func (v *view) Replaced(s objects.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.confirm()
+	v.markConfirmed()
 	if v.items != nil && s.Revision >= v.revision {
-		if events := v.difference(s); len(events) > 0 {
-			v.keep(objects.Changes{Events: events, Revision: s.Revision})
+		if events := v.diff(s); len(events) > 0 {
+			v.apply(objects.Changes{Events: events, Revision: s.Revision})
 		}
 		v.revision, v.asOf = s.Revision, later(v.asOf, s.AsOf)
-		v.wake()
-		v.rest()
+		v.notifyWaiters()
+		v.stopIfIdle()
 		return
 	}
 	v.items = &btree.Map[string, objects.Object]{}
 	for _, o := range s.Items {
 		v.items.Set(o.Name, o)
 	}
-	v.revision, v.oldest, v.batches, v.asOf = s.Revision, s.Revision, nil, s.AsOf
-	v.parts.replace(s)
-	v.wake()
-	v.rest()
+	v.revision, v.oldestRevision, v.batches, v.asOf = s.Revision, s.Revision, nil, s.AsOf
+	v.subsets.replace(s)
+	v.notifyWaiters()
+	v.stopIfIdle()
 }
 
-// difference is the changes that lead from the objects here to a list, in order of their names;
-// the caller holds mu.
-func (v *view) difference(s objects.Snapshot) []objects.Event {
+// diff returns the changes from the view's objects to those of a list, ordered by name; the caller
+// holds mu.
+func (v *view) diff(s objects.Snapshot) []objects.Event {
 	var events []objects.Event
 	listed := make(map[string]bool, len(s.Items))
 	for _, o := range s.Items {
@@ -201,25 +205,25 @@
 func (v *view) Changed(c objects.Changes) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.confirm()
+	v.markConfirmed()
 	v.revision = max(v.revision, c.Revision)
 	v.asOf = later(v.asOf, c.AsOf)
 	if len(c.Events) > 0 {
-		v.keep(c)
+		v.apply(c)
 	}
 	if len(c.Events) > 0 || v.kind.ForwardConfirmations {
-		v.wake()
+		v.notifyWaiters()
 	}
-	v.rest()
+	v.stopIfIdle()
 }
 
-// keep applies changes; the caller holds mu.
-func (v *view) keep(c objects.Changes) {
-	b := batch{upTo: c.Revision}
+// apply applies changes and keeps them for watches; the caller holds mu.
+func (v *view) apply(c objects.Changes) {
+	b := batch{revision: c.Revision}
 	for _, e := range c.Events {
-		groups := v.parts.note(e)
-		before, _ := v.items.Get(e.Object.Name)
-		b.events = append(b.events, event{Event: e, groups: groups, before: before})
+		groups := v.subsets.record(e)
+		previous, _ := v.items.Get(e.Object.Name)
+		b.events = append(b.events, event{Event: e, groups: groups, previous: previous})
 		if v.kind.GroupOf != nil && len(groups) == 0 && !e.Removed {
 			v.logger.Warn("object names nothing to hold", "kind", v.kind.Name, "name", e.Object.Name, "revision", e.Object.Revision)
 		}
@@ -230,45 +234,46 @@
 		v.items.Set(e.Object.Name, e.Object)
 	}
 	v.batches = append(v.batches, b)
-	if len(v.batches) > keptBatches {
-		v.oldest = v.batches[0].upTo
+	if len(v.batches) > maxBatches {
+		v.oldestRevision = v.batches[0].revision
 		v.batches = v.batches[1:]
 	}
 }
 
-// Lost implements objects.Listener. Entry hosts ask the platform themselves
-// meanwhile.
+// Lost implements objects.Listener. Entry hosts call the platform themselves until the source
+// answers again.
 func (v *view) Lost(err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.confirmed.IsZero() || v.lost.IsZero() || v.opening {
-		v.opening = false
+	if !v.confirmedAt.IsZero() || v.lostAt.IsZero() || v.loading {
+		v.loading = false
 		v.logger.Warn("platform lost", "view", "relay", "kind", v.kind.Name, "revision", v.revision, "error", err.Error())
-		v.confirmed, v.lost = time.Time{}, time.Now()
-		v.wake()
+		v.confirmedAt, v.lostAt = time.Time{}, time.Now()
+		v.notifyWaiters()
 	}
-	v.rest()
+	v.stopIfIdle()
 }
 
-// confirm notes that the platform answers; the caller holds mu.
-func (v *view) confirm() {
-	if v.confirmed.IsZero() {
+// markConfirmed records that the source has answered; the caller holds mu.
+func (v *view) markConfirmed() {
+	if v.confirmedAt.IsZero() {
 		v.logger.Info("platform regained", "view", "relay", "kind", v.kind.Name)
 	}
-	v.confirmed, v.opening = time.Now(), false
+	v.confirmedAt, v.loading = time.Now(), false
 }
 
-// rest ends the following of a kind that nobody asks for; the caller holds mu.
-func (v *view) rest() {
-	if v.stop == nil || v.waiting > 0 || time.Since(v.asked) <= idleAfter {
+// stopIfIdle stops following a kind that has not been requested within idleTimeout; the caller
+// holds mu.
+func (v *view) stopIfIdle() {
+	if v.stop == nil || v.waiters > 0 || time.Since(v.lastRequestAt) <= idleTimeout {
 		return
 	}
-	v.logger.Info("relay rests", "kind", v.kind.Name)
+	v.logger.Info("relay stops following the platform", "kind", v.kind.Name)
 	v.stop()
-	v.stop, v.confirmed, v.asOf, v.items, v.batches = nil, time.Time{}, time.Time{}, nil, nil
+	v.stop, v.confirmedAt, v.asOf, v.items, v.batches = nil, time.Time{}, time.Time{}, nil, nil
 }
 
-// later returns the later of two instants.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
