--- a/ctl/replicas/bytes_test.go
+++ b/ctl/replicas/bytes_test.go
@@ -40,7 +40,7 @@
 		require.Len(p.t, past.Chain, at)
 	}
 	if at > 0 {
-		require.NotEmpty(p.t, past.Ran, "where the program ran is found")
+		require.NotEmpty(p.t, past.Runs, "where the program ran is found")
 	}
 	records := []*historypb.Record{{Change: &historypb.Record_Settle{Settle: &historypb.Settle{
 		Turn: id(at), Tokens: 30, Ran: &historypb.Ran{Target: "i-57ef422ba4", Born: 1_790_000_000_000, Part: part(at + 1), Prompt: 4000}}}}}
@@ -65,21 +65,21 @@
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
-		sums := map[string]*quorum.Bytes{}
+		sums := map[string]*quorum.CallTraffic{}
 		for _, c := range p.clients {
-			for _, b := range c.State().Bytes {
+			for _, b := range c.State().Traffic {
 				if sums[b.Kind] == nil {
-					sums[b.Kind] = &quorum.Bytes{Kind: b.Kind}
+					sums[b.Kind] = &quorum.CallTraffic{Kind: b.Kind}
 				}
 				s := sums[b.Kind]
-				s.NearCalls, s.Near, s.FarCalls, s.Far = s.NearCalls+b.NearCalls, s.Near+b.Near, s.FarCalls+b.FarCalls, s.Far+b.Far
-				far += b.Far
+				s.NearCalls, s.NearBytes, s.FarCalls, s.FarBytes = s.NearCalls+b.NearCalls, s.NearBytes+b.NearBytes, s.FarCalls+b.FarCalls, s.FarBytes+b.FarBytes
+				far += b.FarBytes
 			}
 		}
 		const all = programs * turns
 		for _, s := range sums {
 			t.Logf("%-8s a turn: near %.2f calls, %5d bytes; far %.2f calls, %5d bytes", s.Kind,
-				float64(s.NearCalls)/all, s.Near/all, float64(s.FarCalls)/all, s.Far/all)
+				float64(s.NearCalls)/all, s.NearBytes/all, float64(s.FarCalls)/all, s.FarBytes/all)
 		}
 		far /= all
 		t.Logf("retained %v: %d bytes a turn between data centres", retained, far)
--- a/ctl/replicas/cut_test.go
+++ b/ctl/replicas/cut_test.go
@@ -28,7 +28,7 @@
 			defer close(ended)
 			_, _ = e.Read(t.Context(), "p", "") // fails, or is answered by what is left of the slot
 		}()
-		for e.Isolated() == 0 && time.Since(cut) < 5*time.Second {
+		for e.IsolatedFor() == 0 && time.Since(cut) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		require.Less(t, time.Since(cut), noticed)
--- a/ctl/replicas/expiry_test.go
+++ b/ctl/replicas/expiry_test.go
@@ -44,7 +44,7 @@
 		f.warm(a)
 		f.warm(d)
 		const longest = 40 * time.Second
-		keep := keepFor + a.Outlast(longest)
+		keep := keepFor + a.ExtraRetention(longest)
 		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
 			require.NoError(t, a.Write(t.Context(), p, keep, settlement(p+"1"), kept(p+"1", "")))
@@ -75,6 +75,6 @@
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b", "c")
 		defer f.close()
-		require.Zero(t, f.entry("a").Outlast(time.Minute))
+		require.Zero(t, f.entry("a").ExtraRetention(time.Minute))
 	})
 }
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -218,7 +218,7 @@
 			past, err := d.Read(t.Context(), p, p+"2")
 			require.NoError(t, err)
 			require.Len(t, past.Chain, 2)
-			require.False(t, past.Elsewhere)
+			require.False(t, past.ChainInOtherProgram)
 			require.LessOrEqual(t, len(f.asked(func(r *historypb.Request) bool { return r.GetRead().GetTurn() != "" })), 2)
 		}
 	})
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -311,7 +311,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	dialer := vnet.Dialer{Net: c.net, From: e.place}
 	e.past = quorum.New(dialer, c.dataCentre(e.name), logger(), nil)
-	e.past.Seed(c.seeds)
+	e.past.SetSeeds(c.seeds)
 	e.host = entry.New(entry.Options{
 		Headers: ownheaders.Headers{}, History: e.past, Dialer: dialer, DataCentre: c.dataCentre(e.name), ReadyPath: "/ready", Log: logger(),
 		Keys: c.keyRules(), Quotas: tolerance,
@@ -319,7 +319,7 @@
 	e.stop = cancel
 	store := c.store.At(e.place)
 	source := func() *relay.Source {
-		return relay.NewSource(e.name, store, e.past.Members(), logger()).Patient(relay.MembersPatience)
+		return relay.NewSource(e.name, store, e.past.AssignedPeers(), logger()).Patient(relay.MembersPatience)
 	}
 	slots := relay.NewSource(e.name, store, e.past, logger()).Patient(relay.StartPatience)
 	followConfig := objects.Follow
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -20,7 +20,7 @@
 	logger := o.logger
 	dialer := peerDialer()
 	past := quorum.New(dialer, set.DataCentre, logger, o.meter)
-	past.Seed(set.Seeds)
+	past.SetSeeds(set.Seeds)
 	host := entry.New(entry.Options{
 		Headers: platform.Headers{}, History: past, Dialer: dialer,
 		DataCentre: set.DataCentre, Regions: set.Regions, MemoryBytes: set.MemoryBytes, Descriptors: set.Descriptors,
@@ -94,7 +94,7 @@
 	if len(f.set.Seeds) == 0 {
 		return relay.NewSource(f.set.Host, f.store, f.past, f.logger).Patient(relay.StartPatience)
 	}
-	return relay.NewSource(f.set.Host, f.store, f.past.Members(), f.logger).Patient(relay.MembersPatience)
+	return relay.NewSource(f.set.Host, f.store, f.past.AssignedPeers(), f.logger).Patient(relay.MembersPatience)
 }
 
 // entryState is the dump of an entry host for operators.
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -90,7 +90,7 @@
 )
 
 // alone reports whether this host is cut off from the others, which may be better off.
-func (h *Host) alone() bool { return h.History.Isolated() > 0 }
+func (h *Host) alone() bool { return h.History.IsolatedFor() > 0 }
 
 // staleComeBack is when a caller that shows a key should try again after the configuration
 // has been too old for a while: at another host as soon as the balancer sends it there, or,
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -69,7 +69,7 @@
 	if !x.route.Retained || regions.Unrestricted() {
 		return x.program(), nil
 	}
-	region, ok := x.host.History.RegionFor(x.host.Regions[x.host.DataCentre], regions.Allows)
+	region, ok := x.host.History.SelectRegion(x.host.Regions[x.host.DataCentre], regions.Allows)
 	if !ok {
 		return "", failure.Retry(failure.HistoryUnavailable, x.comeBack(), "no history host in the regions that may keep the turn")
 	}
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -184,7 +184,7 @@
 // /turn/ (retained) and /quick/ (resumable), all to service "s".
 func newSystem(t *testing.T, targets ...*target) *system {
 	s := &system{t: t, past: quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)}
-	s.past.Patient(memberPatience)
+	s.past.SetTimeouts(memberPatience)
 	s.startHistory(3)
 	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.past, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: quietLog(),
 		HistoryPatience: harnessPatience})
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -186,7 +186,7 @@
 // Ready reports whether the host can serve: it has a configuration that is current enough
 // and knows the history hosts, and it is not about to stop.
 func (h *Host) Ready() bool {
-	served := h.History.Isolated() == 0 || h.History.TakeoverIn() > 0
+	served := h.History.IsolatedFor() == 0 || h.History.TimeUntilDemotion() > 0
 	return !h.draining.Load() && h.table.Load() != nil && h.staleFor() == 0 && h.History.Ready() && served
 }
 
@@ -199,11 +199,11 @@
 // other hosts. Callers that came back at once where this host alone is cut off could meet
 // it again, and be refused for good.
 func (h *Host) comeBack() time.Duration {
-	isolated := h.History.Isolated()
+	isolated := h.History.IsolatedFor()
 	if isolated == 0 {
 		return retryLater
 	}
-	if takeover := h.History.TakeoverIn(); takeover > 0 {
+	if takeover := h.History.TimeUntilDemotion(); takeover > 0 {
 		return max(retryLater, takeover)
 	}
 	return max(retryLater, rotationTime-isolated)
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	for range entries {
 		past := quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
-		past.Patient(boardPatience)
+		past.SetTimeouts(boardPatience)
 		past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
 		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: quietLog()})
 		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 1})
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -52,7 +52,7 @@
 
 func (x *exchange) takeToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
-	return x.host.History.Take(ctx, quota.TokenRequest{
+	return x.host.History.TakeToken(ctx, quota.TokenRequest{
 		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
 		FirstOfProgram: x.begins(),
 	})
--- a/daemon/entry/reach.go
+++ b/daemon/entry/reach.go
@@ -88,7 +88,7 @@
 // of another data centre too seldom to know, and would open a connection for
 // each request that must not be repeated.
 func (h *Host) heardFrom(dataCentre string, d time.Duration) bool {
-	return h.reach.heardFrom(dataCentre, d) || h.History != nil && h.History.HeardFrom(dataCentre, d)
+	return h.reach.heardFrom(dataCentre, d) || h.History != nil && h.History.AnsweredWithin(dataCentre, d)
 }
 
 // forget drops a target that is gone.
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -109,7 +109,7 @@
 func (s *system) newRegions() (north, south []*member) {
 	s.members = nil
 	s.past = quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
-	s.past.Patient(memberPatience)
+	s.past.SetTimeouts(memberPatience)
 	s.host.History = s.past
 	s.startHistoryIn("north", "north", "south", "south", "south")
 	return s.members[:2], s.members[2:]
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -45,7 +45,7 @@
 // begins at its end.
 func (x *exchange) retention() time.Duration {
 	keep := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
-	return keep + x.host.History.Outlast(patience(0, x.route.Timeout))
+	return keep + x.host.History.ExtraRetention(patience(0, x.route.Timeout))
 }
 
 func (x *exchange) isTurn() bool {
@@ -98,7 +98,7 @@
 // of the program reserved before and the chain that this one continues.
 func (t *turn) begin(ctx context.Context) error {
 	x := t.x
-	if !x.host.History.Servable(x.program()) || !x.host.History.Servable(t.kept) {
+	if !x.host.History.IsServable(x.program()) || !x.host.History.IsServable(t.kept) {
 		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "history hosts of the program are out of reach")
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
@@ -117,14 +117,14 @@
 	if past, err = t.afford(ctx, past); err != nil {
 		return err
 	}
-	x.learn(past.Ran)
+	x.learn(past.Runs)
 	x.underWay = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
-	return t.prepend(ctx, past.Chain, past.Elsewhere)
+	return t.prepend(ctx, past.Chain, past.ChainInOtherProgram)
 }
 
 // past reads the budget use of the program, where its turns ran, and the chain that the turn
 // continues.
-func (t *turn) past(ctx context.Context) (*quorum.Past, error) {
+func (t *turn) past(ctx context.Context) (*quorum.ProgramHistory, error) {
 	x := t.x
 	previous := ""
 	if x.route.Retained {
@@ -141,13 +141,13 @@
 	if err != nil {
 		return nil, err
 	}
-	past.Chain, past.Elsewhere = chain.Chain, chain.Elsewhere
+	past.Chain, past.ChainInOtherProgram = chain.Chain, chain.ChainInOtherProgram
 	return past, nil
 }
 
 // afford refuses the turn if the budget does not allow it, once no settlement that
 // would make room can be on its way any more. It returns the newest reading.
-func (t *turn) afford(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
+func (t *turn) afford(ctx context.Context, past *quorum.ProgramHistory) (*quorum.ProgramHistory, error) {
 	call := &t.x.call
 	for end := time.Now().Add(settlementWait); ; {
 		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
@@ -190,7 +190,7 @@
 
 // comeBack is when the caller should try again after history hosts could not serve it.
 func (x *exchange) comeBack() time.Duration {
-	if x.isTurn() && x.host.History.CutAlone() {
+	if x.isTurn() && x.host.History.IsIsolatedFromDataCentre() {
 		return turnPause
 	}
 	return x.host.comeBack()
@@ -258,7 +258,7 @@
 		// The settlement beside the turn only makes all replicas there keep the turns before it.
 		defer t.settle()
 	}
-	if err := t.x.host.History.WriteWithin(ctx, cutPatience, t.kept, t.x.retention(), records...); err != nil {
+	if err := t.x.host.History.WriteUnlessUnreachable(ctx, cutPatience, t.kept, t.x.retention(), records...); err != nil {
 		return failure.Unknown(failure.HistoryUnavailable, "turn not kept: %v", err)
 	}
 	return nil
--- a/daemon/quorum/brief.go
+++ b/daemon/quorum/brief.go
@@ -26,10 +26,10 @@
 	return list
 }
 
-// Outlast returns by how much longer than for its retention a program must be kept so that all
+// ExtraRetention returns by how much longer than for its retention a program must be kept so that all
 // its replicas have it until a next turn that lasts up to turn has ended: those beyond the
 // quorum are not told that it begins, and would drop the turns before it meanwhile.
-func (c *Client) Outlast(turn time.Duration) time.Duration {
+func (c *Client) ExtraRetention(turn time.Duration) time.Duration {
 	if m := c.current(); m == nil || !m.HasSpareReplicas() {
 		return 0
 	}
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -81,8 +81,8 @@
 	return now.Sub(since)
 }
 
-// HeardFrom reports whether any history host of a data centre was heard within d.
-func (c *Client) HeardFrom(dataCentre string, d time.Duration) bool {
+// AnsweredWithin reports whether any history host of a data centre was heard within d.
+func (c *Client) AnsweredWithin(dataCentre string, d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.slots == nil {
@@ -117,9 +117,9 @@
 	return m.IsWriteDurable(s, alive) && active >= m.ReadQuorum(s)
 }
 
-// Servable reports whether turns of the program could be served now, as far as
+// IsServable reports whether turns of the program could be served now, as far as
 // is known.
-func (c *Client) Servable(program string) bool {
+func (c *Client) IsServable(program string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.slots
@@ -166,8 +166,8 @@
 	return max(since, 1)
 }
 
-// Isolated returns how long most slots have not been servable; 0 if they are.
-func (c *Client) Isolated() time.Duration {
+// IsolatedFor returns how long most slots have not been servable; 0 if they are.
+func (c *Client) IsolatedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isolated.IsZero() {
@@ -176,9 +176,9 @@
 	return time.Since(c.isolated)
 }
 
-// CutAlone reports whether this host is cut off and others of its data centre most likely are
+// IsIsolatedFromDataCentre reports whether this host is cut off and others of its data centre most likely are
 // not: it does not reach the history hosts of its own data centre either.
-func (c *Client) CutAlone() bool {
+func (c *Client) IsIsolatedFromDataCentre() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isolated.IsZero() || c.slots == nil {
@@ -202,9 +202,9 @@
 // silent; see placement.Map.Demote.
 const takeoverTime = 1200 * time.Millisecond
 
-// TakeoverIn is how long most slots will take to be servable again because the history
+// TimeUntilDemotion is how long most slots will take to be servable again because the history
 // hosts at hand are about to go on without the others; 0 if that is not expected.
-func (c *Client) TakeoverIn() time.Duration {
+func (c *Client) TimeUntilDemotion() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isolated.IsZero() {
--- a/daemon/quorum/order_test.go
+++ b/daemon/quorum/order_test.go
@@ -99,10 +99,10 @@
 
 	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
 	c.slots = m
-	require.True(t, c.Servable("p"))
+	require.True(t, c.IsServable("p"))
 	require.Zero(t, c.outOfReach("p"))
 	c.note("former", failure.New(failure.PeerUnavailable, "lost"))
 	c.health["former"].failing = time.Now().Add(-time.Second)
-	require.False(t, c.Servable("p"))
+	require.False(t, c.IsServable("p"))
 	require.Positive(t, c.outOfReach("p"))
 }
--- a/daemon/quorum/quorum.go
+++ b/daemon/quorum/quorum.go
@@ -55,7 +55,7 @@
 	c.pool.TrafficOf = c.trafficOf
 	c.traffic.serve(m)
 	m.Gauge("slot_map_epoch", func() int64 { return int64(c.epoch()) })
-	m.Gauge("history_isolated_ms", func() int64 { return c.Isolated().Milliseconds() })
+	m.Gauge("history_isolated_ms", func() int64 { return c.IsolatedFor().Milliseconds() })
 	return c
 }
 
@@ -133,9 +133,9 @@
 	c.logger.Warn("platform does not answer", "kind", "history", "error", err.Error())
 }
 
-// RegionFor returns the region in which what may be kept only in allowed ones is kept, with own
+// SelectRegion returns the region in which what may be kept only in allowed ones is kept, with own
 // that of this host; ok is false where no member is in any of them.
-func (c *Client) RegionFor(own string, allowed func(region string) bool) (region string, ok bool) {
+func (c *Client) SelectRegion(own string, allowed func(region string) bool) (region string, ok bool) {
 	m := c.current()
 	if m == nil {
 		return "", false
@@ -154,9 +154,9 @@
 // a member that never answers is found out also where others were enough.
 const callTimeout = time.Second
 
-// Patient lets members be silent for longer than a deployment's may, and calls take as long,
+// SetTimeouts lets members be silent for longer than a deployment's may, and calls take as long,
 // before the client is used: for tests, on machines that are busy with other work.
-func (c *Client) Patient(d time.Duration) {
+func (c *Client) SetTimeouts(d time.Duration) {
 	c.pool.SilenceTimeout, c.callTimeout = d, d
 }
 
@@ -214,15 +214,15 @@
 // from now on. Write goes on trying until the context ends; records may be
 // written more than once.
 func (c *Client) Write(ctx context.Context, program string, retention time.Duration, records ...*historypb.Record) error {
-	return c.WriteWithin(ctx, forever, program, retention, records...)
+	return c.WriteUnlessUnreachable(ctx, forever, program, retention, records...)
 }
 
 // forever is longer than any cut.
 const forever = time.Duration(math.MaxInt64)
 
-// WriteWithin is Write that gives up once the program has been out of reach for a while: a
+// WriteUnlessUnreachable is Write that gives up once the program has been out of reach for a while: a
 // caller who is told so finds another host, one who waits loses that time as well.
-func (c *Client) WriteWithin(ctx context.Context, patience time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
+func (c *Client) WriteUnlessUnreachable(ctx context.Context, patience time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
 	expires := time.Now().Add(retention + retentionSlack).UnixMilli()
 	for _, r := range records {
 		r.Program, r.ExpiresMs = program, expires
--- a/daemon/quorum/read.go
+++ b/daemon/quorum/read.go
@@ -10,21 +10,21 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// Past is what the history hosts know of a program.
-type Past struct {
+// ProgramHistory is what the history hosts know of a program.
+type ProgramHistory struct {
 	Usage ledger.Usage
 	// Chain is the chain of turns asked for, newest first.
 	Chain []*historypb.Turn
-	// Ran is the targets that have read the parts asked for.
-	Ran []*historypb.Ran
-	// Elsewhere reports that the chain was kept by another program.
-	Elsewhere bool
+	// Runs is the targets that have read the parts asked for.
+	Runs []*historypb.Ran
+	// ChainInOtherProgram reports that the chain was kept by another program.
+	ChainInOtherProgram bool
 }
 
 // Read returns the budget use of a program, the chain that ends with turn unless that is
 // empty, and where turns ran whose prompts ended with one of the parts. It fails with UnknownTurn only if every place where the
 // turn could be was asked, and with HistoryUnavailable if not enough answered.
-func (c *Client) Read(ctx context.Context, program, turn string, parts ...string) (*Past, error) {
+func (c *Client) Read(ctx context.Context, program, turn string, parts ...string) (*ProgramHistory, error) {
 	began := time.Now()
 	for {
 		past, err := c.readOnce(ctx, program, turn, parts)
@@ -39,7 +39,7 @@
 	}
 }
 
-func (c *Client) readOnce(ctx context.Context, program, turn string, parts []string) (*Past, error) {
+func (c *Client) readOnce(ctx context.Context, program, turn string, parts []string) (*ProgramHistory, error) {
 	m := c.current()
 	if m == nil || !m.IsAssigned() {
 		return nil, failure.New(failure.HistoryUnavailable, "no slot map")
@@ -48,7 +48,7 @@
 	if !ok {
 		return nil, failure.New(failure.HistoryUnavailable, "no member in the region of %q", program)
 	}
-	past := &Past{}
+	past := &ProgramHistory{}
 	turns := map[string]*historypb.Turn{}
 	// One replica sends the chain, the others confirm the budget: the first to be asked, and
 	// those that are asked because it fails or is late. So it is with where turns ran, which
@@ -68,7 +68,7 @@
 	}, func(member string, r *historypb.Reply) {
 		heard = heard || member == first
 		past.Usage.Merge(r.Spending)
-		past.Ran = append(past.Ran, r.Ran...)
+		past.Runs = append(past.Runs, r.Ran...)
 		collect(turns, r.Chain)
 	})
 	if err != nil {
@@ -80,7 +80,7 @@
 			return nil, err
 		}
 		if turns[missing] == nil {
-			past.Elsewhere = true
+			past.ChainInOtherProgram = true
 			if err := c.findAnywhere(ctx, m, missing, turns); err != nil {
 				return nil, err
 			}
@@ -97,7 +97,7 @@
 }
 
 // link rebuilds the chain from the turns at hand and returns the one missing.
-func (p *Past) link(turn string, turns map[string]*historypb.Turn) (missing string) {
+func (p *ProgramHistory) link(turn string, turns map[string]*historypb.Turn) (missing string) {
 	p.Chain = p.Chain[:0]
 	for turn != "" {
 		t := turns[turn]
--- a/daemon/quorum/read_test.go
+++ b/daemon/quorum/read_test.go
@@ -37,7 +37,7 @@
 func TestChainIsLinkedFromWhatSeveralReplicasSent(t *testing.T) {
 	turns := map[string]*historypb.Turn{}
 	collect(turns, []*historypb.Turn{{Turn: "c", Previous: "b"}})
-	p := &Past{}
+	p := &ProgramHistory{}
 	require.Equal(t, "b", p.link("c", turns))
 	collect(turns, []*historypb.Turn{{Turn: "b", Previous: "a"}, {Turn: "a"}})
 	require.Empty(t, p.link("c", turns))
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -10,9 +10,9 @@
 	"github.com/pistachioarch/pistachioarch/daemon/relay"
 )
 
-// Seed gives the addresses of some history hosts, which may be stale: until a slot map is
+// SetSeeds gives the addresses of some history hosts, which may be stale: until a slot map is
 // known, they are asked in place of the relays.
-func (c *Client) Seed(addresses []string) { c.seeds = addresses }
+func (c *Client) SetSeeds(addresses []string) { c.seeds = addresses }
 
 // Relays returns the members that relay the platform, as this host sees them alive, or
 // the addresses of the seeds while no slot map is known.
@@ -26,11 +26,11 @@
 	return c.slots.DataCentreRelays(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
 }
 
-// Members is the client as relay.Peers that names nobody before the slot map has slots. A seed,
+// AssignedPeers is the client as relay.Peers that names nobody before the slot map has slots. A seed,
 // or the first members of a map, would answer all hosts that start together, and have room and
 // time for the slot map only: everything else is asked of members once all are known. Until
 // then no host serves anyway.
-func (c *Client) Members() relay.Peers { return membersOnly{c} }
+func (c *Client) AssignedPeers() relay.Peers { return membersOnly{c} }
 
 type membersOnly struct{ *Client }
 
--- a/daemon/quorum/state.go
+++ b/daemon/quorum/state.go
@@ -16,8 +16,8 @@
 	UnservableSlots int           `json:"unservable_slots"`
 	IsolatedMs      int64         `json:"isolated_ms"`
 	Members         []MemberState `json:"members"`
-	// Bytes is the account of the calls to history hosts since the start.
-	Bytes []Bytes `json:"bytes,omitempty"`
+	// Traffic is the account of the calls to history hosts since the start.
+	Traffic []CallTraffic `json:"bytes,omitempty"`
 }
 
 // MemberState is one history host's disk.
@@ -26,16 +26,16 @@
 	Host       string `json:"host"`
 	DataCentre string `json:"data_centre"`
 	Address    string `json:"address"`
-	// HeardMs is how long ago it last answered; -1 if it never did.
-	HeardMs int64 `json:"heard_ms"`
-	// FailingMs is since when it does not answer; 0 if it does.
-	FailingMs int64 `json:"failing_ms"`
+	// LastAnswerAgeMs is how long ago it last answered; -1 if it never did.
+	LastAnswerAgeMs int64 `json:"heard_ms"`
+	// FailingForMs is since when it does not answer; 0 if it does.
+	FailingForMs int64 `json:"failing_ms"`
 }
 
 // State returns a dump of the client.
 func (c *Client) State() State {
 	now := time.Now()
-	s := State{IsolatedMs: c.Isolated().Milliseconds(), Bytes: c.traffic.account()}
+	s := State{IsolatedMs: c.IsolatedFor().Milliseconds(), Traffic: c.traffic.account()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.slots
@@ -51,11 +51,11 @@
 }
 
 func (c *Client) memberState(id string, m placement.Member, now time.Time) MemberState {
-	s := MemberState{Member: id, Host: m.Host, DataCentre: m.DataCentre, Address: m.Address, HeardMs: -1}
+	s := MemberState{Member: id, Host: m.Host, DataCentre: m.DataCentre, Address: m.Address, LastAnswerAgeMs: -1}
 	if h := c.health[id]; h != nil && !h.heard.IsZero() {
-		s.HeardMs = now.Sub(h.heard).Milliseconds()
+		s.LastAnswerAgeMs = now.Sub(h.heard).Milliseconds()
 	}
-	s.FailingMs = c.failingFor(id, now).Milliseconds()
+	s.FailingForMs = c.failingFor(id, now).Milliseconds()
 	return s
 }
 
--- a/daemon/quorum/take.go
+++ b/daemon/quorum/take.go
@@ -15,10 +15,10 @@
 // this long and not the 0.3 s in which its connection is given up.
 const takeHedge = 30 * time.Millisecond
 
-// Take asks the members that keep the customer's slot for a token, one after the other. It
+// TakeToken asks the members that keep the customer's slot for a token, one after the other. It
 // goes on trying until a member grants, all refuse, or the context ends; the failure is then
 // HistoryUnavailable. The version and limit of the ask are the sender's.
-func (c *Client) Take(ctx context.Context, a quota.TokenRequest) (quota.Grant, error) {
+func (c *Client) TakeToken(ctx context.Context, a quota.TokenRequest) (quota.Grant, error) {
 	began := time.Now()
 	for {
 		grant, err := c.takeOnce(ctx, a)
--- a/daemon/quorum/traffic.go
+++ b/daemon/quorum/traffic.go
@@ -30,26 +30,26 @@
 	return &c.traffic.far
 }
 
-// Bytes is the account of one kind of call, for operators.
-type Bytes struct {
+// CallTraffic is the account of one kind of call, for operators.
+type CallTraffic struct {
 	Kind string `json:"kind"`
 	// Near is to and from members of this data centre, Far to and from the others.
 	NearCalls int64 `json:"near_calls"`
-	Near      int64 `json:"near_bytes"`
+	NearBytes int64 `json:"near_bytes"`
 	FarCalls  int64 `json:"far_calls"`
-	Far       int64 `json:"far_bytes"`
+	FarBytes  int64 `json:"far_bytes"`
 }
 
 // account sums up the bytes by kind, without the kinds that were not used.
-func (t *traffic) account() []Bytes {
-	var list []Bytes
+func (t *traffic) account() []CallTraffic {
+	var list []CallTraffic
 	for _, k := range rpc.Kinds() {
-		b := Bytes{
+		b := CallTraffic{
 			Kind:      k.String(),
-			NearCalls: t.near.Calls(k), Near: t.near.Sent(k) + t.near.Received(k),
-			FarCalls: t.far.Calls(k), Far: t.far.Sent(k) + t.far.Received(k),
+			NearCalls: t.near.Calls(k), NearBytes: t.near.Sent(k) + t.near.Received(k),
+			FarCalls: t.far.Calls(k), FarBytes: t.far.Sent(k) + t.far.Received(k),
 		}
-		if b.Near+b.Far > 0 {
+		if b.NearBytes+b.FarBytes > 0 {
 			list = append(list, b)
 		}
 	}
--- a/daemon/quorum/watch_test.go
+++ b/daemon/quorum/watch_test.go
@@ -100,14 +100,14 @@
 		c.lose(m, "dc0", "dc1", "dc2", "dc3", "dc4", "dc5")
 		time.Sleep(2 * doubtFor)
 		c.judge()
-		require.Positive(t, c.Isolated())
+		require.Positive(t, c.IsolatedFor())
 		for id := range m.Members {
 			if c.watch.members[id] {
 				c.note(id, nil)
 			}
 		}
 		c.judge()
-		require.Zero(t, c.Isolated())
+		require.Zero(t, c.IsolatedFor())
 	})
 }
 
@@ -119,7 +119,7 @@
 		c.lose(m, "dc3")
 		time.Sleep(2 * doubtFor)
 		c.judge()
-		require.Zero(t, c.Isolated())
+		require.Zero(t, c.IsolatedFor())
 		for id, x := range m.Members {
 			require.Equal(t, x.DataCentre == "dc3", c.fails(id, time.Now()) > 0, "unwatched members of dc3 are asked last")
 		}
