--- a/daemon/quorum/quorum.go
+++ b/daemon/quorum/client.go
@@ -30,30 +30,30 @@
 	meter      *meter.Meter
 	traffic    traffic
 	// seeds are addresses of history hosts from the settings.
-	seeds []string
-	start time.Time
+	seeds     []string
+	startedAt time.Time
 	// callTimeout is that of the package unless Patient says otherwise.
 	callTimeout time.Duration
 
-	mu     sync.Mutex
-	slots  *placement.Map
-	health map[string]*health // by member
+	mu      sync.Mutex
+	slotMap *placement.Map
+	health  map[string]*memberHealth // by member
 	// watch is the members that are asked for signs of life.
-	watch watch
+	probed probeSet
 	// order says whom to ask for tokens of quotas.
-	order *quota.MemberSelector
+	selector *quota.MemberSelector
 	// rotation spreads questions for tokens over the members of other data centres.
-	rotation int
+	tokenRotation int
 	// isolated is since when most slots cannot be served.
-	isolated time.Time
+	isolatedSince time.Time
 }
 
 // New returns a client without a slot map. Replicas of dataCentre are read first; m
 // may be nil.
 func New(dialer rpc.Dialer, dataCentre string, logger *log.Logger, m *meter.Meter) *Client {
-	c := &Client{pool: rpc.NewPool(dialer), dataCentre: dataCentre, logger: logger, meter: m, health: map[string]*health{}, order: quota.NewMemberSelector(), start: time.Now(), callTimeout: callTimeout, watch: newWatch()}
+	c := &Client{pool: rpc.NewPool(dialer), dataCentre: dataCentre, logger: logger, meter: m, health: map[string]*memberHealth{}, selector: quota.NewMemberSelector(), startedAt: time.Now(), callTimeout: defaultCallTimeout, probed: newProbeSet()}
 	c.pool.TrafficOf = c.trafficOf
-	c.traffic.serve(m)
+	c.traffic.registerGauges(m)
 	m.Gauge("slot_map_epoch", func() int64 { return int64(c.epoch()) })
 	m.Gauge("history_isolated_ms", func() int64 { return c.IsolatedFor().Milliseconds() })
 	return c
@@ -61,7 +61,7 @@
 
 // epoch is that of the slot map in use, 0 without one.
 func (c *Client) epoch() uint64 {
-	if m := c.current(); m != nil {
+	if m := c.currentMap(); m != nil {
 		return m.Epoch
 	}
 	return 0
@@ -69,46 +69,46 @@
 
 // Ready reports whether a slot map with replicas is known.
 func (c *Client) Ready() bool {
-	m := c.current()
+	m := c.currentMap()
 	return m != nil && m.IsAssigned()
 }
 
-func (c *Client) current() *placement.Map {
+func (c *Client) currentMap() *placement.Map {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.slots
+	return c.slotMap
 }
 
 // adopt takes the map if it is newer than the one in use.
-func (c *Client) adopt(text []byte, source string) {
+func (c *Client) adopt(encoded []byte, source string) {
 	m := &placement.Map{}
-	if err := json.Unmarshal(text, m); err != nil {
+	if err := json.Unmarshal(encoded, m); err != nil {
 		c.logger.Error("slot map cannot be decoded", "source", source, "error", err.Error())
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots != nil && c.slots.Epoch >= m.Epoch {
+	if c.slotMap != nil && c.slotMap.Epoch >= m.Epoch {
 		return
 	}
-	c.slots = m
-	c.drop(m)
-	c.watch.over(m, c.dataCentre)
+	c.slotMap = m
+	c.dropRemovedMembers(m)
+	c.probed.choose(m, c.dataCentre)
 	c.logger.Info("slot map adopted", "epoch", m.Epoch, "source", source)
 }
 
 // drop forgets members that are gone.
-func (c *Client) drop(m *placement.Map) {
-	wanted := map[string]bool{}
-	for _, x := range m.Members {
-		wanted[x.Address] = true
+func (c *Client) dropRemovedMembers(m *placement.Map) {
+	addresses := map[string]bool{}
+	for _, member := range m.Members {
+		addresses[member.Address] = true
 	}
 	for id := range c.health {
-		if _, in := m.Members[id]; !in {
+		if _, ok := m.Members[id]; !ok {
 			delete(c.health, id)
 		}
 	}
-	c.pool.CloseExcept(wanted)
+	c.pool.CloseExcept(addresses)
 }
 
 // Replaced implements objects.Listener.
@@ -136,7 +136,7 @@
 // SelectRegion returns the region in which what may be kept only in allowed ones is kept, with own
 // that of this host; ok is false where no member is in any of them.
 func (c *Client) SelectRegion(own string, allowed func(region string) bool) (region string, ok bool) {
-	m := c.current()
+	m := c.currentMap()
 	if m == nil {
 		return "", false
 	}
@@ -144,7 +144,7 @@
 }
 
 // replyFrom is the answer of one member.
-type replyFrom struct {
+type memberReply struct {
 	member string
 	reply  *historypb.Reply
 	err    error
@@ -152,60 +152,60 @@
 
 // callTimeout bounds one call to a member. It outlives the request that made it:
 // a member that never answers is found out also where others were enough.
-const callTimeout = time.Second
+const defaultCallTimeout = time.Second
 
 // SetTimeouts lets members be silent for longer than a deployment's may, and calls take as long,
 // before the client is used: for tests, on machines that are busy with other work.
-func (c *Client) SetTimeouts(d time.Duration) {
-	c.pool.SilenceTimeout, c.callTimeout = d, d
+func (c *Client) SetTimeouts(timeout time.Duration) {
+	c.pool.SilenceTimeout, c.callTimeout = timeout, timeout
 }
 
 // scatter sends a request to each of the members and returns their answers as
 // they come. The request for a member is made by build.
-func (c *Client) scatter(m *placement.Map, slot uint32, members []string, build func(member string) *historypb.Request) <-chan replyFrom {
-	answers := make(chan replyFrom, len(members))
+func (c *Client) sendAll(m *placement.Map, slot uint32, members []string, build func(member string) *historypb.Request) <-chan memberReply {
+	replies := make(chan memberReply, len(members))
 	for _, id := range members {
-		c.send(m, slot, id, build(id), answers)
+		c.send(m, slot, id, build(id), replies)
 	}
-	return answers
+	return replies
 }
 
 // send sends a request to one member; its answer goes to answers, which must have room.
-func (c *Client) send(m *placement.Map, slot uint32, id string, req *historypb.Request, answers chan<- replyFrom) {
-	req.Member, req.Slot, req.Epoch = id, slot, m.Epoch
-	client := c.pool.Client(m.Members[id].Address)
+func (c *Client) send(m *placement.Map, slot uint32, member string, req *historypb.Request, replies chan<- memberReply) {
+	req.Member, req.Slot, req.Epoch = member, slot, m.Epoch
+	client := c.pool.Client(m.Members[member].Address)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.callTimeout)
 		defer cancel()
-		began := time.Now()
+		sentAt := time.Now()
 		reply, err := client.Call(ctx, req)
-		c.note(id, err)
+		c.recordOutcome(member, err)
 		if err == nil {
-			c.observe(id, req, time.Since(began))
+			c.recordDuration(member, req, time.Since(sentAt))
 		}
 		if err == nil && reply.Status != historypb.Status_STATUS_OK {
 			if reply.Status == historypb.Status_STATUS_STALE_EPOCH {
-				c.adopt(reply.SlotMap, "member "+id)
+				c.adopt(reply.SlotMap, "member "+member)
 			}
-			err = failure.New(failure.PeerUnavailable, "member %s: %s", id, reply.Status)
+			err = failure.New(failure.PeerUnavailable, "member %s: %s", member, reply.Status)
 		}
-		answers <- replyFrom{id, reply, err}
+		replies <- memberReply{member, reply, err}
 	}()
 }
 
 // next waits for an answer; the end of the context counts as a failed one.
-func next(ctx context.Context, answers <-chan replyFrom) replyFrom {
+func nextReply(ctx context.Context, replies <-chan memberReply) memberReply {
 	select {
-	case a := <-answers:
+	case a := <-replies:
 		return a
 	case <-ctx.Done():
-		return replyFrom{err: failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")}
+		return memberReply{err: failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")}
 	}
 }
 
 // retryPause is between two tries with the replicas of a slot: long enough for a
 // process that was killed to be back, short against a caller's patience.
-const retryPause = 50 * time.Millisecond
+const retryDelay = 50 * time.Millisecond
 
 // retentionSlack covers clocks of hosts that differ or jump by some seconds.
 const retentionSlack = 15 * time.Second
@@ -214,38 +214,38 @@
 // from now on. Write goes on trying until the context ends; records may be
 // written more than once.
 func (c *Client) Write(ctx context.Context, program string, retention time.Duration, records ...*historypb.Record) error {
-	return c.WriteUnlessUnreachable(ctx, forever, program, retention, records...)
+	return c.WriteUnlessUnreachable(ctx, maxDuration, program, retention, records...)
 }
 
 // forever is longer than any cut.
-const forever = time.Duration(math.MaxInt64)
+const maxDuration = time.Duration(math.MaxInt64)
 
 // WriteUnlessUnreachable is Write that gives up once the program has been out of reach for a while: a
 // caller who is told so finds another host, one who waits loses that time as well.
-func (c *Client) WriteUnlessUnreachable(ctx context.Context, patience time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
-	expires := time.Now().Add(retention + retentionSlack).UnixMilli()
+func (c *Client) WriteUnlessUnreachable(ctx context.Context, unreachableTimeout time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
+	expiresMs := time.Now().Add(retention + retentionSlack).UnixMilli()
 	for _, r := range records {
-		r.Program, r.ExpiresMs = program, expires
+		r.Program, r.ExpiresMs = program, expiresMs
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for {
 		err := c.writeOnce(ctx, records)
 		if err == nil {
-			c.meter.Observe("history_write", time.Since(began))
+			c.meter.Observe("history_write", time.Since(startedAt))
 			return nil
 		}
 		c.meter.Count("history_writes", "failed")
-		if c.outOfReach(program) > patience || !pause(ctx) {
+		if c.unreachableFor(program) > unreachableTimeout || !waitRetryDelay(ctx) {
 			return err
 		}
 	}
 }
 
-func pause(ctx context.Context) bool {
-	t := time.NewTimer(retryPause)
-	defer t.Stop()
+func waitRetryDelay(ctx context.Context) bool {
+	timer := time.NewTimer(retryDelay)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return ctx.Err() == nil
 	case <-ctx.Done():
 		return false
@@ -253,7 +253,7 @@
 }
 
 func (c *Client) writeOnce(ctx context.Context, records []*historypb.Record) error {
-	m := c.current()
+	m := c.currentMap()
 	if m == nil || !m.IsAssigned() {
 		return failure.New(failure.HistoryUnavailable, "no slot map")
 	}
@@ -267,13 +267,13 @@
 		}
 	}
 	s := &m.Slots[slot]
-	members, first := c.writeTo(m, slot)
-	c.tell(m, slot, members[first:], brief(records))
+	members, first := c.writeMembers(m, slot)
+	c.sendUnconfirmed(m, slot, members[first:], spareSettlements(records))
 	acks := map[string]bool{}
 	r := &round{
-		client: c, slots: m, slot: slot, members: members,
-		build: func(string, bool) *historypb.Request { return writeOf(records) },
-		take: func(member string, _ *historypb.Reply) bool {
+		client: c, slotMap: m, slot: slot, members: members,
+		build: func(string, bool) *historypb.Request { return writeRequest(records) },
+		accept: func(member string, _ *historypb.Reply) bool {
 			acks[member] = true
 			return m.IsWriteDurable(s, acks)
 		},
@@ -281,14 +281,14 @@
 	if r.run(ctx, first) {
 		return nil
 	}
-	return incomplete(r.last, "%d of %d replicas of slot %d wrote", len(acks), len(members), slot)
+	return incompleteError(r.lastErr, "%d of %d replicas of slot %d wrote", len(acks), len(members), slot)
 }
 
 // writeTo returns the replicas that a write goes to, and how many of them it goes to at
 // first: a quorum of a steady slot, the nearest, and all of any other.
-func (c *Client) writeTo(m *placement.Map, slot uint32) (members []string, first int) {
+func (c *Client) writeMembers(m *placement.Map, slot uint32) (members []string, first int) {
 	if m.AllowsQuorumFirst(int(slot)) {
-		return c.ranked(m, slot), m.Quorum()
+		return c.rankedReplicas(m, slot), m.Quorum()
 	}
 	for _, r := range m.Slots[slot].Replicas {
 		members = append(members, r.Member)
@@ -298,7 +298,7 @@
 
 // incomplete is the failure of an operation that not enough replicas took part in. There
 // may be no other error: where no replica is active, all that answer are too few.
-func incomplete(last error, format string, args ...any) error {
+func incompleteError(last error, format string, args ...any) error {
 	if last == nil {
 		return failure.New(failure.HistoryUnavailable, format, args...)
 	}
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -11,56 +11,56 @@
 const (
 	// probeEvery paces the probes of members that do not answer, or that were not
 	// heard of lately.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 	// quietFor is how long a member may go unheard before it is probed, so that a
 	// host without traffic knows whether it could serve.
-	quietFor = time.Second
+	maxSilence = time.Second
 	// suspectFor is the same once another member was lost: a cut takes a whole data centre
 	// mostly, and a host with few requests would find out member by member, while its
 	// callers are refused and the balancer goes on sending them.
-	suspectFor = 100 * time.Millisecond
+	maxSilenceAfterFailure = 100 * time.Millisecond
 	// doubtFor is how long members must fail before requests are refused without
 	// asking them: a host that is cut off tells the balancer so without waiting for each
 	// request to time out, and its callers are sent elsewhere that much sooner.
-	doubtFor = 60 * time.Millisecond
+	failureWindow = 60 * time.Millisecond
 	// unwatchedEvery paces the probes of a member that fails and is not watched: each host
 	// that had a request for it asks until it answers.
-	unwatchedEvery = time.Second
+	onDemandProbeInterval = time.Second
 	// idleConnection is after which time without calls the connection to a member is closed:
 	// hosts with few requests would else come to keep one to each member.
-	idleConnection = 10 * time.Second
+	idleConnectionTimeout = 10 * time.Second
 )
 
 // health is what the client knows of one member.
-type health struct {
-	heard   time.Time // last answer
-	failing time.Time // first failure since, zero if none
-	asked   time.Time // last probe of one that fails and is not watched
-	took    took
+type memberHealth struct {
+	answeredAt   time.Time // last answer
+	failingSince time.Time // first failure since, zero if none
+	probedAt     time.Time // last probe of one that fails and is not watched
+	durations    callDurations
 }
 
 // note records the outcome of a call to a member.
-func (c *Client) note(id string, err error) {
+func (c *Client) recordOutcome(id string, err error) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.health[id]
 	if h == nil {
-		h = &health{}
+		h = &memberHealth{}
 		c.health[id] = h
 	}
 	switch {
 	case err == nil:
-		if !h.failing.IsZero() {
-			c.logger.Info("history member regained", "member", id, "after_ms", now.Sub(h.failing).Milliseconds())
+		if !h.failingSince.IsZero() {
+			c.logger.Info("history member regained", "member", id, "after_ms", now.Sub(h.failingSince).Milliseconds())
 		}
-		h.heard, h.failing = now, time.Time{}
-	case h.failing.IsZero():
-		h.failing = now
+		h.answeredAt, h.failingSince = now, time.Time{}
+	case h.failingSince.IsZero():
+		h.failingSince = now
 		c.meter.Count("history_members", "lost")
 		c.logger.Warn("history member lost", "member", id, "error", err.Error())
-		time.AfterFunc(doubtFor+time.Millisecond, c.judge)
-		time.AfterFunc(0, func() { c.probe(suspectFor) })
+		time.AfterFunc(failureWindow+time.Millisecond, c.updateIsolation)
+		time.AfterFunc(0, func() { c.probeMembers(maxSilenceAfterFailure) })
 	}
 }
 
@@ -68,13 +68,13 @@
 // not heard lately fails for as long as all watched ones of its data centre do.
 func (c *Client) failingFor(id string, now time.Time) time.Duration {
 	h := c.health[id]
-	if h != nil && !h.failing.IsZero() {
-		return now.Sub(h.failing)
+	if h != nil && !h.failingSince.IsZero() {
+		return now.Sub(h.failingSince)
 	}
-	if c.watch.members[id] || h != nil && now.Sub(h.heard) <= quietFor {
+	if c.probed.members[id] || h != nil && now.Sub(h.answeredAt) <= maxSilence {
 		return 0
 	}
-	since := c.centreFailing(id)
+	since := c.dataCentreFailingSince(id)
 	if since.IsZero() {
 		return 0
 	}
@@ -82,15 +82,15 @@
 }
 
 // AnsweredWithin reports whether any history host of a data centre was heard within d.
-func (c *Client) AnsweredWithin(dataCentre string, d time.Duration) bool {
+func (c *Client) AnsweredWithin(dataCentre string, window time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots == nil {
+	if c.slotMap == nil {
 		return false
 	}
-	for id, m := range c.slots.Members {
+	for id, member := range c.slotMap.Members {
 		h := c.health[id]
-		if m.DataCentre == dataCentre && h != nil && !h.heard.IsZero() && time.Since(h.heard) <= d {
+		if member.DataCentre == dataCentre && h != nil && !h.answeredAt.IsZero() && time.Since(h.answeredAt) <= window {
 			return true
 		}
 	}
@@ -98,23 +98,23 @@
 }
 
 // servable reports whether enough replicas of the slot are not known to fail.
-func (c *Client) servable(m *placement.Map, slot int, now time.Time) bool {
-	if former, needed := m.FormerMemberForRead(slot); needed && c.failingFor(former, now) > doubtFor {
+func (c *Client) isSlotServable(m *placement.Map, slot int, now time.Time) bool {
+	if former, needed := m.FormerMemberForRead(slot); needed && c.failingFor(former, now) > failureWindow {
 		return false
 	}
 	s := &m.Slots[slot]
-	alive := map[string]bool{}
+	answering := map[string]bool{}
 	active := 0
 	for _, r := range s.Replicas {
-		if c.failingFor(r.Member, now) > doubtFor {
+		if c.failingFor(r.Member, now) > failureWindow {
 			continue
 		}
-		alive[r.Member] = true
+		answering[r.Member] = true
 		if !r.Joining {
 			active++
 		}
 	}
-	return m.IsWriteDurable(s, alive) && active >= m.ReadQuorum(s)
+	return m.IsWriteDurable(s, answering) && active >= m.ReadQuorum(s)
 }
 
 // IsServable reports whether turns of the program could be served now, as far as
@@ -122,58 +122,58 @@
 func (c *Client) IsServable(program string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.slots
+	m := c.slotMap
 	if m == nil || !m.IsAssigned() {
 		return false
 	}
 	slot, ok := m.Slot(program)
-	return ok && c.servable(m, int(slot), time.Now())
+	return ok && c.isSlotServable(m, int(slot), time.Now())
 }
 
 // outOfReach returns for how long the program's slot has not been servable, by what is
 // known now; 0 if it may be.
-func (c *Client) outOfReach(program string) time.Duration {
+func (c *Client) unreachableFor(program string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.slots
+	m := c.slotMap
 	if m == nil || !m.IsAssigned() {
 		return 0
 	}
 	now := time.Now()
 	slot, ok := m.Slot(program)
 	if !ok {
-		return forever
+		return maxDuration
 	}
 	s := &m.Slots[slot]
 	if former, needed := m.FormerMemberForRead(int(slot)); needed && c.failingFor(former, now) > 0 {
 		return c.failingFor(former, now)
 	}
-	alive := map[string]bool{}
-	active, since := 0, forever
+	answering := map[string]bool{}
+	active, shortest := 0, maxDuration
 	for _, r := range s.Replicas {
 		if failing := c.failingFor(r.Member, now); failing > 0 {
-			since = min(since, failing)
+			shortest = min(shortest, failing)
 			continue
 		}
-		alive[r.Member] = true
+		answering[r.Member] = true
 		if !r.Joining {
 			active++
 		}
 	}
-	if m.IsWriteDurable(s, alive) && active >= m.ReadQuorum(s) {
+	if m.IsWriteDurable(s, answering) && active >= m.ReadQuorum(s) {
 		return 0
 	}
-	return max(since, 1)
+	return max(shortest, 1)
 }
 
 // IsolatedFor returns how long most slots have not been servable; 0 if they are.
 func (c *Client) IsolatedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isolated.IsZero() {
+	if c.isolatedSince.IsZero() {
 		return 0
 	}
-	return time.Since(c.isolated)
+	return time.Since(c.isolatedSince)
 }
 
 // IsIsolatedFromDataCentre reports whether this host is cut off and others of its data centre most likely are
@@ -181,78 +181,78 @@
 func (c *Client) IsIsolatedFromDataCentre() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isolated.IsZero() || c.slots == nil {
+	if c.isolatedSince.IsZero() || c.slotMap == nil {
 		return false
 	}
 	now := time.Now()
-	near := 0
-	for id, m := range c.slots.Members {
-		if m.DataCentre != c.dataCentre {
+	failing := 0
+	for id, member := range c.slotMap.Members {
+		if member.DataCentre != c.dataCentre {
 			continue
 		}
 		if c.failingFor(id, now) == 0 {
 			return false
 		}
-		near++
+		failing++
 	}
-	return near > 0
+	return failing > 0
 }
 
 // takeoverTime is how long history hosts take to go on without a data centre that is
 // silent; see placement.Map.Demote.
-const takeoverTime = 1200 * time.Millisecond
+const demotionDelay = 1200 * time.Millisecond
 
 // TimeUntilDemotion is how long most slots will take to be servable again because the history
 // hosts at hand are about to go on without the others; 0 if that is not expected.
 func (c *Client) TimeUntilDemotion() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isolated.IsZero() {
+	if c.isolatedSince.IsZero() {
 		return 0
 	}
 	now := time.Now()
 	silent := map[string]bool{}
-	for id := range c.slots.Members {
+	for id := range c.slotMap.Members {
 		silent[id] = c.failingFor(id, now) > 0
 	}
 	due := 0
-	common := c.slots.GlobalSlots()
-	for i := range common {
-		if c.slots.DemotionDue(i, silent) {
+	globalSlots := c.slotMap.GlobalSlots()
+	for i := range globalSlots {
+		if c.slotMap.DemotionDue(i, silent) {
 			due++
 		}
 	}
-	if due*2 <= len(common) {
+	if due*2 <= len(globalSlots) {
 		return 0
 	}
-	return max(0, takeoverTime-now.Sub(c.isolated))
+	return max(0, demotionDelay-now.Sub(c.isolatedSince))
 }
 
 // judge notes whether the host is isolated from the history hosts.
-func (c *Client) judge() {
+func (c *Client) updateIsolation() {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.slots
+	m := c.slotMap
 	if m == nil || !m.IsAssigned() {
 		return
 	}
-	lost := c.unservable(m, now)
+	unservable := c.countUnservableSlots(m, now)
 	switch {
-	case lost*2 <= len(m.GlobalSlots()):
-		if !c.isolated.IsZero() {
-			c.logger.Info("history regained", "after_ms", now.Sub(c.isolated).Milliseconds())
+	case unservable*2 <= len(m.GlobalSlots()):
+		if !c.isolatedSince.IsZero() {
+			c.logger.Info("history regained", "after_ms", now.Sub(c.isolatedSince).Milliseconds())
 		}
-		c.isolated = time.Time{}
-	case c.isolated.IsZero():
-		c.isolated = now
-		c.logger.Warn("history lost", "slots", lost, "of", len(m.GlobalSlots()))
+		c.isolatedSince = time.Time{}
+	case c.isolatedSince.IsZero():
+		c.isolatedSince = now
+		c.logger.Warn("history lost", "slots", unservable, "of", len(m.GlobalSlots()))
 	}
 }
 
 // Run probes members until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	tick := time.NewTicker(probeEvery)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -260,42 +260,42 @@
 			c.pool.Close()
 			return
 		case <-tick.C:
-			c.judge()
-			c.probe(quietFor)
-			c.pool.Tidy(idleConnection)
+			c.updateIsolation()
+			c.probeMembers(maxSilence)
+			c.pool.Tidy(idleConnectionTimeout)
 		}
 	}
 }
 
 // probe asks the members that fail and the watched ones that were not heard of for quiet.
-func (c *Client) probe(quiet time.Duration) {
-	m := c.current()
+func (c *Client) probeMembers(maxSilence time.Duration) {
+	m := c.currentMap()
 	if m == nil {
 		return
 	}
 	now := time.Now()
-	var ask []string
+	var due []string
 	c.mu.Lock()
 	for id := range m.Members {
-		if c.due(id, quiet, now) {
-			ask = append(ask, id)
+		if c.isProbeDue(id, maxSilence, now) {
+			due = append(due, id)
 		}
 	}
 	c.mu.Unlock()
-	c.scatter(m, 0, ask, func(string) *historypb.Request {
+	c.sendAll(m, 0, due, func(string) *historypb.Request {
 		return &historypb.Request{Call: &historypb.Request_Ping{Ping: &historypb.Ping{}}}
 	})
 }
 
 // due reports whether a member is to be asked for a sign of life; the caller holds mu.
-func (c *Client) due(id string, quiet time.Duration, now time.Time) bool {
+func (c *Client) isProbeDue(id string, maxSilence time.Duration, now time.Time) bool {
 	h := c.health[id]
-	if c.watch.members[id] {
-		return h == nil || !h.failing.IsZero() || now.Sub(h.heard) > quiet
+	if c.probed.members[id] {
+		return h == nil || !h.failingSince.IsZero() || now.Sub(h.answeredAt) > maxSilence
 	}
-	if h == nil || h.failing.IsZero() || now.Sub(h.asked) < unwatchedEvery {
+	if h == nil || h.failingSince.IsZero() || now.Sub(h.probedAt) < onDemandProbeInterval {
 		return false
 	}
-	h.asked = now
+	h.probedAt = now
 	return true
 }
--- a/daemon/quorum/incomplete_test.go
+++ b/daemon/quorum/incomplete_test.go
@@ -15,23 +15,23 @@
 
 // Where no replica of a slot is active, answers of all of them are too few: a write
 // that all took and a read that nobody was asked for have not succeeded.
-func TestWithoutActiveReplicasNothingIsComplete(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestReadAndWriteFailWithoutActiveReplicas(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer listener.Close()
 	go func() {
-		_ = rpc.Serve(l, func(_ *historypb.Request, answer func(*historypb.Reply)) {
+		_ = rpc.Serve(listener, func(_ *historypb.Request, answer func(*historypb.Reply)) {
 			answer(&historypb.Reply{Status: historypb.Status_STATUS_OK})
 		})
 	}()
 	c := New(&net.Dialer{}, "dc", log.New(io.Discard), nil)
 	defer c.pool.Close()
-	m := mapOf(3)
-	for id, x := range m.Members {
-		x.Address = l.Addr().String()
-		m.Members[id] = x
+	m := newMap(3)
+	for id, member := range m.Members {
+		member.Address = listener.Addr().String()
+		m.Members[id] = member
 	}
-	c.slots = m
+	c.slotMap = m
 	record := &historypb.Record{Program: "p"}
 	require.NoError(t, c.writeOnce(t.Context(), []*historypb.Record{record}))
 	for i := range m.Slots {
--- a/daemon/quorum/loads.go
+++ b/daemon/quorum/loads.go
@@ -16,16 +16,16 @@
 func (c *Client) Board() (board placement.Member, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots == nil {
+	if c.slotMap == nil {
 		return placement.Member{}, false
 	}
 	now := time.Now()
-	for id, m := range c.slots.Members {
-		if m.DataCentre != c.dataCentre || c.failingFor(id, now) > 0 {
+	for id, member := range c.slotMap.Members {
+		if member.DataCentre != c.dataCentre || c.failingFor(id, now) > 0 {
 			continue
 		}
 		if !ok || id < board.ID {
-			board, ok = m, true
+			board, ok = member, true
 		}
 	}
 	return board, ok
@@ -33,18 +33,18 @@
 
 // ExchangeLoads tells the board what this host sees of the targets. A member that does not
 // answer is asked no more until it answers probes.
-func (c *Client) ExchangeLoads(ctx context.Context, m loads.HostReport) (loads.Reply, error) {
+func (c *Client) ExchangeLoads(ctx context.Context, report loads.HostReport) (loads.Reply, error) {
 	board, ok := c.Board()
 	if !ok {
 		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s", c.dataCentre)
 	}
-	bounded, cancel := context.WithTimeout(ctx, c.callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	reply, err := c.pool.Client(board.Address).Call(bounded, &historypb.Request{
-		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(m)},
+	reply, err := c.pool.Client(board.Address).Call(callCtx, &historypb.Request{
+		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(report)},
 	})
 	if ctx.Err() == nil {
-		c.note(board.ID, err)
+		c.recordOutcome(board.ID, err)
 	}
 	if err != nil {
 		return loads.Reply{}, err
--- a/daemon/quorum/loads_test.go
+++ b/daemon/quorum/loads_test.go
@@ -15,30 +15,30 @@
 )
 
 // The board is the first member of the own data centre that answers, never one of another.
-func TestTheBoardIsOfTheOwnDataCentre(t *testing.T) {
+func TestBoardIsFirstAnsweringMemberOfOwnDataCentre(t *testing.T) {
 	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
 	_, ok := c.Board()
 	require.False(t, ok, "no map")
 	m := placement.New(1)
-	for id, centre := range map[string]string{"m0": "b", "m1": "a", "m2": "a"} {
-		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: centre})
+	for id, dataCentre := range map[string]string{"m0": "b", "m1": "a", "m2": "a"} {
+		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dataCentre})
 	}
 	m.Assign()
-	text, err := json.Marshal(m)
+	encoded, err := json.Marshal(m)
 	require.NoError(t, err)
-	c.adopt(text, "test")
-	silent := failure.New(failure.PeerUnavailable, "silent")
+	c.adopt(encoded, "test")
+	errNoAnswer := failure.New(failure.PeerUnavailable, "silent")
 	for _, want := range []string{"m1", "m2"} {
 		board, ok := c.Board()
 		require.True(t, ok)
 		require.Equal(t, want, board.ID)
-		c.note(want, silent)
+		c.recordOutcome(want, errNoAnswer)
 	}
 	_, ok = c.Board()
 	require.False(t, ok)
 	_, err = c.ExchangeLoads(t.Context(), loads.HostReport{})
 	require.True(t, failure.Is(err, failure.PeerUnavailable))
-	c.note("m1", nil)
+	c.recordOutcome("m1", nil)
 	board, _ := c.Board()
 	require.Equal(t, "m1", board.ID, "it answers again")
 }
--- a/daemon/quorum/watch.go
+++ b/daemon/quorum/probeset.go
@@ -10,40 +10,40 @@
 
 // watch is which members are asked for signs of life: where members are many, each host watches
 // a few of each data centre.
-type watch struct {
+type probeSet struct {
 	// name sets the choice of this host apart from those of others.
-	name    string
+	host    string
 	members map[string]bool
 	// centres is the same by data centre.
-	centres map[string][]string
+	byDataCentre map[string][]string
 }
 
-func newWatch() watch { return watch{name: strconv.FormatUint(rand.Uint64(), 36)} }
+func newProbeSet() probeSet { return probeSet{host: strconv.FormatUint(rand.Uint64(), 36)} }
 
 // over chooses the members to watch of a slot map.
-func (w *watch) over(m *placement.Map, dataCentre string) {
-	w.members = m.ProbedByHost(w.name, dataCentre)
-	w.centres = map[string][]string{}
-	for id := range w.members {
+func (p *probeSet) choose(m *placement.Map, dataCentre string) {
+	p.members = m.ProbedByHost(p.host, dataCentre)
+	p.byDataCentre = map[string][]string{}
+	for id := range p.members {
 		dc := m.Members[id].DataCentre
-		w.centres[dc] = append(w.centres[dc], id)
+		p.byDataCentre[dc] = append(p.byDataCentre[dc], id)
 	}
 }
 
 // centreFailing is since when all watched members of a member's data centre fail, zero if one
 // of them does not; the caller holds mu.
-func (c *Client) centreFailing(id string) time.Time {
+func (c *Client) dataCentreFailingSince(id string) time.Time {
 	var latest time.Time
-	if c.slots == nil {
+	if c.slotMap == nil {
 		return latest
 	}
-	for _, watched := range c.watch.centres[c.slots.Members[id].DataCentre] {
-		h := c.health[watched]
-		if h == nil || h.failing.IsZero() {
+	for _, probed := range c.probed.byDataCentre[c.slotMap.Members[id].DataCentre] {
+		h := c.health[probed]
+		if h == nil || h.failingSince.IsZero() {
 			return time.Time{}
 		}
-		if h.failing.After(latest) {
-			latest = h.failing
+		if h.failingSince.After(latest) {
+			latest = h.failingSince
 		}
 	}
 	return latest
--- a/daemon/quorum/read.go
+++ b/daemon/quorum/read.go
@@ -25,22 +25,22 @@
 // empty, and where turns ran whose prompts ended with one of the parts. It fails with UnknownTurn only if every place where the
 // turn could be was asked, and with HistoryUnavailable if not enough answered.
 func (c *Client) Read(ctx context.Context, program, turn string, parts ...string) (*ProgramHistory, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		past, err := c.readOnce(ctx, program, turn, parts)
+		history, err := c.readOnce(ctx, program, turn, parts)
 		if err == nil || failure.Is(err, failure.UnknownTurn) {
-			c.meter.Observe("history_read", time.Since(began))
-			return past, err
+			c.meter.Observe("history_read", time.Since(startedAt))
+			return history, err
 		}
 		c.meter.Count("history_reads", "failed")
-		if !pause(ctx) {
+		if !waitRetryDelay(ctx) {
 			return nil, err
 		}
 	}
 }
 
 func (c *Client) readOnce(ctx context.Context, program, turn string, parts []string) (*ProgramHistory, error) {
-	m := c.current()
+	m := c.currentMap()
 	if m == nil || !m.IsAssigned() {
 		return nil, failure.New(failure.HistoryUnavailable, "no slot map")
 	}
@@ -48,17 +48,17 @@
 	if !ok {
 		return nil, failure.New(failure.HistoryUnavailable, "no member in the region of %q", program)
 	}
-	past := &ProgramHistory{}
+	history := &ProgramHistory{}
 	turns := map[string]*historypb.Turn{}
 	// One replica sends the chain, the others confirm the budget: the first to be asked, and
 	// those that are asked because it fails or is late. So it is with where turns ran, which
 	// the first of a steady slot knows as well as the others.
-	first, heard := "", false
-	err := c.gather(ctx, m, slot, func(member string, more bool) *historypb.Read {
+	first, firstReplied := "", false
+	err := c.readReplicas(ctx, m, slot, func(member string, more bool) *historypb.Read {
 		if first == "" {
 			first = member
 		}
-		if member == first || more && !heard {
+		if member == first || more && !firstReplied {
 			return &historypb.Read{Program: program, Turn: turn, Parts: parts}
 		}
 		if m.AllowsQuorumFirst(int(slot)) {
@@ -66,31 +66,31 @@
 		}
 		return &historypb.Read{Program: program, Parts: parts}
 	}, func(member string, r *historypb.Reply) {
-		heard = heard || member == first
-		past.Usage.Merge(r.Spending)
-		past.Runs = append(past.Runs, r.Ran...)
-		collect(turns, r.Chain)
+		firstReplied = firstReplied || member == first
+		history.Usage.Merge(r.Spending)
+		history.Runs = append(history.Runs, r.Ran...)
+		addTurns(turns, r.Chain)
 	})
 	if err != nil {
 		return nil, err
 	}
-	missing := past.link(turn, turns)
+	missing := history.link(turn, turns)
 	for missing != "" {
-		if err := c.find(ctx, m, slot, missing, turns); err != nil {
+		if err := c.findTurn(ctx, m, slot, missing, turns); err != nil {
 			return nil, err
 		}
 		if turns[missing] == nil {
-			past.ChainInOtherProgram = true
-			if err := c.findAnywhere(ctx, m, missing, turns); err != nil {
+			history.ChainInOtherProgram = true
+			if err := c.findInAnySlot(ctx, m, missing, turns); err != nil {
 				return nil, err
 			}
 		}
-		missing = past.link(turn, turns)
+		missing = history.link(turn, turns)
 	}
-	return past, nil
+	return history, nil
 }
 
-func collect(turns map[string]*historypb.Turn, chain []*historypb.Turn) {
+func addTurns(turns map[string]*historypb.Turn, chain []*historypb.Turn) {
 	for _, t := range chain {
 		turns[t.Turn] = t
 	}
@@ -112,57 +112,57 @@
 
 // gather reads from active replicas of a slot until the read is complete: of a steady slot
 // from as many as that takes, and from the others where one of these fails or is late.
-func (c *Client) gather(ctx context.Context, m *placement.Map, slot uint32, build func(member string, more bool) *historypb.Read, take func(string, *historypb.Reply)) error {
+func (c *Client) readReplicas(ctx context.Context, m *placement.Map, slot uint32, build func(member string, more bool) *historypb.Read, handle func(string, *historypb.Reply)) error {
 	s := &m.Slots[slot]
-	need := m.ReadQuorum(s)
-	members := c.ranked(m, slot)
+	missing := m.ReadQuorum(s)
+	members := c.rankedReplicas(m, slot)
 	if former, needed := m.FormerMemberForRead(int(slot)); needed {
 		members = append(members, former)
-		need = len(members)
+		missing = len(members)
 	}
 	r := &round{
-		client: c, slots: m, slot: slot, members: members,
+		client: c, slotMap: m, slot: slot, members: members,
 		build: func(member string, more bool) *historypb.Request {
 			return &historypb.Request{Call: &historypb.Request_Read{Read: build(member, more)}}
 		},
-		take: func(member string, reply *historypb.Reply) bool {
-			take(member, reply)
-			need--
-			return need == 0
+		accept: func(member string, reply *historypb.Reply) bool {
+			handle(member, reply)
+			missing--
+			return missing == 0
 		},
 	}
 	first := len(r.members)
 	if m.AllowsQuorumFirst(int(slot)) {
-		first = need
+		first = missing
 	}
 	if r.run(ctx, first) {
 		return nil
 	}
-	return incomplete(r.last, "%d replicas of slot %d missing", need, slot)
+	return incompleteError(r.lastErr, "%d replicas of slot %d missing", missing, slot)
 }
 
 // find asks the replicas of a slot for a turn and those before it.
-func (c *Client) find(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) error {
+func (c *Client) findTurn(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) error {
 	c.meter.Count("history_chains", "incomplete")
-	if m.AllowsQuorumFirst(int(slot)) && c.findHome(ctx, m, slot, turn, turns) {
+	if m.AllowsQuorumFirst(int(slot)) && c.findAtPreferred(ctx, m, slot, turn, turns) {
 		return nil
 	}
-	return c.gather(ctx, m, slot,
+	return c.readReplicas(ctx, m, slot,
 		func(string, bool) *historypb.Read { return &historypb.Read{Turn: turn} },
-		func(_ string, r *historypb.Reply) { collect(turns, r.Chain) })
+		func(_ string, r *historypb.Reply) { addTurns(turns, r.Chain) })
 }
 
 // findHome asks the replica that all data centres write to for a turn, and reports whether it
 // has it: a program that comes from another data centre than before costs one chain then, and
 // not one from each replica.
-func (c *Client) findHome(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) bool {
+func (c *Client) findAtPreferred(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) bool {
 	r := &round{
-		client: c, slots: m, slot: slot, members: c.home(m, slot),
+		client: c, slotMap: m, slot: slot, members: c.preferredReplicas(m, slot),
 		build: func(string, bool) *historypb.Request {
 			return &historypb.Request{Call: &historypb.Request_Read{Read: &historypb.Read{Turn: turn}}}
 		},
-		take: func(_ string, reply *historypb.Reply) bool {
-			collect(turns, reply.Chain)
+		accept: func(_ string, reply *historypb.Reply) bool {
+			addTurns(turns, reply.Chain)
 			return true
 		},
 	}
@@ -171,43 +171,43 @@
 
 // findAnywhere asks all members for a turn that another program may have kept.
 // It fails with UnknownTurn if every slot's active replicas answered in number.
-func (c *Client) findAnywhere(ctx context.Context, m *placement.Map, turn string, turns map[string]*historypb.Turn) error {
+func (c *Client) findInAnySlot(ctx context.Context, m *placement.Map, turn string, turns map[string]*historypb.Turn) error {
 	members := make([]string, 0, len(m.Members))
 	for id := range m.Members {
 		members = append(members, id)
 	}
-	answers := c.scatter(m, 0, members, func(string) *historypb.Request {
+	replies := c.sendAll(m, 0, members, func(string) *historypb.Request {
 		return &historypb.Request{Call: &historypb.Request_Read{Read: &historypb.Read{Turn: turn, AnySlot: true}}}
 	})
 	answered := map[string]bool{}
 	for range members {
-		a := next(ctx, answers)
-		if a.err != nil {
+		answer := nextReply(ctx, replies)
+		if answer.err != nil {
 			continue
 		}
-		answered[a.member] = true
-		collect(turns, a.reply.Chain)
+		answered[answer.member] = true
+		addTurns(turns, answer.reply.Chain)
 		if turns[turn] != nil {
 			return nil
 		}
 	}
-	if !covers(m, answered) {
+	if !coversAllSlots(m, answered) {
 		return failure.New(failure.HistoryUnavailable, "turn %s not found, %d of %d members answered", turn, len(answered), len(members))
 	}
 	return failure.New(failure.UnknownTurn, "turn %s", turn)
 }
 
 // covers reports whether the members together hold every acknowledged record.
-func covers(m *placement.Map, answered map[string]bool) bool {
+func coversAllSlots(m *placement.Map, answered map[string]bool) bool {
 	for i := range m.Slots {
 		s := &m.Slots[i]
-		n := 0
+		active := 0
 		for _, r := range s.Replicas {
 			if !r.Joining && answered[r.Member] {
-				n++
+				active++
 			}
 		}
-		if former, needed := m.FormerMemberForRead(i); n < m.ReadQuorum(s) || needed && !answered[former] {
+		if former, needed := m.FormerMemberForRead(i); active < m.ReadQuorum(s) || needed && !answered[former] {
 			return false
 		}
 	}
--- a/daemon/quorum/read_test.go
+++ b/daemon/quorum/read_test.go
@@ -10,7 +10,7 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-func mapOf(hosts int) *placement.Map {
+func newMap(hosts int) *placement.Map {
 	m := placement.New(1)
 	for i := range hosts {
 		id := fmt.Sprintf("m%d", i)
@@ -20,26 +20,26 @@
 	return m
 }
 
-func TestCoversNeedsAReadQuorumOfEverySlot(t *testing.T) {
-	m := mapOf(4)
-	require.True(t, covers(m, map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true}))
-	require.True(t, covers(m, map[string]bool{"m0": true, "m1": true, "m2": true}))
-	require.False(t, covers(m, map[string]bool{"m0": true, "m1": true}), "some slot has one of these only")
+func TestCoverageNeedsReadQuorumOfEverySlot(t *testing.T) {
+	m := newMap(4)
+	require.True(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true}))
+	require.True(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true, "m2": true}))
+	require.False(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true}), "some slot has one of these only")
 	for i := range m.Slots {
 		for j := range m.Slots[i].Replicas {
 			r := &m.Slots[i].Replicas[j]
 			r.Joining = r.Member == "m0"
 		}
 	}
-	require.False(t, covers(m, map[string]bool{"m0": true, "m1": true, "m2": true}), "a joining replica does not count")
+	require.False(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true, "m2": true}), "a joining replica does not count")
 }
 
-func TestChainIsLinkedFromWhatSeveralReplicasSent(t *testing.T) {
+func TestChainIsLinkedFromTurnsOfSeveralReplicas(t *testing.T) {
 	turns := map[string]*historypb.Turn{}
-	collect(turns, []*historypb.Turn{{Turn: "c", Previous: "b"}})
+	addTurns(turns, []*historypb.Turn{{Turn: "c", Previous: "b"}})
 	p := &ProgramHistory{}
 	require.Equal(t, "b", p.link("c", turns))
-	collect(turns, []*historypb.Turn{{Turn: "b", Previous: "a"}, {Turn: "a"}})
+	addTurns(turns, []*historypb.Turn{{Turn: "b", Previous: "a"}, {Turn: "a"}})
 	require.Empty(t, p.link("c", turns))
 	require.Len(t, p.Chain, 3)
 	require.Equal(t, "a", p.Chain[2].Turn)
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -19,33 +19,33 @@
 func (c *Client) Relays() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots == nil || len(c.slots.Members) == 0 {
+	if c.slotMap == nil || len(c.slotMap.Members) == 0 {
 		return c.seeds
 	}
 	now := time.Now()
-	return c.slots.DataCentreRelays(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
+	return c.slotMap.DataCentreRelays(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
 }
 
 // AssignedPeers is the client as relay.Peers that names nobody before the slot map has slots. A seed,
 // or the first members of a map, would answer all hosts that start together, and have room and
 // time for the slot map only: everything else is asked of members once all are known. Until
 // then no host serves anyway.
-func (c *Client) AssignedPeers() relay.Peers { return membersOnly{c} }
+func (c *Client) AssignedPeers() relay.Peers { return assignedPeers{c} }
 
-type membersOnly struct{ *Client }
+type assignedPeers struct{ *Client }
 
 // Relays implements relay.Peers.
-func (m membersOnly) Relays() []string {
-	if slots := m.current(); slots == nil || !slots.IsAssigned() {
+func (p assignedPeers) Relays() []string {
+	if slotMap := p.currentMap(); slotMap == nil || !slotMap.IsAssigned() {
 		return nil
 	}
-	return m.Client.Relays()
+	return p.Client.Relays()
 }
 
 // Gathering implements relay.Peers.
-func (m membersOnly) Gathering() bool {
-	slots := m.current()
-	return slots != nil && !slots.IsAssigned()
+func (p assignedPeers) Gathering() bool {
+	slotMap := p.currentMap()
+	return slotMap != nil && !slotMap.IsAssigned()
 }
 
 // Gathering implements relay.Peers: the members of a map without slots are asked as well.
@@ -59,20 +59,20 @@
 	if slices.Contains(c.seeds, member) {
 		return relay.Ask(ctx, c.pool.Client(member), "", req, wait)
 	}
-	m := c.current()
+	m := c.currentMap()
 	if m == nil {
 		return nil, failure.New(failure.PeerUnavailable, "no slot map")
 	}
-	to, in := m.Members[member]
-	if !in {
+	to, ok := m.Members[member]
+	if !ok {
 		return nil, failure.New(failure.PeerUnavailable, "member %s is gone", member)
 	}
 	reply, err := relay.Ask(ctx, c.pool.Client(to.Address), member, req, wait)
 	switch {
 	case relay.Refused(err):
-		c.note(member, nil)
+		c.recordOutcome(member, nil)
 	case ctx.Err() == nil: // else this host gave up, and a silent connection ends by itself
-		c.note(member, err)
+		c.recordOutcome(member, err)
 	}
 	return reply, err
 }
--- a/daemon/quorum/relay_test.go
+++ b/daemon/quorum/relay_test.go
@@ -18,21 +18,21 @@
 )
 
 // Seeds are asked until a slot map tells the members; then the first of these are.
-func TestSeedsAreAskedUntilMembersAreKnown(t *testing.T) {
+func TestRelaysAreSeedsUntilMembersAreKnown(t *testing.T) {
 	c := New(&net.Dialer{}, "dc0", log.New(io.Discard), nil)
 	require.Empty(t, c.Relays())
 	c.SetSeeds([]string{"10.0.0.1:1", "10.0.0.2:1"})
 	require.Equal(t, []string{"10.0.0.1:1", "10.0.0.2:1"}, c.Relays())
 	require.Empty(t, c.AssignedPeers().Relays(), "of seeds the map is asked only")
 	require.False(t, c.AssignedPeers().Gathering(), "nobody is known")
-	text, err := json.Marshal(placement.New(1))
+	encoded, err := json.Marshal(placement.New(1))
 	require.NoError(t, err)
-	c.adopt(text, "test")
+	c.adopt(encoded, "test")
 	require.True(t, c.AssignedPeers().Gathering())
-	m := mapOf(5)
-	text, err = json.Marshal(m)
+	m := newMap(5)
+	encoded, err = json.Marshal(m)
 	require.NoError(t, err)
-	c.adopt(text, "test")
+	c.adopt(encoded, "test")
 	require.False(t, c.AssignedPeers().Gathering())
 	relays := c.Relays()
 	require.Len(t, relays, m.Quorum())
@@ -40,25 +40,25 @@
 	for _, id := range relays {
 		require.Contains(t, m.Members, id)
 	}
-	c.note(relays[0], failure.New(failure.PeerUnavailable, "silent"))
+	c.recordOutcome(relays[0], failure.New(failure.PeerUnavailable, "silent"))
 	require.NotContains(t, c.Relays(), relays[0])
 	require.Len(t, c.Relays(), m.Quorum())
 }
 
 // A host that has the answer of another member ends its call to this one: that is no sign that
 // this one is gone.
-func TestACallThatIsGivenUpSaysNothingOfTheMember(t *testing.T) {
+func TestCanceledCallDoesNotMarkMemberFailing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	m := mapOf(3)
-	x := m.Members["m1"]
-	x.Address = listener.Addr().String()
-	m.Members["m1"] = x
-	text, err := json.Marshal(m)
+	m := newMap(3)
+	member := m.Members["m1"]
+	member.Address = listener.Addr().String()
+	m.Members["m1"] = member
+	encoded, err := json.Marshal(m)
 	require.NoError(t, err)
 	c := New(&net.Dialer{}, "m0", log.New(io.Discard), nil)
-	c.adopt(text, "test")
+	c.adopt(encoded, "test")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = c.Ask(ctx, "m1", &historypb.Request{Call: &historypb.Request_ListObjects{ListObjects: &historypb.ListObjects{}}}, 0)
@@ -67,44 +67,44 @@
 }
 
 // A data centre is heard while any of its history hosts is.
-func TestDataCentreIsHeardThroughItsHistoryHosts(t *testing.T) {
+func TestDataCentreAnswersThroughItsHistoryHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(&net.Dialer{}, "m0", log.New(io.Discard), nil)
 		require.False(t, c.AnsweredWithin("m1", time.Minute), "no map")
-		text, err := json.Marshal(mapOf(3))
+		encoded, err := json.Marshal(newMap(3))
 		require.NoError(t, err)
-		c.adopt(text, "test")
+		c.adopt(encoded, "test")
 		require.False(t, c.AnsweredWithin("m1", time.Minute), "never heard")
-		c.note("m1", nil)
+		c.recordOutcome("m1", nil)
 		time.Sleep(time.Second)
 		require.True(t, c.AnsweredWithin("m1", time.Second))
 		require.False(t, c.AnsweredWithin("m1", time.Second-1))
 		require.False(t, c.AnsweredWithin("m2", time.Second), "another data centre")
-		c.note("m2", failure.New(failure.PeerUnavailable, "silent"))
+		c.recordOutcome("m2", failure.New(failure.PeerUnavailable, "silent"))
 		require.False(t, c.AnsweredWithin("m2", time.Second), "a failure is no sign of life")
 	})
 }
 
 // A host that does not reach its own data centre's history hosts is cut off alone; one that
 // does is cut off with its data centre, and so are the hosts beside it.
-func TestCutAloneOrWithTheDataCentre(t *testing.T) {
+func TestHostIsolationDiffersFromDataCentreIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		silent := failure.New(failure.PeerUnavailable, "silent")
-		for name, own := range map[string]error{"alone": silent, "with the data centre": nil} {
+		errNoAnswer := failure.New(failure.PeerUnavailable, "silent")
+		for name, ownErr := range map[string]error{"alone": errNoAnswer, "with the data centre": nil} {
 			c := New(&net.Dialer{}, "m0", log.New(io.Discard), nil)
 			require.False(t, c.IsIsolatedFromDataCentre(), "no map")
-			text, err := json.Marshal(mapOf(3))
+			encoded, err := json.Marshal(newMap(3))
 			require.NoError(t, err)
-			c.adopt(text, "test")
-			c.note("m0", own)
-			c.note("m1", silent)
-			c.note("m2", silent)
+			c.adopt(encoded, "test")
+			c.recordOutcome("m0", ownErr)
+			c.recordOutcome("m1", errNoAnswer)
+			c.recordOutcome("m2", errNoAnswer)
 			time.Sleep(time.Second)
 			require.Positive(t, c.IsolatedFor(), name)
-			require.Equal(t, own != nil, c.IsIsolatedFromDataCentre(), name)
-			c.note("m0", nil)
-			c.note("m1", nil)
-			c.judge()
+			require.Equal(t, ownErr != nil, c.IsIsolatedFromDataCentre(), name)
+			c.recordOutcome("m0", nil)
+			c.recordOutcome("m1", nil)
+			c.updateIsolation()
 			require.False(t, c.IsIsolatedFromDataCentre(), "not cut off")
 		}
 	})
--- a/daemon/quorum/round.go
+++ b/daemon/quorum/round.go
@@ -11,79 +11,79 @@
 
 // round asks members of a slot, some at first and the others where those fail or take long.
 type round struct {
-	client *Client
-	slots  *placement.Map
-	slot   uint32
+	client  *Client
+	slotMap *placement.Map
+	slot    uint32
 	// members are all that may be asked, best first.
 	members []string
 	// build makes the request to a member when that is asked; more tells that the member was
 	// not among the first.
 	build func(member string, more bool) *historypb.Request
 	// take is given the answers and reports whether they are enough.
-	take func(member string, reply *historypb.Reply) (enough bool)
+	accept func(member string, reply *historypb.Reply) (enough bool)
 
-	asked, waiting int
-	answers        chan replyFrom
-	last           error
+	sent, pending int
+	replies       chan memberReply
+	lastErr       error
 }
 
 // run asks the first members and goes on until the answers are enough. It reports whether
 // they are, or the end of the context.
 func (r *round) run(ctx context.Context, first int) (enough bool) {
-	r.answers = make(chan replyFrom, len(r.members))
-	hedge := r.begin(first)
-	defer hedge.Stop()
-	for r.waiting > 0 {
+	r.replies = make(chan memberReply, len(r.members))
+	hedgeTimer := r.sendFirst(first)
+	defer hedgeTimer.Stop()
+	for r.pending > 0 {
 		select {
-		case a := <-r.answers:
-			r.waiting--
-			if a.err == nil && r.take(a.member, a.reply) {
+		case answer := <-r.replies:
+			r.pending--
+			if answer.err == nil && r.accept(answer.member, answer.reply) {
 				return true
 			}
-			if a.err != nil {
-				r.last = a.err
-				r.ask(1, "failed")
+			if answer.err != nil {
+				r.lastErr = answer.err
+				r.sendMore(1, "failed")
 			}
-		case <-hedge.C:
-			r.ask(r.waiting, "late")
-			hedge.Reset(hedgeMost)
+		case <-hedgeTimer.C:
+			r.sendMore(r.pending, "late")
+			hedgeTimer.Reset(maxHedgeDelay)
 		case <-ctx.Done():
-			r.last = failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")
+			r.lastErr = failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")
 			return false
 		}
-		if r.waiting == 0 {
-			r.ask(len(r.members), "short")
+		if r.pending == 0 {
+			r.sendMore(len(r.members), "short")
 		}
 	}
 	return false
 }
 
 // begin asks the first members and returns the timer of the hedge.
-func (r *round) begin(first int) *time.Timer {
+func (r *round) sendFirst(first int) *time.Timer {
 	first = min(first, len(r.members))
 	var req *historypb.Request
-	for _, id := range r.members[:first] {
-		req = r.send(id, false)
+	for _, member := range r.members[:first] {
+		req = r.send(member, false)
 	}
 	if first == len(r.members) {
-		return time.NewTimer(forever)
+		return time.NewTimer(maxDuration)
 	}
-	return time.NewTimer(r.client.hedge(r.members[:first], req))
+	return time.NewTimer(r.client.hedgeDelay(r.members[:first], req))
 }
 
 // ask asks up to n more members.
-func (r *round) ask(n int, why string) {
-	n = min(n, len(r.members)-r.asked)
+func (r *round) sendMore(n int, reason string) {
+	n = min(n, len(r.members)-r.sent)
 	for range n {
-		r.client.meter.Count("history_more", why)
-		r.send(r.members[r.asked], true)
+		r.client.meter.Count("history_more", reason)
+		r.send(r.members[r.sent], true)
 	}
 }
 
-func (r *round) send(id string, more bool) *historypb.Request {
-	req := r.build(id, more)
-	r.asked++
-	r.waiting++
-	r.client.send(r.slots, r.slot, id, req, r.answers)
+func (r *round) send(member string, additional bool) *historypb.Request {
+	req := r.build(member, additional)
+	r.sent++
+	r.pending++
+	r.client.send(r.slotMap, r.slot, member, req, r.replies)
 	return req
 }
--- a/daemon/quorum/state.go
+++ b/daemon/quorum/state.go
@@ -35,25 +35,25 @@
 // State returns a dump of the client.
 func (c *Client) State() State {
 	now := time.Now()
-	s := State{IsolatedMs: c.IsolatedFor().Milliseconds(), Traffic: c.traffic.account()}
+	s := State{IsolatedMs: c.IsolatedFor().Milliseconds(), Traffic: c.traffic.byKind()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.slots
+	m := c.slotMap
 	if m == nil {
 		return s
 	}
-	s.Epoch, s.UnservableSlots = m.Epoch, c.unservable(m, now)
-	for id, x := range m.Members {
-		s.Members = append(s.Members, c.memberState(id, x, now))
+	s.Epoch, s.UnservableSlots = m.Epoch, c.countUnservableSlots(m, now)
+	for id, member := range m.Members {
+		s.Members = append(s.Members, c.memberState(id, member, now))
 	}
 	slices.SortFunc(s.Members, func(a, b MemberState) int { return strings.Compare(a.Host, b.Host) })
 	return s
 }
 
-func (c *Client) memberState(id string, m placement.Member, now time.Time) MemberState {
-	s := MemberState{Member: id, Host: m.Host, DataCentre: m.DataCentre, Address: m.Address, LastAnswerAgeMs: -1}
-	if h := c.health[id]; h != nil && !h.heard.IsZero() {
-		s.LastAnswerAgeMs = now.Sub(h.heard).Milliseconds()
+func (c *Client) memberState(id string, member placement.Member, now time.Time) MemberState {
+	s := MemberState{Member: id, Host: member.Host, DataCentre: member.DataCentre, Address: member.Address, LastAnswerAgeMs: -1}
+	if h := c.health[id]; h != nil && !h.answeredAt.IsZero() {
+		s.LastAnswerAgeMs = now.Sub(h.answeredAt).Milliseconds()
 	}
 	s.FailingForMs = c.failingFor(id, now).Milliseconds()
 	return s
@@ -61,13 +61,13 @@
 
 // unservable counts the common slots that cannot be served; the caller holds mu. Those of other
 // regions say nothing of whether this host is cut off.
-func (c *Client) unservable(m *placement.Map, now time.Time) int {
+func (c *Client) countUnservableSlots(m *placement.Map, now time.Time) int {
 	if !m.IsAssigned() {
 		return len(m.GlobalSlots())
 	}
 	n := 0
 	for i := range m.GlobalSlots() {
-		if !c.servable(m, i, now) {
+		if !c.isSlotServable(m, i, now) {
 			n++
 		}
 	}
--- a/daemon/quorum/traffic.go
+++ b/daemon/quorum/traffic.go
@@ -10,7 +10,7 @@
 	near, far rpc.Traffic
 }
 
-func (t *traffic) serve(m *meter.Meter) {
+func (t *traffic) registerGauges(m *meter.Meter) {
 	t.near.Register(m, "history_near")
 	t.far.Register(m, "history_far")
 }
@@ -20,9 +20,9 @@
 func (c *Client) trafficOf(address string) *rpc.Traffic {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots != nil {
-		for _, m := range c.slots.Members {
-			if m.Address == address && m.DataCentre == c.dataCentre {
+	if c.slotMap != nil {
+		for _, member := range c.slotMap.Members {
+			if member.Address == address && member.DataCentre == c.dataCentre {
 				return &c.traffic.near
 			}
 		}
@@ -41,8 +41,8 @@
 }
 
 // account sums up the bytes by kind, without the kinds that were not used.
-func (t *traffic) account() []CallTraffic {
-	var list []CallTraffic
+func (t *traffic) byKind() []CallTraffic {
+	var kinds []CallTraffic
 	for _, k := range rpc.Kinds() {
 		b := CallTraffic{
 			Kind:      k.String(),
@@ -50,8 +50,8 @@
 			FarCalls: t.far.Calls(k), FarBytes: t.far.Sent(k) + t.far.Received(k),
 		}
 		if b.NearBytes+b.FarBytes > 0 {
-			list = append(list, b)
+			kinds = append(kinds, b)
 		}
 	}
-	return list
+	return kinds
 }
