--- a/daemon/quorum/client.go
+++ b/daemon/quorum/client.go
@@ -1,7 +1,9 @@
-// Package quorum is the entry host's side of the programs' history: it writes
-// records to the replicas of a program's slot and reads from them, as the slot
-// map says. A write is done when the map says that enough replicas have it on
-// disk; a read is complete when enough active replicas have answered.
+// Package quorum is the entry hosts' client of the history hosts. It writes records to the
+// replicas of a program's slot and reads from them, according to the slot map. A write is
+// durable when enough replicas, as the map defines them, have it on disk; a read is complete
+// when enough active replicas have answered. The client also takes tokens of quotas from
+// members, exchanges target loads with the board, probes members and reaches the platform's
+// relays.
 package quorum
 
 import (
@@ -22,34 +24,35 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// Client reaches the history hosts. Safe for concurrent use.
+// Client calls the history hosts. Each disk of a history host is one member of the slot map.
+// Safe for concurrent use once it is configured by SetTimeouts and SetSeeds.
 type Client struct {
 	pool       *rpc.Pool
 	dataCentre string
 	logger     *log.Logger
 	meter      *meter.Meter
 	traffic    traffic
-	// seeds are addresses of history hosts from the settings.
+	// seeds holds addresses of history hosts from the settings.
 	seeds     []string
 	startedAt time.Time
-	// callTimeout is that of the package unless Patient says otherwise.
+	// callTimeout is defaultCallTimeout unless SetTimeouts changed it.
 	callTimeout time.Duration
 
 	mu      sync.Mutex
 	slotMap *placement.Map
 	health  map[string]*memberHealth // by member
-	// watch is the members that are asked for signs of life.
+	// probed holds the members that are probed whether or not there are requests for them.
 	probed probeSet
-	// order says whom to ask for tokens of quotas.
+	// selector chooses the members to ask for tokens of quotas.
 	selector *quota.MemberSelector
-	// rotation spreads questions for tokens over the members of other data centres.
+	// tokenRotation spreads token requests over the replicas of a slot.
 	tokenRotation int
-	// isolated is since when most slots cannot be served.
+	// isolatedSince is the time since which most global slots are not servable; zero if they are.
 	isolatedSince time.Time
 }
 
-// New returns a client without a slot map. Replicas of dataCentre are read first; m
-// may be nil.
+// New returns a client without a slot map. dataCentre is this host's own, whose replicas are
+// asked first. m may be nil.
 func New(dialer rpc.Dialer, dataCentre string, logger *log.Logger, m *meter.Meter) *Client {
 	c := &Client{pool: rpc.NewPool(dialer), dataCentre: dataCentre, logger: logger, meter: m, health: map[string]*memberHealth{}, selector: quota.NewMemberSelector(), startedAt: time.Now(), callTimeout: defaultCallTimeout, probed: newProbeSet()}
 	c.pool.TrafficOf = c.trafficOf
@@ -59,7 +62,7 @@
 	return c
 }
 
-// epoch is that of the slot map in use, 0 without one.
+// epoch returns the epoch of the slot map in use, or 0 without one.
 func (c *Client) epoch() uint64 {
 	if m := c.currentMap(); m != nil {
 		return m.Epoch
@@ -67,7 +70,7 @@
 	return 0
 }
 
-// Ready reports whether a slot map with replicas is known.
+// Ready reports whether a slot map with assigned replicas is known.
 func (c *Client) Ready() bool {
 	m := c.currentMap()
 	return m != nil && m.IsAssigned()
@@ -79,7 +82,8 @@
 	return c.slotMap
 }
 
-// adopt takes the map if it is newer than the one in use.
+// adopt decodes a slot map from JSON and uses it if it is newer than the one in use. source is
+// logged.
 func (c *Client) adopt(encoded []byte, source string) {
 	m := &placement.Map{}
 	if err := json.Unmarshal(encoded, m); err != nil {
@@ -97,7 +101,8 @@
 	c.logger.Info("slot map adopted", "epoch", m.Epoch, "source", source)
 }
 
-// drop forgets members that are gone.
+// dropRemovedMembers deletes the health of members that are not in the map and closes the
+// connections to their addresses; the caller holds mu.
 func (c *Client) dropRemovedMembers(m *placement.Map) {
 	addresses := map[string]bool{}
 	for _, member := range m.Members {
@@ -127,14 +132,15 @@
 	}
 }
 
-// Lost implements objects.Listener. The map in use stays: history hosts hand out
-// a newer one themselves.
+// Lost implements objects.Listener. The map in use stays: history hosts send a newer one with
+// the reply to a request of a stale epoch.
 func (c *Client) Lost(err error) {
 	c.logger.Warn("platform does not answer", "kind", "history", "error", err.Error())
 }
 
-// SelectRegion returns the region in which what may be kept only in allowed ones is kept, with own
-// that of this host; ok is false where no member is in any of them.
+// SelectRegion returns the region that stores the history of a program that may be stored in
+// allowed regions only. own is the region of this host. ok is false if no allowed region has a
+// member or no slot map is known.
 func (c *Client) SelectRegion(own string, allowed func(region string) bool) (region string, ok bool) {
 	m := c.currentMap()
 	if m == nil {
@@ -143,25 +149,26 @@
 	return m.SelectRegion(own, allowed)
 }
 
-// replyFrom is the answer of one member.
+// memberReply is the result of a call to one member.
 type memberReply struct {
 	member string
 	reply  *historypb.Reply
 	err    error
 }
 
-// callTimeout bounds one call to a member. It outlives the request that made it:
-// a member that never answers is found out also where others were enough.
+// defaultCallTimeout bounds one call to a member. The call outlives the request that made it, so
+// that a member that never answers is detected even if the replies of others were enough.
 const defaultCallTimeout = time.Second
 
-// SetTimeouts lets members be silent for longer than a deployment's may, and calls take as long,
-// before the client is used: for tests, on machines that are busy with other work.
+// SetTimeouts sets the silence timeout of connections and the timeout of calls to members. It is
+// called before the client is used, by tests on machines that are busy with other work, where
+// members are silent for longer than in a deployment.
 func (c *Client) SetTimeouts(timeout time.Duration) {
 	c.pool.SilenceTimeout, c.callTimeout = timeout, timeout
 }
 
-// scatter sends a request to each of the members and returns their answers as
-// they come. The request for a member is made by build.
+// sendAll sends the request that build returns to each of the members. The channel delivers
+// their replies as they arrive.
 func (c *Client) sendAll(m *placement.Map, slot uint32, members []string, build func(member string) *historypb.Request) <-chan memberReply {
 	replies := make(chan memberReply, len(members))
 	for _, id := range members {
@@ -170,7 +177,9 @@
 	return replies
 }
 
-// send sends a request to one member; its answer goes to answers, which must have room.
+// send sends a request to one member. The reply goes to replies, which must have buffer space
+// for it. It records the outcome and duration of the call, and adopts the slot map of a member
+// that answers with a stale epoch.
 func (c *Client) send(m *placement.Map, slot uint32, member string, req *historypb.Request, replies chan<- memberReply) {
 	req.Member, req.Slot, req.Epoch = member, slot, m.Epoch
 	client := c.pool.Client(m.Members[member].Address)
@@ -193,35 +202,36 @@
 	}()
 }
 
-// next waits for an answer; the end of the context counts as a failed one.
+// nextReply waits for a reply; the end of the context counts as a failed one.
 func nextReply(ctx context.Context, replies <-chan memberReply) memberReply {
 	select {
 	case a := <-replies:
 		return a
 	case <-ctx.Done():
-		return memberReply{err: failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")}
+		return memberReply{err: failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for the reply of a member")}
 	}
 }
 
-// retryPause is between two tries with the replicas of a slot: long enough for a
-// process that was killed to be back, short against a caller's patience.
+// retryDelay is the delay between two attempts with the replicas of a slot: long enough for a
+// killed process to restart, and short against the time a caller waits.
 const retryDelay = 50 * time.Millisecond
 
-// retentionSlack covers clocks of hosts that differ or jump by some seconds.
+// retentionSlack allows for clocks of hosts that differ or jump by some seconds.
 const retentionSlack = 15 * time.Second
 
-// Write makes records of one program durable; the program is kept for retention
-// from now on. Write goes on trying until the context ends; records may be
-// written more than once.
+// Write makes records of one program durable. The program is stored for retention from now on.
+// Write retries until the context ends, and then returns the last failure, HistoryUnavailable.
+// A record may be written more than once.
 func (c *Client) Write(ctx context.Context, program string, retention time.Duration, records ...*historypb.Record) error {
 	return c.WriteUnlessUnreachable(ctx, maxDuration, program, retention, records...)
 }
 
-// forever is longer than any cut.
+// maxDuration is longer than any outage.
 const maxDuration = time.Duration(math.MaxInt64)
 
-// WriteUnlessUnreachable is Write that gives up once the program has been out of reach for a while: a
-// caller who is told so finds another host, one who waits loses that time as well.
+// WriteUnlessUnreachable is like Write but gives up once the program's slot has been unservable
+// for longer than unreachableTimeout, because of a network partition for instance: a caller that
+// receives the failure can try another host, while one that waits loses that time as well.
 func (c *Client) WriteUnlessUnreachable(ctx context.Context, unreachableTimeout time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
 	expiresMs := time.Now().Add(retention + retentionSlack).UnixMilli()
 	for _, r := range records {
@@ -241,6 +251,7 @@
 	}
 }
 
+// waitRetryDelay waits for retryDelay and reports whether the context still runs.
 func waitRetryDelay(ctx context.Context) bool {
 	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
@@ -262,7 +273,7 @@
 		return failure.New(failure.HistoryUnavailable, "no member in the region of %q", records[0].Program)
 	}
 	for _, r := range records {
-		if r.Slot != slot { // an earlier try may still be sending them
+		if r.Slot != slot { // no write if equal: an earlier attempt may still be sending the record
 			r.Slot = slot
 		}
 	}
@@ -281,11 +292,11 @@
 	if r.run(ctx, first) {
 		return nil
 	}
-	return incompleteError(r.lastErr, "%d of %d replicas of slot %d wrote", len(acks), len(members), slot)
+	return incompleteError(r.lastErr, "write acknowledged by %d of %d replicas of slot %d", len(acks), len(members), slot)
 }
 
-// writeTo returns the replicas that a write goes to, and how many of them it goes to at
-// first: a quorum of a steady slot, the nearest, and all of any other.
+// writeMembers returns the replicas that may be sent a write, and the number of those that are
+// sent it first: the nearest quorum if the slot allows a quorum first, else all replicas.
 func (c *Client) writeMembers(m *placement.Map, slot uint32) (members []string, first int) {
 	if m.AllowsQuorumFirst(int(slot)) {
 		return c.rankedReplicas(m, slot), m.Quorum()
@@ -296,8 +307,9 @@
 	return members, len(members)
 }
 
-// incomplete is the failure of an operation that not enough replicas took part in. There
-// may be no other error: where no replica is active, all that answer are too few.
+// incompleteError returns the failure of an operation that too few replicas answered. last is
+// the last error of a member; it is nil if all answered but were too few, as in a slot without
+// active replicas.
 func incompleteError(last error, format string, args ...any) error {
 	if last == nil {
 		return failure.New(failure.HistoryUnavailable, format, args...)
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -9,37 +9,40 @@
 )
 
 const (
-	// probeEvery paces the probes of members that do not answer, or that were not
-	// heard of lately.
+	// probeInterval is the interval between probes of members that do not answer, and between
+	// checks for members that have not answered within maxSilence.
 	probeInterval = 250 * time.Millisecond
-	// quietFor is how long a member may go unheard before it is probed, so that a
+	// maxSilence is the time since a member's last answer after which it is probed, so that a
 	// host without traffic knows whether it could serve.
 	maxSilence = time.Second
-	// suspectFor is the same once another member was lost: a cut takes a whole data centre
-	// mostly, and a host with few requests would find out member by member, while its
-	// callers are refused and the balancer goes on sending them.
+	// maxSilenceAfterFailure replaces maxSilence when another member starts to fail. A network
+	// partition mostly affects a whole data centre, and a host with few requests would detect
+	// it member by member, while its requests are refused and the balancer sends it more.
 	maxSilenceAfterFailure = 100 * time.Millisecond
-	// doubtFor is how long members must fail before requests are refused without
-	// asking them: a host that is cut off tells the balancer so without waiting for each
-	// request to time out, and its callers are sent elsewhere that much sooner.
+	// failureWindow is how long members must fail before requests are refused without sending
+	// to them. An isolated host then tells the balancer so without waiting for each request to
+	// time out, and its callers reach another host that much sooner.
 	failureWindow = 60 * time.Millisecond
-	// unwatchedEvery paces the probes of a member that fails and is not watched: each host
-	// that had a request for it asks until it answers.
+	// onDemandProbeInterval is the interval between probes of a failing member outside the probe
+	// set. It is longer than probeInterval since each host that had a request for the member
+	// probes it until it answers.
 	onDemandProbeInterval = time.Second
-	// idleConnection is after which time without calls the connection to a member is closed:
-	// hosts with few requests would else come to keep one to each member.
+	// idleConnectionTimeout is the time without calls after which the connection to a member is
+	// closed. Otherwise hosts with few requests would end up with one to each member.
 	idleConnectionTimeout = 10 * time.Second
 )
 
-// health is what the client knows of one member.
+// memberHealth is the state of one member as the client's calls show it.
 type memberHealth struct {
-	answeredAt   time.Time // last answer
-	failingSince time.Time // first failure since, zero if none
-	probedAt     time.Time // last probe of one that fails and is not watched
+	answeredAt   time.Time // time of the last answer, zero if none
+	failingSince time.Time // first failure since the last answer, zero if none
+	probedAt     time.Time // last probe while failing, of a member outside the probe set
 	durations    callDurations
 }
 
-// note records the outcome of a call to a member.
+// recordOutcome records the outcome of a call to a member; nil means that it answered. When a
+// member starts to fail, probed members that have been silent for maxSilenceAfterFailure are probed
+// at once, and the isolation of this host is updated after failureWindow.
 func (c *Client) recordOutcome(id string, err error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -64,8 +67,9 @@
 	}
 }
 
-// failingFor is how long a member has failed; 0 if it has not. One that is not watched and was
-// not heard lately fails for as long as all watched ones of its data centre do.
+// failingFor returns how long a member has been failing, or 0 if it is not. A member outside the
+// probe set that has not answered within maxSilence counts as failing for as long as all probed
+// members of its data centre fail. The caller holds mu.
 func (c *Client) failingFor(id string, now time.Time) time.Duration {
 	h := c.health[id]
 	if h != nil && !h.failingSince.IsZero() {
@@ -81,7 +85,7 @@
 	return now.Sub(since)
 }
 
-// AnsweredWithin reports whether any history host of a data centre was heard within d.
+// AnsweredWithin reports whether any history host of a data centre has answered within window.
 func (c *Client) AnsweredWithin(dataCentre string, window time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +101,8 @@
 	return false
 }
 
-// servable reports whether enough replicas of the slot are not known to fail.
+// isSlotServable reports whether enough replicas for a read and a write of the slot have not
+// failed for longer than failureWindow; the caller holds mu.
 func (c *Client) isSlotServable(m *placement.Map, slot int, now time.Time) bool {
 	if former, needed := m.FormerMemberForRead(slot); needed && c.failingFor(former, now) > failureWindow {
 		return false
@@ -117,8 +122,8 @@
 	return m.IsWriteDurable(s, answering) && active >= m.ReadQuorum(s)
 }
 
-// IsServable reports whether turns of the program could be served now, as far as
-// is known.
+// IsServable reports whether turns of the program could be served now, according to the known
+// state of the members.
 func (c *Client) IsServable(program string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +135,9 @@
 	return ok && c.isSlotServable(m, int(slot), time.Now())
 }
 
-// outOfReach returns for how long the program's slot has not been servable, by what is
-// known now; 0 if it may be.
+// unreachableFor returns for how long the program's slot has not been servable, counted from the
+// latest failure of its replicas; 0 if it may be servable, and maxDuration if no member is in the
+// program's region.
 func (c *Client) unreachableFor(program string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +172,7 @@
 	return max(shortest, 1)
 }
 
-// IsolatedFor returns how long most slots have not been servable; 0 if they are.
+// IsolatedFor returns how long most global slots have not been servable, or 0 if they are.
 func (c *Client) IsolatedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,8 +182,9 @@
 	return time.Since(c.isolatedSince)
 }
 
-// IsIsolatedFromDataCentre reports whether this host is cut off and others of its data centre most likely are
-// not: it does not reach the history hosts of its own data centre either.
+// IsIsolatedFromDataCentre reports whether this host is isolated and cannot reach the history hosts
+// of its own data centre either. The other hosts of the data centre are most likely not isolated
+// then.
 func (c *Client) IsIsolatedFromDataCentre() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,12 +205,13 @@
 	return failing > 0
 }
 
-// takeoverTime is how long history hosts take to go on without a data centre that is
-// silent; see placement.Map.Demote.
+// demotionDelay is how long history hosts take to continue without a data centre that is silent;
+// see placement.Map.Demote.
 const demotionDelay = 1200 * time.Millisecond
 
-// TimeUntilDemotion is how long most slots will take to be servable again because the history
-// hosts at hand are about to go on without the others; 0 if that is not expected.
+// TimeUntilDemotion returns how long it will take until most global slots are servable again
+// because the reachable history hosts demote the replicas of a silent data centre; 0 if no
+// demotion is expected or it is overdue.
 func (c *Client) TimeUntilDemotion() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +236,8 @@
 	return max(0, demotionDelay-now.Sub(c.isolatedSince))
 }
 
-// judge notes whether the host is isolated from the history hosts.
+// updateIsolation updates since when this host is isolated from the history hosts: more than half
+// of the global slots are not servable.
 func (c *Client) updateIsolation() {
 	now := time.Now()
 	c.mu.Lock()
@@ -250,7 +259,8 @@
 	}
 }
 
-// Run probes members until the context ends.
+// Run probes members and closes idle connections until the context ends, and then closes all
+// connections.
 func (c *Client) Run(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -267,7 +277,8 @@
 	}
 }
 
-// probe asks the members that fail and the watched ones that were not heard of for quiet.
+// probeMembers sends a ping to the members that fail and to those of the probe set that have not
+// answered within maxSilence.
 func (c *Client) probeMembers(maxSilence time.Duration) {
 	m := c.currentMap()
 	if m == nil {
@@ -287,7 +298,8 @@
 	})
 }
 
-// due reports whether a member is to be asked for a sign of life; the caller holds mu.
+// isProbeDue reports whether a member is to be probed. For a failing member outside the probe set
+// it records the probe. The caller holds mu.
 func (c *Client) isProbeDue(id string, maxSilence time.Duration, now time.Time) bool {
 	h := c.health[id]
 	if c.probed.members[id] {
--- a/daemon/quorum/incomplete_test.go
+++ b/daemon/quorum/incomplete_test.go
@@ -13,8 +13,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// Where no replica of a slot is active, answers of all of them are too few: a write
-// that all took and a read that nobody was asked for have not succeeded.
+// If no replica of a slot is active, the answers of all replicas are too few: a write that all
+// of them stored and a read for which none was asked must fail with HistoryUnavailable.
 func TestReadAndWriteFailWithoutActiveReplicas(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/daemon/quorum/loads.go
+++ b/daemon/quorum/loads.go
@@ -10,9 +10,9 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// Board returns the member to which hosts of this data centre tell what they see of the
-// targets: of its members that this host sees alive the one with the lowest id, so that hosts
-// agree without a word. ok is false where there is none.
+// Board returns the member to which the hosts of this data centre send their host reports: of the
+// data centre's members that do not fail, the one with the lowest id, so that hosts agree without
+// communication. ok is false if there is none.
 func (c *Client) Board() (board placement.Member, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,12 +31,13 @@
 	return board, ok
 }
 
-// ExchangeLoads tells the board what this host sees of the targets. A member that does not
-// answer is asked no more until it answers probes.
+// ExchangeLoads sends a host report to the board and returns its reply. A member that does not
+// answer is not asked again until it answers a probe. It fails with PeerUnavailable if there is
+// no board, or if the board sends no loads.
 func (c *Client) ExchangeLoads(ctx context.Context, report loads.HostReport) (loads.Reply, error) {
 	board, ok := c.Board()
 	if !ok {
-		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s", c.dataCentre)
+		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s answers", c.dataCentre)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
@@ -50,7 +51,7 @@
 		return loads.Reply{}, err
 	}
 	if reply.GetLoads() == nil {
-		return loads.Reply{}, failure.New(failure.PeerUnavailable, "member %s keeps no loads: %s", board.ID, reply.Status)
+		return loads.Reply{}, failure.New(failure.PeerUnavailable, "member %s sent no loads: status %s", board.ID, reply.Status)
 	}
 	return loads.DecodeReply(reply.Loads), nil
 }
--- a/daemon/quorum/loads_test.go
+++ b/daemon/quorum/loads_test.go
@@ -14,11 +14,11 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// The board is the first member of the own data centre that answers, never one of another.
+// The board is the first member by id of the own data centre that answers, never one of another.
 func TestBoardIsFirstAnsweringMemberOfOwnDataCentre(t *testing.T) {
 	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
 	_, ok := c.Board()
-	require.False(t, ok, "no map")
+	require.False(t, ok, "no slot map is known")
 	m := placement.New(1)
 	for id, dataCentre := range map[string]string{"m0": "b", "m1": "a", "m2": "a"} {
 		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dataCentre})
@@ -40,5 +40,5 @@
 	require.True(t, failure.Is(err, failure.PeerUnavailable))
 	c.recordOutcome("m1", nil)
 	board, _ := c.Board()
-	require.Equal(t, "m1", board.ID, "it answers again")
+	require.Equal(t, "m1", board.ID, "the member answers again")
 }
--- a/daemon/quorum/probeset.go
+++ b/daemon/quorum/probeset.go
@@ -8,19 +8,19 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// watch is which members are asked for signs of life: where members are many, each host watches
-// a few of each data centre.
+// probeSet holds the members that this host probes whether or not it has requests for them. If there
+// are many members, each host probes a few of each data centre.
 type probeSet struct {
-	// name sets the choice of this host apart from those of others.
+	// host is a random id by which this host's choice differs from that of others.
 	host    string
 	members map[string]bool
-	// centres is the same by data centre.
+	// byDataCentre holds the same members by data centre.
 	byDataCentre map[string][]string
 }
 
 func newProbeSet() probeSet { return probeSet{host: strconv.FormatUint(rand.Uint64(), 36)} }
 
-// over chooses the members to watch of a slot map.
+// choose selects the members of a slot map to probe. dataCentre is this host's own.
 func (p *probeSet) choose(m *placement.Map, dataCentre string) {
 	p.members = m.ProbedByHost(p.host, dataCentre)
 	p.byDataCentre = map[string][]string{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// centreFailing is since when all watched members of a member's data centre fail, zero if one
-// of them does not; the caller holds mu.
+// dataCentreFailingSince returns the time since which all probed members of a member's data centre
+// have been failing, or zero if one of them is not; the caller holds mu.
 func (c *Client) dataCentreFailingSince(id string) time.Time {
 	var latest time.Time
 	if c.slotMap == nil {
--- a/daemon/quorum/probeset_test.go
+++ b/daemon/quorum/probeset_test.go
@@ -17,7 +17,7 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// hanging dials nobody.
+// hangingDialer never connects: a dial hangs until its context ends.
 type hangingDialer struct{}
 
 func (hangingDialer) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -25,7 +25,8 @@
 	return nil, ctx.Err()
 }
 
-// clientOf returns the client of a host in dc0 that knows members spread over data centres.
+// newClient returns the client of a host in dc0 and its slot map, with members spread over data
+// centres dc0, dc1, ...
 func newClient(t *testing.T, members, dataCentres int) (*Client, *placement.Map) {
 	m := placement.New(2)
 	for i := range members {
@@ -40,21 +41,21 @@
 	return c, m
 }
 
-// isDue is due for whoever does not hold mu.
+// checkProbeDue calls isProbeDue with mu held.
 func (c *Client) checkProbeDue(id string, maxSilence time.Duration, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isProbeDue(id, maxSilence, now)
 }
 
-// fails is failingFor for whoever does not hold mu.
+// checkFailingFor calls failingFor with mu held.
 func (c *Client) checkFailingFor(id string, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failingFor(id, now)
 }
 
-// dueAtRest is how many members a host without requests asks for signs of life.
+// probesDueWhenIdle returns the number of members that a host without requests probes.
 func probesDueWhenIdle(c *Client, m *placement.Map) int {
 	n := 0
 	for id := range m.Members {
@@ -65,7 +66,7 @@
 	return n
 }
 
-// What a host asks at rest does not grow with the members.
+// The probes of an idle host do not grow with the number of members.
 func TestIdleHostProbesFewOfManyMembers(t *testing.T) {
 	for _, members := range []int{4, 12, 24, 60, 120, 240, 480} {
 		c, m := newClient(t, members, 6)
@@ -80,22 +81,22 @@
 
 var errNoAnswer = failure.New(failure.PeerUnavailable, "silent")
 
-// lose lets all members of some data centres fail, as far as the host watches them.
+// failDataCentres records a failure of all probed members of some data centres.
 func (c *Client) failDataCentres(m *placement.Map, dataCentres ...string) {
-	for _, dc := range dataCentres {
+	for _, dataCentre := range dataCentres {
 		for id := range m.Members {
-			if m.Members[id].DataCentre == dc && c.probed.members[id] {
+			if m.Members[id].DataCentre == dataCentre && c.probed.members[id] {
 				c.recordOutcome(id, errNoAnswer)
 			}
 		}
 	}
 }
 
-// A host that is cut off from all members must know it by the few that it watches: it is not
-// ready then, and callers are sent elsewhere.
+// A host that is isolated from all members must detect it by the few that it probes, so that it
+// stops being ready and callers are sent to other hosts.
 func TestHostWithoutAnsweringProbedMemberIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Minute) // calls under way end by themselves
+		defer time.Sleep(time.Minute) // calls in flight end at their timeouts
 		c, m := newClient(t, 120, 6)
 		c.failDataCentres(m, "dc0", "dc1", "dc2", "dc3", "dc4", "dc5")
 		time.Sleep(2 * failureWindow)
@@ -111,25 +112,26 @@
 	})
 }
 
-// One data centre that is cut off has at most one replica of each slot.
+// With members in six data centres, each of these holds at most one replica of a slot, so the loss
+// of one must not isolate a host.
 func TestLossOfOneDataCentreDoesNotIsolate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Minute) // calls under way end by themselves
+		defer time.Sleep(time.Minute) // calls in flight end at their timeouts
 		c, m := newClient(t, 120, 6)
 		c.failDataCentres(m, "dc3")
 		time.Sleep(2 * failureWindow)
 		c.updateIsolation()
 		require.Zero(t, c.IsolatedFor())
 		for id, member := range m.Members {
-			require.Equal(t, member.DataCentre == "dc3", c.checkFailingFor(id, time.Now()) > 0, "unwatched members of dc3 are asked last")
+			require.Equal(t, member.DataCentre == "dc3", c.checkFailingFor(id, time.Now()) > 0, "unprobed members of dc3 count as failing too, and are asked last")
 		}
 	})
 }
 
-// One watched member that fails says nothing of the others of its data centre.
+// A failing probed member must not make the other members of its data centre count as failing.
 func TestFailingMemberDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Minute) // calls under way end by themselves
+		defer time.Sleep(time.Minute) // calls in flight end at their timeouts
 		c, m := newClient(t, 120, 6)
 		failed := c.probed.byDataCentre["dc0"][0]
 		c.recordOutcome(failed, errNoAnswer)
@@ -139,11 +141,11 @@
 	})
 }
 
-// A member that is not watched is asked while it fails, seldom: all hosts that had a request
-// for it do so.
+// A failing member outside the probe set is probed at the longer interval, since all hosts that
+// had a request for it probe it.
 func TestUnprobedFailingMemberIsProbedSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Minute) // calls under way end by themselves
+		defer time.Sleep(time.Minute) // calls in flight end at their timeouts
 		c, m := newClient(t, 120, 6)
 		var unprobed string
 		for id := range m.Members {
--- a/daemon/quorum/rank.go
+++ b/daemon/quorum/rank.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// hedgeFactor is how many times its usual time a member may take until another one is
-	// asked as well: rare with all well, and soon with one that is not.
+	// hedgeDelayFactor is how many times its average duration a call may take until another
+	// member is asked as well: few second requests while all members are healthy, and an early
+	// one while a member is not.
 	hedgeDelayFactor = 3
-	// hedgeLeast is above a round trip between data centres with a sync, hedgeMost below what
-	// a caller notices.
+	// minHedgeDelay is above a round trip between data centres with a disk sync. maxHedgeDelay is
+	// below a delay that a caller notices.
 	minHedgeDelay, maxHedgeDelay = 6 * time.Millisecond, 30 * time.Millisecond
-	// latencyWeight is the weight of the newest of the times that a member took.
+	// averageDivisor is the divisor of the moving average of a member's call durations: the
+	// newest duration has a weight of 1/8.
 	averageDivisor = 8
-	// slowFactor and slowFloor are by how much the writes of a member take longer than those
-	// of the fastest replica until the others are asked before it.
+	// A member is slow, and ranks after the others, if its writes take longer on average than
+	// slowFactor times those of the fastest replica plus slowMargin.
 	slowFactor, slowMargin = 2, 4 * time.Millisecond
 )
 
-// took is how long calls to a member usually take; 0 if that is not known.
+// callDurations holds the average durations of calls to a member; 0 if unknown.
 type callDurations struct {
 	write, read time.Duration
 }
 
-// of returns the part for a kind of request, nil for kinds that are not timed.
-func (t *callDurations) ofKind(req *historypb.Request) *time.Duration {
+// ofKind returns the average for the request's kind of call, nil for kinds without one.
+func (d *callDurations) ofKind(req *historypb.Request) *time.Duration {
 	switch req.Call.(type) {
 	case *historypb.Request_Write:
-		return &t.write
+		return &d.write
 	case *historypb.Request_Read:
-		return &t.read
+		return &d.read
 	}
 	return nil
 }
 
-// observe notes how long an answered call to a member took.
-func (c *Client) recordDuration(id string, req *historypb.Request, d time.Duration) {
+// recordDuration adds the duration of an answered call to the member's average.
+func (c *Client) recordDuration(id string, req *historypb.Request, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.health[id]
@@ -52,15 +54,15 @@
 	if average == nil {
 		return
 	}
-	d = min(d, 2*maxHedgeDelay) // one stall is not what is usual
+	duration = min(duration, 2*maxHedgeDelay) // so that a single stall does not dominate the average
 	if *average == 0 {
-		*average = d
+		*average = duration
 		return
 	}
-	*average += (d - *average) / averageDivisor
+	*average += (duration - *average) / averageDivisor
 }
 
-// Ranks of members, by which they are asked.
+// Ranks of members; those of a lower rank are asked first.
 const (
 	rankNear = iota
 	rankFar
@@ -68,19 +70,23 @@
 	rankFailing
 )
 
-// ranked returns the active replicas of a slot in the order in which they are asked: those of this data
-// centre first, then the others, those that are slow or do not answer last. Within a rank all
-// hosts have the same order, so that what one has written is where the next one asks.
+// rankedReplicas returns the active replicas of a slot in the order in which this host asks them:
+// those of this data centre, those of others, the slow ones and the failing ones. Within a rank
+// the order is the same on all hosts, so that a host first asks the replicas to which another one
+// has written.
 func (c *Client) rankedReplicas(m *placement.Map, slot uint32) []string {
 	return c.sortedReplicas(m, slot, func(rank int) int { return rank })
 }
 
-// home returns the active replicas of a slot in the order of all data centres: a write from
-// any of them goes to the first, unless that is slow or does not answer.
+// preferredReplicas returns the active replicas of a slot in an order that is the same in all data
+// centres. The first is the preferred replica: writes from every data centre go to it, unless it
+// is slow or does not answer.
 func (c *Client) preferredReplicas(m *placement.Map, slot uint32) []string {
 	return c.sortedReplicas(m, slot, func(rank int) int { return max(rank, rankFar) })
 }
 
+// sortedReplicas returns the active replicas of a slot by rank, after adjustRank, and then by a
+// hash that is the same on all hosts.
 func (c *Client) sortedReplicas(m *placement.Map, slot uint32, adjustRank func(rank int) int) []string {
 	type rankedReplica struct {
 		member string
@@ -109,7 +115,7 @@
 	return members
 }
 
-// rank is that of one member; the caller holds mu.
+// rankOf returns the rank of one member; the caller holds mu.
 func (c *Client) rankOf(m *placement.Map, member string, fastestWrite time.Duration, now time.Time) int {
 	h := c.health[member]
 	switch {
@@ -123,8 +129,8 @@
 	return rankFar
 }
 
-// fastest is the usual time of a write at the fastest replica of a slot that answers; the
-// caller holds mu.
+// fastestWrite returns the average duration of a write at the fastest replica of a slot that is
+// not failing, or 0 if unknown; the caller holds mu.
 func (c *Client) fastestWrite(s *placement.Slot, now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range s.Replicas {
@@ -139,7 +145,8 @@
 	return shortest
 }
 
-// orderOf spreads the slots' orders over the members.
+// tieBreakHash orders replicas of the same rank, with a different order for each slot so that the
+// load spreads over the members.
 func tieBreakHash(slot uint32, member string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte{byte(slot), byte(slot >> 8)})
@@ -147,8 +154,9 @@
 	return h.Sum64()
 }
 
-// hedge is how long members may take for a request until others are asked as well: by the
-// one in their middle, so that a slow one does not set its own measure.
+// hedgeDelay returns how long members may take for a read or a write until others are asked as
+// well. It follows the median of their average durations, so that a slow member does not raise
+// its own limit.
 func (c *Client) hedgeDelay(members []string, req *historypb.Request) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/quorum/rank_test.go
+++ b/daemon/quorum/rank_test.go
@@ -15,12 +15,12 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// fiveOf is a map whose slots have five replicas, two of which are in data centre a.
+// fiveReplicaMap returns a map whose slots have five replicas, two of which are in data centre a.
 func fiveReplicaMap() *placement.Map {
 	m := placement.New(2)
-	for i, dc := range []string{"a", "a", "b", "c", "d"} {
+	for i, dataCentre := range []string{"a", "a", "b", "c", "d"} {
 		id := fmt.Sprintf("m%d", i)
-		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dc})
+		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dataCentre})
 	}
 	m.Assign()
 	return m
@@ -28,7 +28,7 @@
 
 var writeCall, readCall = writeRequest(nil), &historypb.Request{Call: &historypb.Request_Read{Read: &historypb.Read{}}}
 
-// heard lets a client hear a member often.
+// recordCalls records enough answered calls to a member that its average duration becomes duration.
 func recordCalls(c *Client, id string, req *historypb.Request, duration time.Duration) {
 	c.recordOutcome(id, nil)
 	for range 50 {
@@ -41,26 +41,26 @@
 	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
 	initial := c.rankedReplicas(m, 0)
 	require.ElementsMatch(t, []string{"m0", "m1"}, initial[:2])
-	require.Equal(t, initial, New(&net.Dialer{}, "a", log.New(io.Discard), nil).rankedReplicas(m, 0), "the same on every host")
+	require.Equal(t, initial, New(&net.Dialer{}, "a", log.New(io.Discard), nil).rankedReplicas(m, 0), "the order is the same on every host")
 	for id := range m.Members {
 		recordCalls(c, id, writeCall, 5*time.Millisecond)
 	}
 	require.Equal(t, initial, c.rankedReplicas(m, 0))
 	recordCalls(c, initial[0], writeCall, 20*time.Millisecond)
-	require.Equal(t, initial[0], c.rankedReplicas(m, 0)[4], "slow")
+	require.Equal(t, initial[0], c.rankedReplicas(m, 0)[4], "a slow replica is last")
 	c.recordOutcome(initial[1], failure.New(failure.PeerUnavailable, "silent"))
-	require.Equal(t, []string{initial[0], initial[1]}, c.rankedReplicas(m, 0)[3:], "slow, then failing")
+	require.Equal(t, []string{initial[0], initial[1]}, c.rankedReplicas(m, 0)[3:], "the slow replica precedes the failing one")
 	recordCalls(c, initial[0], writeCall, 5*time.Millisecond)
 	c.recordOutcome(initial[1], nil)
-	require.Equal(t, initial, c.rankedReplicas(m, 0), "well again")
+	require.Equal(t, initial, c.rankedReplicas(m, 0), "all replicas have recovered")
 }
 
-// The first by the slot's own order is in the quorum of every data centre.
+// The preferred replica of a slot is in the quorum that each data centre asks first.
 func TestPreferredReplicaIsInEveryQuorum(t *testing.T) {
 	m := fiveReplicaMap()
 	for slot := range uint32(placement.GlobalSlotCount) {
-		for _, dc := range []string{"a", "b", "c", "d", "elsewhere"} {
-			c := New(&net.Dialer{}, dc, log.New(io.Discard), nil)
+		for _, dataCentre := range []string{"a", "b", "c", "d", "elsewhere"} {
+			c := New(&net.Dialer{}, dataCentre, log.New(io.Discard), nil)
 			require.Contains(t, c.rankedReplicas(m, slot)[:m.Quorum()], c.preferredReplicas(m, slot)[0])
 		}
 	}
@@ -69,20 +69,20 @@
 func TestHedgeDelayFollowsMedianDuration(t *testing.T) {
 	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
 	members := []string{"m0", "m1", "m2"}
-	require.Equal(t, minHedgeDelay, c.hedgeDelay(members, readCall), "nothing known")
+	require.Equal(t, minHedgeDelay, c.hedgeDelay(members, readCall), "no durations known")
 	for _, id := range members {
 		recordCalls(c, id, readCall, 5*time.Millisecond)
 	}
 	require.Equal(t, 15*time.Millisecond, c.hedgeDelay(members, readCall))
 	recordCalls(c, "m0", readCall, time.Second)
-	require.Equal(t, 15*time.Millisecond, c.hedgeDelay(members, readCall), "one is slow")
+	require.Equal(t, 15*time.Millisecond, c.hedgeDelay(members, readCall), "one slow member does not change the median")
 	recordCalls(c, "m1", readCall, time.Second)
 	require.Equal(t, maxHedgeDelay, c.hedgeDelay(members, readCall))
-	require.Equal(t, minHedgeDelay, c.hedgeDelay(members, writeCall), "writes are another matter")
+	require.Equal(t, minHedgeDelay, c.hedgeDelay(members, writeCall), "durations of reads do not count for writes")
 }
 
-// Where a read needs the replica that is being replaced, a turn is not known to be nowhere
-// without that one's answer, and a slot is refused at once while it does not answer.
+// If a read needs the member that is being replaced, a turn counts as unknown only after that
+// member's answer, and the slot is not servable while it does not answer.
 func TestFormerMemberIsNeededWhenFewReplicasAreActive(t *testing.T) {
 	m := fiveReplicaMap()
 	m.Admit(placement.Member{ID: "former", Host: "former", Address: "former", DataCentre: "e"})
--- a/daemon/quorum/read.go
+++ b/daemon/quorum/read.go
@@ -10,20 +10,23 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// ProgramHistory is what the history hosts know of a program.
+// ProgramHistory is the stored history of a program, merged from the replies of its replicas.
 type ProgramHistory struct {
+	// Usage is the program's budget use, in tokens.
 	Usage ledger.Usage
-	// Chain is the chain of turns asked for, newest first.
+	// Chain is the requested chain of turns, newest first.
 	Chain []*historypb.Turn
-	// Runs is the targets that have read the parts asked for.
+	// Runs lists the targets that have run prompts which end with one of the requested parts.
 	Runs []*historypb.Ran
-	// ChainInOtherProgram reports that the chain was kept by another program.
+	// ChainInOtherProgram reports that turns of the chain are not in the program's slot: another
+	// program stored them.
 	ChainInOtherProgram bool
 }
 
-// Read returns the budget use of a program, the chain that ends with turn unless that is
-// empty, and where turns ran whose prompts ended with one of the parts. It fails with UnknownTurn only if every place where the
-// turn could be was asked, and with HistoryUnavailable if not enough answered.
+// Read returns the budget use of a program, the chain that ends with turn unless turn is empty,
+// and the targets that ran turns whose prompts ended with one of the parts. It retries until the
+// context ends. It fails with UnknownTurn only if enough replicas of every slot that could hold
+// the turn have answered, and with HistoryUnavailable if too few replicas answered.
 func (c *Client) Read(ctx context.Context, program, turn string, parts ...string) (*ProgramHistory, error) {
 	startedAt := time.Now()
 	for {
@@ -50,15 +53,16 @@
 	}
 	history := &ProgramHistory{}
 	turns := map[string]*historypb.Turn{}
-	// One replica sends the chain, the others confirm the budget: the first to be asked, and
-	// those that are asked because it fails or is late. So it is with where turns ran, which
-	// the first of a steady slot knows as well as the others.
+	// The first replica to be asked sends the chain, and so do those that are asked because it
+	// fails or is late; the others only confirm the budget. The same holds for the targets of
+	// earlier turns if the slot allows a quorum first, since the first replica of such a slot
+	// knows them as well as the others.
 	first, firstReplied := "", false
-	err := c.readReplicas(ctx, m, slot, func(member string, more bool) *historypb.Read {
+	err := c.readReplicas(ctx, m, slot, func(member string, additional bool) *historypb.Read {
 		if first == "" {
 			first = member
 		}
-		if member == first || more && !firstReplied {
+		if member == first || additional && !firstReplied {
 			return &historypb.Read{Program: program, Turn: turn, Parts: parts}
 		}
 		if m.AllowsQuorumFirst(int(slot)) {
@@ -90,29 +94,33 @@
 	return history, nil
 }
 
+// addTurns adds the turns of a chain to turns, which is keyed by turn name.
 func addTurns(turns map[string]*historypb.Turn, chain []*historypb.Turn) {
 	for _, t := range chain {
 		turns[t.Turn] = t
 	}
 }
 
-// link rebuilds the chain from the turns at hand and returns the one missing.
-func (p *ProgramHistory) link(turn string, turns map[string]*historypb.Turn) (missing string) {
-	p.Chain = p.Chain[:0]
+// link rebuilds the chain that ends with turn from the turns received so far. It returns the name
+// of the first turn that is missing, or "" if the chain is complete.
+func (h *ProgramHistory) link(turn string, turns map[string]*historypb.Turn) (missing string) {
+	h.Chain = h.Chain[:0]
 	for turn != "" {
 		t := turns[turn]
 		if t == nil {
 			return turn
 		}
-		p.Chain = append(p.Chain, t)
+		h.Chain = append(h.Chain, t)
 		turn = t.Previous
 	}
 	return ""
 }
 
-// gather reads from active replicas of a slot until the read is complete: of a steady slot
-// from as many as that takes, and from the others where one of these fails or is late.
-func (c *Client) readReplicas(ctx context.Context, m *placement.Map, slot uint32, build func(member string, more bool) *historypb.Read, handle func(string, *historypb.Reply)) error {
+// readReplicas reads from active replicas of a slot until the read is complete. If the slot allows
+// a quorum first, it asks as many replicas as a read needs, and the others only if one of these
+// fails or is late. build makes the request to a member; additional reports that the member was
+// not among the first. handle is called with each reply.
+func (c *Client) readReplicas(ctx context.Context, m *placement.Map, slot uint32, build func(member string, additional bool) *historypb.Read, handle func(string, *historypb.Reply)) error {
 	s := &m.Slots[slot]
 	missing := m.ReadQuorum(s)
 	members := c.rankedReplicas(m, slot)
@@ -122,8 +130,8 @@
 	}
 	r := &round{
 		client: c, slotMap: m, slot: slot, members: members,
-		build: func(member string, more bool) *historypb.Request {
-			return &historypb.Request{Call: &historypb.Request_Read{Read: build(member, more)}}
+		build: func(member string, additional bool) *historypb.Request {
+			return &historypb.Request{Call: &historypb.Request_Read{Read: build(member, additional)}}
 		},
 		accept: func(member string, reply *historypb.Reply) bool {
 			handle(member, reply)
@@ -138,10 +146,10 @@
 	if r.run(ctx, first) {
 		return nil
 	}
-	return incompleteError(r.lastErr, "%d replicas of slot %d missing", missing, slot)
+	return incompleteError(r.lastErr, "%d more replies needed for a complete read of slot %d", missing, slot)
 }
 
-// find asks the replicas of a slot for a turn and those before it.
+// findTurn asks the replicas of a slot for a turn and the turns before it, and adds them to turns.
 func (c *Client) findTurn(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) error {
 	c.meter.Count("history_chains", "incomplete")
 	if m.AllowsQuorumFirst(int(slot)) && c.findAtPreferred(ctx, m, slot, turn, turns) {
@@ -152,9 +160,9 @@
 		func(_ string, r *historypb.Reply) { addTurns(turns, r.Chain) })
 }
 
-// findHome asks the replica that all data centres write to for a turn, and reports whether it
-// has it: a program that comes from another data centre than before costs one chain then, and
-// not one from each replica.
+// findAtPreferred asks the preferred replica, to which all data centres write, for a turn and
+// reports whether it has it. A program whose requests move to another data centre then costs the
+// transfer of one chain instead of one from each replica.
 func (c *Client) findAtPreferred(ctx context.Context, m *placement.Map, slot uint32, turn string, turns map[string]*historypb.Turn) bool {
 	r := &round{
 		client: c, slotMap: m, slot: slot, members: c.preferredReplicas(m, slot),
@@ -169,8 +177,9 @@
 	return r.run(ctx, 1) && turns[turn] != nil
 }
 
-// findAnywhere asks all members for a turn that another program may have kept.
-// It fails with UnknownTurn if every slot's active replicas answered in number.
+// findInAnySlot asks all members for a turn that another program may have stored. It fails with
+// UnknownTurn if the members that answered hold every acknowledged record of all slots, and with
+// HistoryUnavailable if too few answered.
 func (c *Client) findInAnySlot(ctx context.Context, m *placement.Map, turn string, turns map[string]*historypb.Turn) error {
 	members := make([]string, 0, len(m.Members))
 	for id := range m.Members {
@@ -197,7 +206,8 @@
 	return failure.New(failure.UnknownTurn, "turn %s", turn)
 }
 
-// covers reports whether the members together hold every acknowledged record.
+// coversAllSlots reports whether the members that answered together hold every acknowledged
+// record: a read quorum of each slot, with the former member where a read needs it.
 func coversAllSlots(m *placement.Map, answered map[string]bool) bool {
 	for i := range m.Slots {
 		s := &m.Slots[i]
--- a/daemon/quorum/read_test.go
+++ b/daemon/quorum/read_test.go
@@ -10,6 +10,7 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
+// newMap returns a map for one fault with hosts members m0, m1, ..., each in a data centre of its own.
 func newMap(hosts int) *placement.Map {
 	m := placement.New(1)
 	for i := range hosts {
@@ -24,7 +25,7 @@
 	m := newMap(4)
 	require.True(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true}))
 	require.True(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true, "m2": true}))
-	require.False(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true}), "some slot has one of these only")
+	require.False(t, coversAllSlots(m, map[string]bool{"m0": true, "m1": true}), "some slot has only one of these replicas")
 	for i := range m.Slots {
 		for j := range m.Slots[i].Replicas {
 			r := &m.Slots[i].Replicas[j]
@@ -37,10 +38,10 @@
 func TestChainIsLinkedFromTurnsOfSeveralReplicas(t *testing.T) {
 	turns := map[string]*historypb.Turn{}
 	addTurns(turns, []*historypb.Turn{{Turn: "c", Previous: "b"}})
-	p := &ProgramHistory{}
-	require.Equal(t, "b", p.link("c", turns))
+	history := &ProgramHistory{}
+	require.Equal(t, "b", history.link("c", turns))
 	addTurns(turns, []*historypb.Turn{{Turn: "b", Previous: "a"}, {Turn: "a"}})
-	require.Empty(t, p.link("c", turns))
-	require.Len(t, p.Chain, 3)
-	require.Equal(t, "a", p.Chain[2].Turn)
+	require.Empty(t, history.link("c", turns))
+	require.Len(t, history.Chain, 3)
+	require.Equal(t, "a", history.Chain[2].Turn)
 }
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -10,12 +10,12 @@
 	"github.com/pistachioarch/pistachioarch/daemon/relay"
 )
 
-// SetSeeds gives the addresses of some history hosts, which may be stale: until a slot map is
-// known, they are asked in place of the relays.
+// SetSeeds sets the addresses of some history hosts, which may be stale. They are asked in place of
+// the relays until a slot map is known. It is called before the client is used.
 func (c *Client) SetSeeds(addresses []string) { c.seeds = addresses }
 
-// Relays returns the members that relay the platform, as this host sees them alive, or
-// the addresses of the seeds while no slot map is known.
+// Relays implements relay.Peers. It returns the members that are relays of the platform for this
+// data centre, without those that fail, or the addresses of the seeds while no member is known.
 func (c *Client) Relays() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,12 +26,13 @@
 	return c.slotMap.DataCentreRelays(c.dataCentre, func(id string) bool { return c.failingFor(id, now) == 0 })
 }
 
-// AssignedPeers is the client as relay.Peers that names nobody before the slot map has slots. A seed,
-// or the first members of a map, would answer all hosts that start together, and have room and
-// time for the slot map only: everything else is asked of members once all are known. Until
-// then no host serves anyway.
+// AssignedPeers returns relay.Peers that have no relays until the slot map has assigned slots. A
+// seed, or the first members of a map, would have to answer all hosts that start together, and have
+// the capacity to serve the slot map only: everything else is asked of members once all are known.
+// Until then no host serves requests anyway.
 func (c *Client) AssignedPeers() relay.Peers { return assignedPeers{c} }
 
+// assignedPeers implements relay.Peers as described at AssignedPeers.
 type assignedPeers struct{ *Client }
 
 // Relays implements relay.Peers.
@@ -42,19 +43,22 @@
 	return p.Client.Relays()
 }
 
-// Gathering implements relay.Peers.
+// Gathering implements relay.Peers: a slot map without assigned slots is known.
 func (p assignedPeers) Gathering() bool {
 	slotMap := p.currentMap()
 	return slotMap != nil && !slotMap.IsAssigned()
 }
 
-// Gathering implements relay.Peers: the members of a map without slots are asked as well.
+// Gathering implements relay.Peers: members are asked even if no slots are assigned yet.
 func (c *Client) Gathering() bool { return false }
 
-// Relaying implements relay.Peers: entry hosts relay nothing.
+// Relaying implements relay.Peers: entry hosts are not relays.
 func (c *Client) Relaying() bool { return false }
 
-// Ask sends a request that concerns no slot to one member, or to the seed of that address.
+// Ask implements relay.Peers: it sends a request that concerns no slot to one member, or to the
+// seed of that address. The answer may take wait. It fails with PeerUnavailable if the member is
+// unknown or does not answer, and with an error for which relay.Refused holds if the member
+// answered but cannot serve the request; such a member does not count as failing.
 func (c *Client) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	if slices.Contains(c.seeds, member) {
 		return relay.Ask(ctx, c.pool.Client(member), "", req, wait)
@@ -65,13 +69,13 @@
 	}
 	to, ok := m.Members[member]
 	if !ok {
-		return nil, failure.New(failure.PeerUnavailable, "member %s is gone", member)
+		return nil, failure.New(failure.PeerUnavailable, "member %s is not in the slot map", member)
 	}
 	reply, err := relay.Ask(ctx, c.pool.Client(to.Address), member, req, wait)
 	switch {
 	case relay.Refused(err):
 		c.recordOutcome(member, nil)
-	case ctx.Err() == nil: // else this host gave up, and a silent connection ends by itself
+	case ctx.Err() == nil: // else the caller gave up; a silent connection is closed on its own
 		c.recordOutcome(member, err)
 	}
 	return reply, err
--- a/daemon/quorum/relay_test.go
+++ b/daemon/quorum/relay_test.go
@@ -17,14 +17,14 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// Seeds are asked until a slot map tells the members; then the first of these are.
+// The seeds are the relays until a slot map lists members, and the first members after that.
 func TestRelaysAreSeedsUntilMembersAreKnown(t *testing.T) {
 	c := New(&net.Dialer{}, "dc0", log.New(io.Discard), nil)
 	require.Empty(t, c.Relays())
 	c.SetSeeds([]string{"10.0.0.1:1", "10.0.0.2:1"})
 	require.Equal(t, []string{"10.0.0.1:1", "10.0.0.2:1"}, c.Relays())
-	require.Empty(t, c.AssignedPeers().Relays(), "of seeds the map is asked only")
-	require.False(t, c.AssignedPeers().Gathering(), "nobody is known")
+	require.Empty(t, c.AssignedPeers().Relays(), "seeds are asked for the slot map only")
+	require.False(t, c.AssignedPeers().Gathering(), "no slot map is known")
 	encoded, err := json.Marshal(placement.New(1))
 	require.NoError(t, err)
 	c.adopt(encoded, "test")
@@ -45,8 +45,8 @@
 	require.Len(t, c.Relays(), m.Quorum())
 }
 
-// A host that has the answer of another member ends its call to this one: that is no sign that
-// this one is gone.
+// A host that has received the answer of another member cancels its call to this one, which must
+// not mark this member as failing.
 func TestCanceledCallDoesNotMarkMemberFailing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,33 +66,34 @@
 	require.Contains(t, c.Relays(), "m1")
 }
 
-// A data centre is heard while any of its history hosts is.
+// A data centre has answered as long as any of its history hosts has.
 func TestDataCentreAnswersThroughItsHistoryHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(&net.Dialer{}, "m0", log.New(io.Discard), nil)
-		require.False(t, c.AnsweredWithin("m1", time.Minute), "no map")
+		require.False(t, c.AnsweredWithin("m1", time.Minute), "no slot map is known")
 		encoded, err := json.Marshal(newMap(3))
 		require.NoError(t, err)
 		c.adopt(encoded, "test")
-		require.False(t, c.AnsweredWithin("m1", time.Minute), "never heard")
+		require.False(t, c.AnsweredWithin("m1", time.Minute), "no answer yet")
 		c.recordOutcome("m1", nil)
 		time.Sleep(time.Second)
 		require.True(t, c.AnsweredWithin("m1", time.Second))
 		require.False(t, c.AnsweredWithin("m1", time.Second-1))
 		require.False(t, c.AnsweredWithin("m2", time.Second), "another data centre")
 		c.recordOutcome("m2", failure.New(failure.PeerUnavailable, "silent"))
-		require.False(t, c.AnsweredWithin("m2", time.Second), "a failure is no sign of life")
+		require.False(t, c.AnsweredWithin("m2", time.Second), "a failed call is no answer")
 	})
 }
 
-// A host that does not reach its own data centre's history hosts is cut off alone; one that
-// does is cut off with its data centre, and so are the hosts beside it.
+// An isolated host that does not reach the history hosts of its own data centre is isolated from
+// the data centre as well; one that reaches them shares its isolation with the other hosts of the
+// data centre.
 func TestHostIsolationDiffersFromDataCentreIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errNoAnswer := failure.New(failure.PeerUnavailable, "silent")
-		for name, ownErr := range map[string]error{"alone": errNoAnswer, "with the data centre": nil} {
+		for name, ownErr := range map[string]error{"host isolated": errNoAnswer, "data centre isolated": nil} {
 			c := New(&net.Dialer{}, "m0", log.New(io.Discard), nil)
-			require.False(t, c.IsIsolatedFromDataCentre(), "no map")
+			require.False(t, c.IsIsolatedFromDataCentre(), "no slot map is known")
 			encoded, err := json.Marshal(newMap(3))
 			require.NoError(t, err)
 			c.adopt(encoded, "test")
@@ -105,7 +106,7 @@
 			c.recordOutcome("m0", nil)
 			c.recordOutcome("m1", nil)
 			c.updateIsolation()
-			require.False(t, c.IsIsolatedFromDataCentre(), "not cut off")
+			require.False(t, c.IsIsolatedFromDataCentre(), "not isolated")
 		}
 	})
 }
--- a/daemon/quorum/round.go
+++ b/daemon/quorum/round.go
@@ -9,17 +9,18 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// round asks members of a slot, some at first and the others where those fail or take long.
+// round is one attempt to get enough replies from members of a slot. It asks some members first and
+// the others if those fail or are late.
 type round struct {
 	client  *Client
 	slotMap *placement.Map
 	slot    uint32
-	// members are all that may be asked, best first.
+	// members holds all members that may be asked, best first.
 	members []string
-	// build makes the request to a member when that is asked; more tells that the member was
-	// not among the first.
-	build func(member string, more bool) *historypb.Request
-	// take is given the answers and reports whether they are enough.
+	// build makes the request to a member when the member is asked. additional reports that the
+	// member was not among the first.
+	build func(member string, additional bool) *historypb.Request
+	// accept is called with each successful reply and reports whether the replies are enough.
 	accept func(member string, reply *historypb.Reply) (enough bool)
 
 	sent, pending int
@@ -27,8 +28,9 @@
 	lastErr       error
 }
 
-// run asks the first members and goes on until the answers are enough. It reports whether
-// they are, or the end of the context.
+// run asks the first members and continues until the replies are enough, all members have answered
+// or the context ends. It reports whether the replies are enough; if not, lastErr is the last
+// error of a member or of the context, or nil.
 func (r *round) run(ctx context.Context, first int) (enough bool) {
 	r.replies = make(chan memberReply, len(r.members))
 	hedgeTimer := r.sendFirst(first)
@@ -48,7 +50,7 @@
 			r.sendMore(r.pending, "late")
 			hedgeTimer.Reset(maxHedgeDelay)
 		case <-ctx.Done():
-			r.lastErr = failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for a member")
+			r.lastErr = failure.Wrap(ctx.Err(), failure.PeerUnavailable, "wait for the reply of a member")
 			return false
 		}
 		if r.pending == 0 {
@@ -58,7 +60,8 @@
 	return false
 }
 
-// begin asks the first members and returns the timer of the hedge.
+// sendFirst asks the first members and returns the timer of the hedge. The timer does not fire if
+// there are no other members.
 func (r *round) sendFirst(first int) *time.Timer {
 	first = min(first, len(r.members))
 	var req *historypb.Request
@@ -71,7 +74,7 @@
 	return time.NewTimer(r.client.hedgeDelay(r.members[:first], req))
 }
 
-// ask asks up to n more members.
+// sendMore asks up to n more members. reason is a label of the metric.
 func (r *round) sendMore(n int, reason string) {
 	n = min(n, len(r.members)-r.sent)
 	for range n {
@@ -80,6 +83,7 @@
 	}
 }
 
+// send asks one member and returns the request.
 func (r *round) send(member string, additional bool) *historypb.Request {
 	req := r.build(member, additional)
 	r.sent++
--- a/daemon/quorum/settlements.go
+++ b/daemon/quorum/settlements.go
@@ -7,10 +7,11 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// brief returns what the replicas of a steady slot beyond the quorum are told of a write:
-// settlements, without where the turn ran. A settlement keeps what they have of the program
-// for as long as the others do, and ends a reservation that they may have. Reservations and
-// turns they do without: each is on a quorum, as the budget and the chain need it.
+// spareSettlements returns the records of a write that are also sent to the replicas beyond the
+// quorum of a slot that allows a quorum first: its settlements, without the targets that ran the
+// turn. A settlement extends the retention of these replicas' records of the program to that of
+// the others, and ends a reservation that they may have. They do not need reservations and
+// turns: each is on a quorum, as the budget and the chain require.
 func spareSettlements(records []*historypb.Record) []*historypb.Record {
 	var settlements []*historypb.Record
 	for _, r := range records {
@@ -26,9 +27,9 @@
 	return settlements
 }
 
-// ExtraRetention returns by how much longer than for its retention a program must be kept so that all
-// its replicas have it until a next turn that lasts up to turn has ended: those beyond the
-// quorum are not told that it begins, and would drop the turns before it meanwhile.
+// ExtraRetention returns the time to add to a program's retention so that all its replicas hold it
+// until a next turn that lasts up to maxTurnDuration has ended. Replicas beyond the quorum are
+// not told when a turn begins, and would otherwise delete the earlier turns meanwhile.
 func (c *Client) ExtraRetention(maxTurnDuration time.Duration) time.Duration {
 	if m := c.currentMap(); m == nil || !m.HasSpareReplicas() {
 		return 0
@@ -36,7 +37,7 @@
 	return maxTurnDuration
 }
 
-// tell sends the brief of a write to members; nobody waits for their answers.
+// sendUnconfirmed sends records to members without waiting for their replies.
 func (c *Client) sendUnconfirmed(m *placement.Map, slot uint32, members []string, records []*historypb.Record) {
 	if len(records) == 0 || len(members) == 0 {
 		return
--- a/daemon/quorum/state.go
+++ b/daemon/quorum/state.go
@@ -8,31 +8,32 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// State is what a Client knows of the history hosts, for operators.
+// State is the state of a Client for operators, in JSON.
 type State struct {
-	// Epoch is of the slot map in use; 0 without one.
+	// Epoch is the epoch of the slot map in use, 0 without one.
 	Epoch uint64 `json:"epoch"`
-	// UnservableSlots is how many slots cannot be served as far as is known.
-	UnservableSlots int           `json:"unservable_slots"`
-	IsolatedMs      int64         `json:"isolated_ms"`
-	Members         []MemberState `json:"members"`
-	// Traffic is the account of the calls to history hosts since the start.
+	// UnservableSlots is the number of global slots that are known not to be servable.
+	UnservableSlots int `json:"unservable_slots"`
+	// IsolatedMs is how long most global slots have not been servable, 0 if they are.
+	IsolatedMs int64         `json:"isolated_ms"`
+	Members    []MemberState `json:"members"`
+	// Traffic holds the calls to history hosts and their bytes since the start, by kind of call.
 	Traffic []CallTraffic `json:"bytes,omitempty"`
 }
 
-// MemberState is one history host's disk.
+// MemberState is the state of one member, a disk of a history host.
 type MemberState struct {
 	Member     string `json:"member"`
 	Host       string `json:"host"`
 	DataCentre string `json:"data_centre"`
 	Address    string `json:"address"`
-	// LastAnswerAgeMs is how long ago it last answered; -1 if it never did.
+	// LastAnswerAgeMs is the time since its last answer, -1 if it has never answered.
 	LastAnswerAgeMs int64 `json:"heard_ms"`
-	// FailingForMs is since when it does not answer; 0 if it does.
+	// FailingForMs is how long it has been failing, 0 if it is not.
 	FailingForMs int64 `json:"failing_ms"`
 }
 
-// State returns a dump of the client.
+// State returns the state of the client and of all members, sorted by host.
 func (c *Client) State() State {
 	now := time.Now()
 	s := State{IsolatedMs: c.IsolatedFor().Milliseconds(), Traffic: c.traffic.byKind()}
@@ -59,8 +60,9 @@
 	return s
 }
 
-// unservable counts the common slots that cannot be served; the caller holds mu. Those of other
-// regions say nothing of whether this host is cut off.
+// countUnservableSlots returns the number of global slots that are not servable; the caller holds
+// mu. Regional slots do not count: those of other regions do not show whether this host is
+// isolated.
 func (c *Client) countUnservableSlots(m *placement.Map, now time.Time) int {
 	if !m.IsAssigned() {
 		return len(m.GlobalSlots())
--- a/daemon/quorum/token.go
+++ b/daemon/quorum/token.go
@@ -10,14 +10,15 @@
 	"github.com/pistachioarch/pistachioarch/core/quota"
 )
 
-// takeHedge is how long a member may take for a token until the next one is asked as well:
-// some ten round trips between data centres, so that a member that has died costs a request
-// this long and not the 0.3 s in which its connection is given up.
+// tokenHedgeDelay is how long a member may take for a token until the next one is asked as well:
+// some ten round trips between data centres, so that a dead member delays a request by this much
+// instead of the 0.3 s after which its connection is closed.
 const tokenHedgeDelay = 30 * time.Millisecond
 
-// TakeToken asks the members that keep the customer's slot for a token, one after the other. It
-// goes on trying until a member grants, all refuse, or the context ends; the failure is then
-// HistoryUnavailable. The version and limit of the ask are the sender's.
+// TakeToken asks the replicas of the customer's slot for a token, one after the other. It retries
+// until a member grants one, all that answer refuse, or the context ends; in the last case it
+// fails with HistoryUnavailable. The version and limit in the request are those that this host
+// knows. After refusals the grant holds the shortest retry delay.
 func (c *Client) TakeToken(ctx context.Context, request quota.TokenRequest) (quota.Grant, error) {
 	startedAt := time.Now()
 	for {
@@ -44,8 +45,9 @@
 	return r.run(ctx)
 }
 
-// takeFrom returns the members to ask in order: one of this data centre first, so that most
-// tokens cost no way between data centres, those that do not answer last.
+// tokenCandidates returns the members to ask, in order: those of this data centre first, so that
+// most tokens cost no round trip between data centres, and those that do not answer last. If the
+// parts of all members are known to be empty, it returns the time until the first next token.
 func (c *Client) tokenCandidates(m *placement.Map, s *placement.Slot, request quota.TokenRequest) (members []string, nextTokenIn time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,14 +69,14 @@
 	return c.selector.Candidates(request.Customer, request.FirstOfProgram, all, now.Sub(c.startedAt))
 }
 
-// refused notes that a member has no token.
+// recordRefusal records that a member's next token is due after nextTokenIn.
 func (c *Client) recordRefusal(request quota.TokenRequest, member string, nextTokenIn time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.selector.RecordRefusal(request.Customer, member, request.FirstOfProgram, nextTokenIn, time.Since(c.startedAt))
 }
 
-// take is one round of questions for a token.
+// tokenRound is one attempt to get a token from the replicas of a slot.
 type tokenRound struct {
 	client  *Client
 	slotMap *placement.Map
@@ -84,11 +86,14 @@
 	sent    int
 	pending int
 	replies chan memberReply
-	// soonest is when the first member that refused will have a token; 0 if none has.
+	// retryDelay is the shortest time after which a member that refused will have a token for the
+	// caller; 0 if none has refused.
 	retryDelay time.Duration
 	lastErr    error
 }
 
+// run asks the members one after the other until one grants a token, all have answered or the
+// context ends.
 func (r *tokenRound) run(ctx context.Context) (quota.Grant, error) {
 	hedgeTicker := time.NewTicker(tokenHedgeDelay)
 	defer hedgeTicker.Stop()
@@ -110,10 +115,10 @@
 	if r.retryDelay > 0 {
 		return quota.Grant{RetryDelay: r.retryDelay}, nil
 	}
-	return quota.Grant{}, incompleteError(r.lastErr, "none of %d replicas of slot %d answered for a token", len(r.members), r.slot)
+	return quota.Grant{}, incompleteError(r.lastErr, "no token: none of %d replicas of slot %d answered", len(r.members), r.slot)
 }
 
-// next asks the next member, if there is one.
+// sendNext asks the next member, if there is one.
 func (r *tokenRound) sendNext() {
 	if r.sent == len(r.members) {
 		return
@@ -126,7 +131,7 @@
 	}}}, r.replies)
 }
 
-// granted reports whether an answer brings a token, and notes what it says otherwise.
+// handleReply reports whether a reply grants a token. If not, it records the error or the refusal.
 func (r *tokenRound) handleReply(answer memberReply) bool {
 	if answer.err != nil {
 		r.lastErr = answer.err
--- a/daemon/quorum/traffic.go
+++ b/daemon/quorum/traffic.go
@@ -5,7 +5,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// traffic counts the bytes of calls to history hosts, of this data centre and of others.
+// traffic counts the calls to history hosts and their bytes: near are those of this data centre, far
+// those of others.
 type traffic struct {
 	near, far rpc.Traffic
 }
@@ -15,8 +16,8 @@
 	t.far.Register(m, "history_far")
 }
 
-// trafficOf returns what counts the bytes of calls to an address. One that no member has
-// counts as far.
+// trafficOf returns the counter for calls to an address. An address that no member has counts as
+// far.
 func (c *Client) trafficOf(address string) *rpc.Traffic {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,17 +31,19 @@
 	return &c.traffic.far
 }
 
-// CallTraffic is the account of one kind of call, for operators.
+// CallTraffic holds the number and bytes of one kind of call, for operators, in JSON.
 type CallTraffic struct {
+	// Kind is the name of the kind, as in rpc.Kinds.
 	Kind string `json:"kind"`
-	// Near is to and from members of this data centre, Far to and from the others.
+	// Near counts are of members of this data centre, far counts of the others. Bytes are those
+	// sent and received.
 	NearCalls int64 `json:"near_calls"`
 	NearBytes int64 `json:"near_bytes"`
 	FarCalls  int64 `json:"far_calls"`
 	FarBytes  int64 `json:"far_bytes"`
 }
 
-// account sums up the bytes by kind, without the kinds that were not used.
+// byKind returns the traffic by kind of call, without the kinds that were not used.
 func (t *traffic) byKind() []CallTraffic {
 	var kinds []CallTraffic
 	for _, k := range rpc.Kinds() {
