--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -70,7 +70,7 @@
 	if !x.route.Retained || regions.Unrestricted() {
 		return x.budgetProgram(), nil
 	}
-	region, ok := x.host.History.RegionFor(x.host.Regions[x.host.DataCentre], regions.Allows)
+	region, ok := x.host.History.SelectRegion(x.host.Regions[x.host.DataCentre], regions.Allows)
 	if !ok {
 		return "", failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "no history host in the regions allowed to store the turn")
 	}
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -190,7 +190,7 @@
 // /turn/ (retained) and /quick/ (resumable), all to service "s".
 func newSystem(t *testing.T, targets ...*fakeTarget) *testSystem {
 	s := &testSystem{t: t, history: quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)}
-	s.history.Patient(memberTimeout)
+	s.history.SetTimeouts(memberTimeout)
 	s.startHistory(3)
 	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.history, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: discardLog(),
 		HistoryPatience: harnessTimeout})
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -54,7 +54,7 @@
 // requestToken asks history hosts once for a token of the customer's quota.
 func (x *exchange) requestToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
-	return x.host.History.Take(ctx, quota.TokenRequest{
+	return x.host.History.TakeToken(ctx, quota.TokenRequest{
 		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
 		FirstOfProgram: x.startsProgram(),
 	})
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -109,7 +109,7 @@
 func (s *testSystem) newRegions() (north, south []*member) {
 	s.members = nil
 	s.history = quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
-	s.history.Patient(memberTimeout)
+	s.history.SetTimeouts(memberTimeout)
 	s.host.History = s.history
 	s.startHistoryInRegions("north", "north", "south", "south", "south")
 	return s.members[:2], s.members[2:]
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -48,7 +48,7 @@
 // at the end of the route's retention.
 func (x *exchange) retention() time.Duration {
 	retention := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
-	return retention + x.host.History.Outlast(effectiveTimeout(0, x.route.Timeout))
+	return retention + x.host.History.ExtraRetention(effectiveTimeout(0, x.route.Timeout))
 }
 
 // isTurn reports whether the request is a turn of a program: a stream of an engine service.
@@ -102,7 +102,7 @@
 // reservations of all turns of the program and the chain of turns that this one continues.
 func (t *turn) begin(ctx context.Context) error {
 	x := t.x
-	if !x.host.History.Servable(x.budgetProgram()) || !x.host.History.Servable(t.historyProgram) {
+	if !x.host.History.IsServable(x.budgetProgram()) || !x.host.History.IsServable(t.historyProgram) {
 		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are unreachable")
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
@@ -121,14 +121,14 @@
 	if past, err = t.checkBudget(ctx, past); err != nil {
 		return err
 	}
-	x.learn(past.Ran)
+	x.learn(past.Runs)
 	x.programStarted = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
-	return t.prependChain(ctx, past.Chain, past.Elsewhere)
+	return t.prependChain(ctx, past.Chain, past.ChainInOtherProgram)
 }
 
 // readPast reads the budget use of the program, the targets that ran its turns, and the chain
 // of turns that this one continues.
-func (t *turn) readPast(ctx context.Context) (*quorum.Past, error) {
+func (t *turn) readPast(ctx context.Context) (*quorum.ProgramHistory, error) {
 	x := t.x
 	previous := ""
 	if x.route.Retained {
@@ -145,14 +145,14 @@
 	if err != nil {
 		return nil, err
 	}
-	past.Chain, past.Elsewhere = chain.Chain, chain.Elsewhere
+	past.Chain, past.ChainInOtherProgram = chain.Chain, chain.ChainInOtherProgram
 	return past, nil
 }
 
 // checkBudget refuses the turn if the budget does not allow it. Before, it waits for pending
 // settlements, up to maxSettlementWait, if they could free enough budget. It returns past with
 // the latest usage.
-func (t *turn) checkBudget(ctx context.Context, past *quorum.Past) (*quorum.Past, error) {
+func (t *turn) checkBudget(ctx context.Context, past *quorum.ProgramHistory) (*quorum.ProgramHistory, error) {
 	call := &t.x.call
 	for deadline := time.Now().Add(maxSettlementWait); ; {
 		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
@@ -196,7 +196,7 @@
 
 // historyRetryDelay is the retry delay for a caller that history hosts could not serve.
 func (x *exchange) historyRetryDelay() time.Duration {
-	if x.isTurn() && x.host.History.CutAlone() {
+	if x.isTurn() && x.host.History.IsIsolatedFromDataCentre() {
 		return turnPause
 	}
 	return x.host.comeBack()
@@ -265,7 +265,7 @@
 		// turns before it.
 		defer t.settle()
 	}
-	if err := t.x.host.History.WriteWithin(ctx, unreachableHistoryTimeout, t.historyProgram, t.x.retention(), records...); err != nil {
+	if err := t.x.host.History.WriteUnlessUnreachable(ctx, unreachableHistoryTimeout, t.historyProgram, t.x.retention(), records...); err != nil {
 		return failure.Unknown(failure.HistoryUnavailable, "turn not stored: %v", err)
 	}
 	return nil
--- a/daemon/quorum/loads.go
+++ b/daemon/quorum/loads.go
@@ -10,47 +10,48 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// Board returns the member to which hosts of this data centre tell what they see of the
-// targets: of its members that this host sees alive the one with the lowest id, so that hosts
-// agree without a word. ok is false where there is none.
+// Board returns the member to which the hosts of this data centre send their host reports: of the
+// data centre's members that do not fail, the one with the lowest id, so that hosts agree without
+// communication. ok is false if there is none.
 func (c *Client) Board() (board placement.Member, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots == nil {
+	if c.slotMap == nil {
 		return placement.Member{}, false
 	}
 	now := time.Now()
-	for id, m := range c.slots.Members {
-		if m.DataCentre != c.dataCentre || c.failingFor(id, now) > 0 {
+	for id, member := range c.slotMap.Members {
+		if member.DataCentre != c.dataCentre || c.failingFor(id, now) > 0 {
 			continue
 		}
 		if !ok || id < board.ID {
-			board, ok = m, true
+			board, ok = member, true
 		}
 	}
 	return board, ok
 }
 
-// ExchangeLoads tells the board what this host sees of the targets. A member that does not
-// answer is asked no more until it answers probes.
-func (c *Client) ExchangeLoads(ctx context.Context, m loads.HostReport) (loads.Reply, error) {
+// ExchangeLoads sends a host report to the board and returns its reply. A member that does not
+// answer is not asked again until it answers a probe. It fails with PeerUnavailable if there is
+// no board, or if the board sends no loads.
+func (c *Client) ExchangeLoads(ctx context.Context, report loads.HostReport) (loads.Reply, error) {
 	board, ok := c.Board()
 	if !ok {
-		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s", c.dataCentre)
+		return loads.Reply{}, failure.New(failure.PeerUnavailable, "no history host of data centre %s answers", c.dataCentre)
 	}
-	bounded, cancel := context.WithTimeout(ctx, c.callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	reply, err := c.pool.Client(board.Address).Call(bounded, &historypb.Request{
-		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(m)},
+	reply, err := c.pool.Client(board.Address).Call(callCtx, &historypb.Request{
+		Member: board.ID, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(report)},
 	})
 	if ctx.Err() == nil {
-		c.note(board.ID, err)
+		c.recordOutcome(board.ID, err)
 	}
 	if err != nil {
 		return loads.Reply{}, err
 	}
 	if reply.GetLoads() == nil {
-		return loads.Reply{}, failure.New(failure.PeerUnavailable, "member %s keeps no loads: %s", board.ID, reply.Status)
+		return loads.Reply{}, failure.New(failure.PeerUnavailable, "member %s sent no loads: status %s", board.ID, reply.Status)
 	}
 	return loads.DecodeReply(reply.Loads), nil
 }
--- a/daemon/quorum/traffic.go
+++ b/daemon/quorum/traffic.go
@@ -5,24 +5,25 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// traffic counts the bytes of calls to history hosts, of this data centre and of others.
+// traffic counts the calls to history hosts and their bytes: near are those of this data centre, far
+// those of others.
 type traffic struct {
 	near, far rpc.Traffic
 }
 
-func (t *traffic) serve(m *meter.Meter) {
+func (t *traffic) registerGauges(m *meter.Meter) {
 	t.near.Register(m, "history_near")
 	t.far.Register(m, "history_far")
 }
 
-// trafficOf returns what counts the bytes of calls to an address. One that no member has
-// counts as far.
+// trafficOf returns the counter for calls to an address. An address that no member has counts as
+// far.
 func (c *Client) trafficOf(address string) *rpc.Traffic {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.slots != nil {
-		for _, m := range c.slots.Members {
-			if m.Address == address && m.DataCentre == c.dataCentre {
+	if c.slotMap != nil {
+		for _, member := range c.slotMap.Members {
+			if member.Address == address && member.DataCentre == c.dataCentre {
 				return &c.traffic.near
 			}
 		}
@@ -30,28 +31,30 @@
 	return &c.traffic.far
 }
 
-// Bytes is the account of one kind of call, for operators.
-type Bytes struct {
+// CallTraffic holds the number and bytes of one kind of call, for operators, in JSON.
+type CallTraffic struct {
+	// Kind is the name of the kind, as in rpc.Kinds.
 	Kind string `json:"kind"`
-	// Near is to and from members of this data centre, Far to and from the others.
+	// Near counts are of members of this data centre, far counts of the others. Bytes are those
+	// sent and received.
 	NearCalls int64 `json:"near_calls"`
-	Near      int64 `json:"near_bytes"`
+	NearBytes int64 `json:"near_bytes"`
 	FarCalls  int64 `json:"far_calls"`
-	Far       int64 `json:"far_bytes"`
+	FarBytes  int64 `json:"far_bytes"`
 }
 
-// account sums up the bytes by kind, without the kinds that were not used.
-func (t *traffic) account() []Bytes {
-	var list []Bytes
+// byKind returns the traffic by kind of call, without the kinds that were not used.
+func (t *traffic) byKind() []CallTraffic {
+	var kinds []CallTraffic
 	for _, k := range rpc.Kinds() {
-		b := Bytes{
+		b := CallTraffic{
 			Kind:      k.String(),
-			NearCalls: t.near.Calls(k), Near: t.near.Sent(k) + t.near.Received(k),
-			FarCalls: t.far.Calls(k), Far: t.far.Sent(k) + t.far.Received(k),
+			NearCalls: t.near.Calls(k), NearBytes: t.near.Sent(k) + t.near.Received(k),
+			FarCalls: t.far.Calls(k), FarBytes: t.far.Sent(k) + t.far.Received(k),
 		}
-		if b.Near+b.Far > 0 {
-			list = append(list, b)
+		if b.NearBytes+b.FarBytes > 0 {
+			kinds = append(kinds, b)
 		}
 	}
-	return list
+	return kinds
 }
