--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -314,7 +314,7 @@
 	e.past.Seed(c.seeds)
 	e.host = entry.New(entry.Options{
 		Headers: ownheaders.Headers{}, History: e.past, Dialer: dialer, DataCentre: c.dataCentre(e.name), ReadyPath: "/ready", Log: logger(),
-		Keys: c.keyRules(), Quotas: tolerance,
+		KeyRules: c.keyRules(), QuotaTolerance: tolerance,
 	})
 	e.stop = cancel
 	store := c.store.At(e.place)
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -52,7 +52,7 @@
 	if !c.keyed {
 		return entry.KeyRules{}
 	}
-	return entry.KeyRules{MaxAge: removalBound * 4 / 5, SureAge: removalBound * 2 / 5}
+	return entry.KeyRules{MaxAge: removalBound * 4 / 5, UnknownKeyMaxAge: removalBound * 2 / 5}
 }
 
 // press sends calls of a customer, at so many a second, through all entry hosts in turn.
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -24,10 +24,10 @@
 	host := entry.New(entry.Options{
 		Headers: platform.Headers{}, History: past, Dialer: dialer,
 		DataCentre: set.DataCentre, Regions: set.Regions, MemoryBytes: set.MemoryBytes, Descriptors: set.Descriptors,
-		Keys:      entry.KeyRules{MaxAge: set.KeyMaxAge(), SureAge: set.KeySureAge()},
-		Quotas:    quota.Tolerance{Window: set.QuotaWindow, Overage: set.QuotaOverage, Slack: set.QuotaSlack},
-		NoLoads:   !set.SharesLoads(),
-		ReadyPath: platform.ReadyPath, Log: logger, Meter: o.meter,
+		KeyRules:            entry.KeyRules{MaxAge: set.KeyMaxAge(), UnknownKeyMaxAge: set.KeySureAge()},
+		QuotaTolerance:      quota.Tolerance{Window: set.QuotaWindow, Overage: set.QuotaOverage, Slack: set.QuotaSlack},
+		DisableLoadExchange: !set.SharesLoads(),
+		ReadyPath:           platform.ReadyPath, Log: logger, Meter: o.meter,
 	})
 	callers, err := listen(set.CallerListen)
 	if err != nil {
@@ -69,7 +69,7 @@
 		followConfig = objects.FollowFastRetry
 	}
 	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
-	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).Holding(targets.Steps))
+	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).WithHalvings(targets.Steps))
 	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, f.past)
 	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.Kind: slots}
 	if f.set.Evacuation > 0 {
--- a/daemon/cmd/pistachiod/observe_test.go
+++ b/daemon/cmd/pistachiod/observe_test.go
@@ -45,7 +45,7 @@
 	var state entry.State
 	require.NoError(t, json.Unmarshal([]byte(get(o, statePath)), &state))
 	require.False(t, state.Ready)
-	require.Positive(t, state.ActiveLimit)
+	require.Positive(t, state.MaxRequests)
 	text := get(o, metricsPath)
 	for _, name := range []string{"ready 0", "config_version 0", "slot_map_epoch 0", "log_lines_dropped 0", "requests_active 0"} {
 		require.Contains(t, text, name+"\n")
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -12,9 +12,9 @@
 	// requests with a key are still sent: a key may have been taken away since. 0 means
 	// that there is no bound.
 	MaxAge time.Duration
-	// SureAge is up to when an unknown key is surely unknown. A host that is further
+	// UnknownKeyMaxAge is up to when an unknown key is surely unknown. A host that is further
 	// behind refuses it as one that may be known elsewhere.
-	SureAge time.Duration
+	UnknownKeyMaxAge time.Duration
 }
 
 // confirm notes that the configuration in force was the newest at an instant.
@@ -72,10 +72,10 @@
 // is not.
 func (h *Host) staleFor() time.Duration {
 	t := h.table.Load()
-	if h.Keys.MaxAge == 0 || t == nil || !t.RequiresKey() {
+	if h.KeyRules.MaxAge == 0 || t == nil || !t.RequiresKey() {
 		return 0
 	}
-	return max(0, h.configurationAge()-h.Keys.MaxAge)
+	return max(0, h.configurationAge()-h.KeyRules.MaxAge)
 }
 
 const (
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -23,7 +23,7 @@
 		x.customer, x.customerVersion = customer, t.Version
 		return nil
 	}
-	if age := x.host.configurationAge(); x.host.Keys.SureAge > 0 && age > x.host.Keys.SureAge {
+	if age := x.host.configurationAge(); x.host.KeyRules.UnknownKeyMaxAge > 0 && age > x.host.KeyRules.UnknownKeyMaxAge {
 		return failure.Retry(failure.StaleConfiguration, retryLater, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
 	}
 	return failure.New(failure.Unauthorized, "unknown key in version %d", t.Version)
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -98,7 +98,7 @@
 func TestStaleConfigurationServesNoKeys(t *testing.T) {
 	x := newTarget(t, "t1", answering)
 	s := newSystem(t, x)
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.keyed(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	require.False(t, s.host.Ready())
@@ -114,7 +114,7 @@
 // A host whose word of the platform is not new does not know that a key is unknown.
 func TestUnknownKeyIsSureOnlyWithANewWord(t *testing.T) {
 	s := newSystem(t, newTarget(t, "t1", answering))
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.keyed(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Minute))
 	require.Equal(t, http.StatusServiceUnavailable, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "b-key").status)
@@ -126,7 +126,7 @@
 func TestRequestWaitsForTheConfiguration(t *testing.T) {
 	x := newTarget(t, "t1", answering)
 	s := newSystem(t, x)
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.keyed(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	answers := make(chan answer)
@@ -217,7 +217,7 @@
 	s := newSystem(t, x)
 	s.keyed(limited("a", 6), customer("b"))
 	s.aged.Store(true)
-	s.host.HistoryPatience = historyPatience
+	s.host.HistoryTimeout = historyPatience
 	for _, m := range s.members {
 		m.silent.Store(true)
 	}
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -210,7 +210,7 @@
 	s.members[0].silent.Store(true)
 	require.Equal(t, http.StatusNotFound, s.turn("/turn/", "2", "none", "x").status, "two of three answer")
 	s.members[1].silent.Store(true)
-	s.host.HistoryPatience = historyPatience
+	s.host.HistoryTimeout = historyPatience
 	got := s.turn("/turn/", "3", "none", "x")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -187,7 +187,7 @@
 	s.past.Patient(memberPatience)
 	s.startHistory(3)
 	s.host = New(Options{Headers: ownheaders.Headers{}, History: s.past, Dialer: &net.Dialer{}, DataCentre: "dc1", ReadyPath: "/ready", Log: quietLog(),
-		HistoryPatience: harnessPatience})
+		HistoryTimeout: harnessPatience})
 	engine := &routing.Engine{Capacity: 4, TokensPerEvent: 3}
 	route := func(prefix string, r routing.Route) *routing.Route {
 		r.Host, r.Prefix, r.Services = "example", prefix, []routing.WeightedService{{Service: "s", Weight: 1}}
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -46,18 +46,18 @@
 	DataCentre string
 	// Regions is the region of each data centre, nil where there are none.
 	Regions map[string]string
-	// HistoryPatience is how long history hosts are waited for before a request is sent;
+	// HistoryTimeout is how long history hosts are waited for before a request is sent;
 	// historyPatience if it is 0.
-	HistoryPatience time.Duration
+	HistoryTimeout time.Duration
 	// MemoryBytes and Descriptors are the process's limits; 0 if there is none.
 	MemoryBytes int64
 	Descriptors int
-	// Keys is how current the configuration must be for requests with a key.
-	Keys KeyRules
-	// Quotas is by how much the quotas of customers may be exceeded.
-	Quotas quota.Tolerance
-	// NoLoads keeps the host from telling other hosts what it sees of the targets.
-	NoLoads bool
+	// KeyRules is how current the configuration must be for requests with a key.
+	KeyRules KeyRules
+	// QuotaTolerance is by how much the quotas of customers may be exceeded.
+	QuotaTolerance quota.Tolerance
+	// DisableLoadExchange keeps the host from telling other hosts what it sees of the targets.
+	DisableLoadExchange bool
 	// ReadyPath is where the platform asks whether the host takes requests.
 	ReadyPath string
 	Log       *log.Logger
@@ -98,7 +98,7 @@
 
 // New returns a host without configuration and targets.
 func New(o Options) *Host {
-	o.HistoryPatience = cmp.Or(o.HistoryPatience, historyPatience)
+	o.HistoryTimeout = cmp.Or(o.HistoryTimeout, historyPatience)
 	registry := balance.NewRegistry(o.DataCentre, balance.DefaultWeights())
 	h := &Host{
 		Options:    o,
@@ -235,7 +235,7 @@
 // Run keeps the connections to targets tidy and exchanges loads until the context ends, and
 // closes the connections then.
 func (h *Host) Run(ctx context.Context) {
-	if !h.NoLoads {
+	if !h.DisableLoadExchange {
 		go h.teller.run(ctx)
 	}
 	h.pool.Reap(ctx)
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -102,22 +102,22 @@
 	return loads.ReportInterval
 }
 
-// LoadsState is what a host was told of the targets' loads, for operators.
-type LoadsState struct {
-	// On: the host hears too little of the targets by itself, and exchanges.
-	On bool `json:"on"`
-	// ToldMs is how long ago it was told; -1 if it never was.
-	ToldMs int64 `json:"told_ms"`
-	// Board is the start of the board, and Hosts the other hosts that report to it.
-	Board uint64 `json:"board"`
-	Hosts int    `json:"hosts"`
+// LoadExchangeState is what a host was told of the targets' loads, for operators.
+type LoadExchangeState struct {
+	// Needed: the host hears too little of the targets by itself, and exchanges.
+	Needed bool `json:"on"`
+	// UpdateAgeMs is how long ago it was told; -1 if it never was.
+	UpdateAgeMs int64 `json:"told_ms"`
+	// BoardID is the start of the board, and Hosts the other hosts that report to it.
+	BoardID    uint64 `json:"board"`
+	OtherHosts int    `json:"hosts"`
 }
 
 // state returns what the host was told; the caller holds the host's mu.
-func (t *teller) state() LoadsState {
-	s := LoadsState{On: t.on, Board: t.board, Hosts: t.hosts, ToldMs: -1}
+func (t *teller) state() LoadExchangeState {
+	s := LoadExchangeState{Needed: t.on, BoardID: t.board, OtherHosts: t.hosts, UpdateAgeMs: -1}
 	if age := t.host.registry.UpdateAge(t.host.now()); age >= 0 {
-		s.ToldMs = age.Milliseconds()
+		s.UpdateAgeMs = age.Milliseconds()
 	}
 	return s
 }
@@ -127,6 +127,6 @@
 	t.host.Meter.Gauge("loads_told_ms", func() int64 {
 		t.host.mu.Lock()
 		defer t.host.mu.Unlock()
-		return t.state().ToldMs
+		return t.state().UpdateAgeMs
 	})
 }
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -96,10 +96,10 @@
 	f.exchange()
 	require.Equal(t, 1, f.others(0))
 	require.Equal(t, 2, f.others(2))
-	s := f.hosts[2].State().Loads
-	require.Equal(t, 2, s.Hosts)
-	require.NotZero(t, s.Board)
-	require.GreaterOrEqual(t, s.ToldMs, int64(0))
+	s := f.hosts[2].State().LoadExchange
+	require.Equal(t, 2, s.OtherHosts)
+	require.NotZero(t, s.BoardID)
+	require.GreaterOrEqual(t, s.UpdateAgeMs, int64(0))
 }
 
 // While the board is frozen or dead the next member of the data centre takes over; hosts say
@@ -150,7 +150,7 @@
 	f := newFleet(t, 2, 1)
 	f.sent(0)
 	f.exchange()
-	before := f.hosts[1].State().Loads.Board
+	before := f.hosts[1].State().LoadExchange.BoardID
 	id := f.board()
 	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
 	require.NoError(t, err)
@@ -160,7 +160,7 @@
 		server.Handle(req, answer)
 	})
 	f.exchange()
-	require.NotEqual(t, before, f.hosts[1].State().Loads.Board)
+	require.NotEqual(t, before, f.hosts[1].State().LoadExchange.BoardID)
 	require.Equal(t, 1, f.others(1))
 }
 
@@ -184,8 +184,8 @@
 	f := newFleet(t, 1, 1)
 	h := f.hosts[0]
 	h.teller.step(t.Context())
-	require.EqualValues(t, -1, h.State().Loads.ToldMs)
-	require.False(t, h.State().Loads.On)
+	require.EqualValues(t, -1, h.State().LoadExchange.UpdateAgeMs)
+	require.False(t, h.State().LoadExchange.Needed)
 	h.mu.Lock()
 	x, _ := h.registry.Target("x")
 	for range 10 {
@@ -193,6 +193,6 @@
 	}
 	h.mu.Unlock()
 	h.teller.step(t.Context())
-	require.True(t, h.State().Loads.On, "targets tell a slowdown")
-	require.GreaterOrEqual(t, h.State().Loads.ToldMs, int64(0))
+	require.True(t, h.State().LoadExchange.Needed, "targets tell a slowdown")
+	require.GreaterOrEqual(t, h.State().LoadExchange.UpdateAgeMs, int64(0))
 }
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -32,7 +32,7 @@
 	if x.customer == nil || !x.customer.Quota.Limited() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
+	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryTimeout)
 	defer cancel()
 	grant, err := x.takeToken(ctx)
 	for left := x.tokenPatience(); err == nil && !grant.Granted && grant.RetryDelay <= left && sleep(ctx, grant.RetryDelay); {
@@ -53,7 +53,7 @@
 func (x *exchange) takeToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
 	return x.host.History.Take(ctx, quota.TokenRequest{
-		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
+		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.QuotaTolerance), Version: x.customerVersion,
 		FirstOfProgram: x.begins(),
 	})
 }
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -197,7 +197,7 @@
 	s.adopt(m)
 	require.Equal(t, http.StatusNotFound, s.turn("/turn/", "1", "none", "x").status, "both others answer")
 	s.members[1].silent.Store(true)
-	s.host.HistoryPatience = historyPatience
+	s.host.HistoryTimeout = historyPatience
 	require.Equal(t, http.StatusServiceUnavailable, s.turn("/turn/", "2", "none", "x").status)
 	require.Empty(t, x.requests())
 }
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -56,24 +56,24 @@
 
 // State is a dump of the host for operators. It holds no content of requests.
 type State struct {
-	Ready       bool `json:"ready"`
-	Draining    bool `json:"draining"`
-	Active      int  `json:"requests_active"`
-	ActiveLimit int  `json:"requests_limit"`
+	Ready          bool `json:"ready"`
+	Draining       bool `json:"draining"`
+	ActiveRequests int  `json:"requests_active"`
+	MaxRequests    int  `json:"requests_limit"`
 	// Held is what the host holds for callers and targets.
 	Held          held.State `json:"held"`
 	ConfigVersion uint64     `json:"config_version"`
 	ConfigAgeMs   int64      `json:"config_age_ms"`
-	// ConfirmedMs is how long ago the configuration was surely the newest; -1 if it never
+	// ConfigConfirmedMs is how long ago the configuration was surely the newest; -1 if it never
 	// was. Customers is the number of customers, 0 where no keys are needed.
-	ConfirmedMs int64           `json:"config_confirmed_ms"`
-	Customers   int             `json:"customers"`
-	Routes      []RouteState    `json:"routes"`
-	Targets     []balance.State `json:"targets"`
-	History     quorum.State    `json:"history"`
+	ConfigConfirmedMs int64           `json:"config_confirmed_ms"`
+	Customers         int             `json:"customers"`
+	Routes            []RouteState    `json:"routes"`
+	Targets           []balance.State `json:"targets"`
+	History           quorum.State    `json:"history"`
 	// SecondSends is when calls are sent a second time, and how many may be.
-	SecondSends hedge.State `json:"second_sends"`
-	Loads       LoadsState  `json:"loads"`
+	SecondSends  hedge.State       `json:"second_sends"`
+	LoadExchange LoadExchangeState `json:"loads"`
 }
 
 // RouteState is one route of the configuration in force.
@@ -92,17 +92,17 @@
 func (h *Host) State() State {
 	s := State{
 		Ready: h.Ready(), Draining: h.draining.Load(), ConfigVersion: h.configVersion(), ConfigAgeMs: h.configAge().Milliseconds(),
-		Routes: routesOf(h.table.Load()), History: h.History.State(), ConfirmedMs: h.confirmedMs(),
+		Routes: routesOf(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedMs(),
 	}
 	if t := h.table.Load(); t != nil && t.RequiresKey() {
 		s.Customers = len(t.Customers().Names())
 	}
-	s.Active, s.ActiveLimit, s.Held = h.held.active(), h.held.limit(), h.held.state()
+	s.ActiveRequests, s.MaxRequests, s.Held = h.held.active(), h.held.limit(), h.held.state()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.Targets = h.registry.State(h.now())
 	s.SecondSends = h.hedger.State()
-	s.Loads = h.teller.state()
+	s.LoadExchange = h.teller.state()
 	return s
 }
 
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -101,7 +101,7 @@
 	if !x.host.History.Servable(x.program()) || !x.host.History.Servable(t.kept) {
 		return failure.Retry(failure.HistoryUnavailable, x.comeBack(), "history hosts of the program are out of reach")
 	}
-	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
+	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryTimeout)
 	defer cancel()
 	reserve := &historypb.Record{Change: &historypb.Record_Reserve{
 		Reserve: &historypb.Reserve{Turn: x.call.ID, Tokens: x.call.MaxTokens},
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -110,8 +110,8 @@
 	steps func() []subset.Halvings
 }
 
-// Holding tells the view by which steps the host holds a part of the targets.
-func (v *TargetView) Holding(steps func() []subset.Halvings) *TargetView {
+// WithHalvings tells the view by which steps the host holds a part of the targets.
+func (v *TargetView) WithHalvings(steps func() []subset.Halvings) *TargetView {
 	v.steps = steps
 	return v
 }
