--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -77,7 +77,7 @@
 
 // growBody makes the room for the body size bytes large.
 func (x *exchange) growBody(size int64) error {
-	if err := x.held.grow(x.r.Context(), held.Body, size-int64(cap(x.body)), requestWait); err != nil {
+	if err := x.held.reserve(x.r.Context(), held.Body, size-int64(cap(x.body)), maxRequestMemoryWait); err != nil {
 		return err
 	}
 	x.body = append(make([]byte, 0, size), x.body...)
@@ -91,9 +91,9 @@
 		limit = x.deadline
 	}
 	x.readBefore(limit)
-	x.held.await()
+	x.held.startCallerWait()
 	n, err := from.Read(x.body[len(x.body):cap(x.body)])
-	x.held.arrived()
+	x.held.stopCallerWait()
 	x.body = x.body[:len(x.body)+n]
 	return err
 }
@@ -144,8 +144,8 @@
 		room = firstBytes
 	}
 	// At least one byte: the end has to be read too.
-	for room = max(room, 1); body.size+room <= maxPlainBytes+chunkBytes; room = chunkBytes {
-		if err := x.held.grow(ctx, held.Answer, room, answerWait); err != nil {
+	for room = max(room, 1); body.size+room <= maxPlainBytes+readChunkBytes; room = readChunkBytes {
+		if err := x.held.reserve(ctx, held.Answer, room, maxAnswerMemoryWait); err != nil {
 			return nil, err
 		}
 		if err := body.read(resp.Body, room); err != nil {
@@ -167,7 +167,7 @@
 // not that of a whole one.
 func (p *pieces) read(from io.Reader, room int64) error {
 	for room > 0 {
-		piece := make([]byte, min(room, chunkBytes))
+		piece := make([]byte, min(room, readChunkBytes))
 		n, err := fill(from, piece)
 		p.list = append(p.list, piece[:n])
 		p.size += int64(n)
@@ -204,7 +204,7 @@
 // roomFor charges bytes of a kind that come with an answer.
 func (x *exchange) roomFor(ctx context.Context, k held.Kind) func(n int64) error {
 	return func(n int64) error {
-		if x.held.grow(ctx, k, n, answerWait) != nil {
+		if x.held.reserve(ctx, k, n, maxAnswerMemoryWait) != nil {
 			return errNoRoom
 		}
 		return nil
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -39,9 +39,9 @@
 // steadily are served.
 type callerConn struct {
 	net.Conn
-	idleness
+	idleState
 	patience atomic.Int64
-	request  atomic.Pointer[holding]
+	request  atomic.Pointer[requestMemory]
 }
 
 type callerKey struct{}
@@ -58,7 +58,7 @@
 }
 
 // serves notes which request is being answered, nil for none.
-func (c *callerConn) serves(x *holding) {
+func (c *callerConn) serves(x *requestMemory) {
 	c.patience.Store(int64(answerPatience))
 	c.request.Store(x)
 }
@@ -70,8 +70,8 @@
 func (c *callerConn) Write(p []byte) (int, error) {
 	x := c.request.Load()
 	if x != nil {
-		x.await()
-		defer x.arrived()
+		x.startCallerWait()
+		defer x.stopCallerWait()
 	}
 	written, moved := 0, time.Now()
 	for {
@@ -85,11 +85,11 @@
 		case n > 0:
 			moved = time.Now()
 			if x != nil {
-				x.await()
+				x.startCallerWait()
 			}
 		case time.Since(moved) >= patience:
 			if x != nil {
-				x.stalled(patience)
+				x.recordStalledCaller(patience)
 			}
 			return written, err
 		}
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -18,18 +18,18 @@
 }
 
 // confirm notes that the configuration in force was the newest at an instant.
-func (h *Host) confirm(asOf time.Time) {
+func (h *Host) confirmConfig(asOf time.Time) {
 	if asOf.IsZero() {
 		return
 	}
-	at := int64(asOf.Sub(h.start))
+	at := int64(asOf.Sub(h.startedAt))
 	for {
 		old := h.confirmedAt.Load()
 		if old >= at {
 			return
 		}
 		if h.confirmedAt.CompareAndSwap(old, at) {
-			h.confirmed.tell()
+			h.configConfirmed.notify()
 			return
 		}
 	}
@@ -42,7 +42,7 @@
 }
 
 // wait returns a channel that is closed by the next tell.
-func (b *broadcast) wait() <-chan struct{} {
+func (b *broadcast) subscribe() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next == nil {
@@ -51,7 +51,7 @@
 	return b.next
 }
 
-func (b *broadcast) tell() {
+func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next != nil {
@@ -64,7 +64,7 @@
 const neverConfirmed = -1 << 62
 
 // configurationAge is how long ago the configuration in force was surely the newest.
-func (h *Host) configurationAge() time.Duration {
+func (h *Host) confirmedAge() time.Duration {
 	return h.now() - time.Duration(h.confirmedAt.Load())
 }
 
@@ -75,44 +75,44 @@
 	if h.KeyRules.MaxAge == 0 || t == nil || !t.RequiresKey() {
 		return 0
 	}
-	return max(0, h.configurationAge()-h.KeyRules.MaxAge)
+	return max(0, h.confirmedAge()-h.KeyRules.MaxAge)
 }
 
 const (
 	// outagePause is when a caller comes back in an outage of the platform: callers give up
 	// after a few tries, and no host serves it sooner.
-	outagePause = time.Second
+	outageRetryDelay = time.Second
 	// confirmWait and confirmShare bound the wait for a sound word of the platform, in all
 	// and as a part of the time that the caller has: an outage that is over soon then costs
 	// that time, and not the program.
-	confirmWait  = 1200 * time.Millisecond
-	confirmShare = 3
+	maxConfirmWait     = 1200 * time.Millisecond
+	confirmWaitDivisor = 3
 )
 
 // alone reports whether this host is cut off from the others, which may be better off.
-func (h *Host) alone() bool { return h.History.Isolated() > 0 }
+func (h *Host) isIsolated() bool { return h.History.Isolated() > 0 }
 
 // staleComeBack is when a caller that shows a key should try again after the configuration
 // has been too old for a while: at another host as soon as the balancer sends it there, or,
 // where others are no better off, when the platform may be back.
-func (h *Host) staleComeBack(stale time.Duration) time.Duration {
-	if h.alone() {
-		return max(retryLater, rotationTime-stale)
+func (h *Host) staleRetryDelay(stale time.Duration) time.Duration {
+	if h.isIsolated() {
+		return max(retryLater, outOfRotationDelay-stale)
 	}
-	return outagePause
+	return outageRetryDelay
 }
 
 // awaitConfirmation waits for the platform while it does not answer the hosts that follow it
 // for this one. A host that is cut off from these does not wait.
 func (x *exchange) awaitConfirmation(ctx context.Context) {
 	h := x.host
-	if x.route.Public || h.staleFor() == 0 || h.alone() {
+	if x.route.Public || h.staleFor() == 0 || h.isIsolated() {
 		return
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, min(confirmWait, time.Until(x.deadline)/confirmShare))
+	ctx, cancel := context.WithTimeout(ctx, min(maxConfirmWait, time.Until(x.deadline)/confirmWaitDivisor))
 	defer cancel()
-	for confirmed := h.confirmed.wait(); h.staleFor() > 0; confirmed = h.confirmed.wait() {
+	for confirmed := h.configConfirmed.subscribe(); h.staleFor() > 0; confirmed = h.configConfirmed.subscribe() {
 		select {
 		case <-confirmed:
 		case <-ctx.Done():
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -16,14 +16,14 @@
 		return nil
 	}
 	if stale := x.host.staleFor(); stale > 0 {
-		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(stale), "the configuration was confirmed %d ms ago", x.host.configurationAge().Milliseconds())
+		return failure.Retry(failure.StaleConfiguration, x.host.staleRetryDelay(stale), "the configuration was confirmed %d ms ago", x.host.confirmedAge().Milliseconds())
 	}
 	customer, known := t.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
 	if known && (x.customer == nil || x.customer.Name == customer.Name) {
 		x.customer, x.customerVersion = customer, t.Version
 		return nil
 	}
-	if age := x.host.configurationAge(); x.host.KeyRules.UnknownKeyMaxAge > 0 && age > x.host.KeyRules.UnknownKeyMaxAge {
+	if age := x.host.confirmedAge(); x.host.KeyRules.UnknownKeyMaxAge > 0 && age > x.host.KeyRules.UnknownKeyMaxAge {
 		return failure.Retry(failure.StaleConfiguration, retryLater, "unknown key, the configuration was confirmed %d ms ago", age.Milliseconds())
 	}
 	return failure.New(failure.Unauthorized, "unknown key in version %d", t.Version)
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -22,7 +22,7 @@
 	service, _ := old.Service("s")
 	routes := append(old.Routes(), open)
 	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, []*routing.Service{service}, routes).RequireKeys(c))
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 }
 
 // customer has one key, which is its name with "-key" behind.
@@ -107,7 +107,7 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	require.Empty(t, x.requests())
 	require.Equal(t, http.StatusOK, s.post("/open/", "", ownheaders.ID, "2").status)
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "3", ownheaders.Key, "a-key").status)
 }
 
@@ -131,18 +131,18 @@
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	answers := make(chan answer)
 	go func() { answers <- s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key") }()
-	require.Eventually(t, func() bool { return s.host.active() == 1 }, time.Second, time.Millisecond)
-	s.host.confirm(time.Now())
+	require.Eventually(t, func() bool { return s.host.activeRequests() == 1 }, time.Second, time.Millisecond)
+	s.host.confirmConfig(time.Now())
 	require.Equal(t, http.StatusOK, (<-answers).status)
 }
 
 func TestConfirmationNeverGoesBack(t *testing.T) {
 	s := newSystem(t)
 	now := time.Now()
-	s.host.confirm(now)
+	s.host.confirmConfig(now)
 	at := s.host.confirmedAt.Load()
-	s.host.confirm(now.Add(-time.Second))
-	s.host.confirm(time.Time{})
+	s.host.confirmConfig(now.Add(-time.Second))
+	s.host.confirmConfig(time.Time{})
 	require.Equal(t, at, s.host.confirmedAt.Load())
 }
 
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -14,7 +14,7 @@
 )
 
 // evacuated is the platform's list with these data centres.
-func evacuated(dataCentres ...string) objects.Snapshot {
+func evacuationSnapshot(dataCentres ...string) objects.Snapshot {
 	s := objects.Snapshot{}
 	for _, name := range dataCentres {
 		s.Items = append(s.Items, objects.Object{Name: name})
@@ -22,12 +22,12 @@
 	return s
 }
 
-func TestAnEvacuationStaysInForceWhileThePlatformIsLost(t *testing.T) {
+func TestEvacuationStaysInForceWhenPlatformIsLost(t *testing.T) {
 	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
 	s := newSystem(t, a, b)
 	s.host.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	view := NewEvacuationView(s.host)
-	view.Replaced(evacuated("dc1"))
+	view.Replaced(evacuationSnapshot("dc1"))
 	view.Lost(failure.New(failure.PlatformUnavailable, "away"))
 	view.Changed(objects.Changes{})
 	for i := range 6 {
@@ -40,7 +40,7 @@
 }
 
 // What nobody may serve is refused at once, as not run.
-func TestWithAllDataCentresEvacuatedRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenAllDataCentresAreEvacuated(t *testing.T) {
 	a := newTarget(t, "t1", answering)
 	s := newSystem(t, a)
 	view := NewEvacuationView(s.host)
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -223,7 +223,7 @@
 // heard takes the load that a target tells at the head of its answer. At the end of
 // a stream the word would be old.
 func (h *Host) heard(t balance.TargetInfo, a request.Answer) {
-	h.reach.heard(t.ID)
+	h.reachability.recordHeard(t.ID)
 	if !a.HasLoad {
 		return
 	}
@@ -240,7 +240,7 @@
 	if delay, twice := x.hedgeDelay(); twice {
 		return x.tryTwice(ctx, t, delay)
 	}
-	guarded, release := x.host.reach.guard(ctx, t)
+	guarded, release := x.host.reachability.guard(ctx, t)
 	defer release()
 	resp, err := x.send(guarded, t, x.call.LastEventID)
 	if err != nil {
@@ -294,7 +294,7 @@
 		h.Meter.Observe("target_head", time.Since(sent))
 		h.heard(t, resp.Answer)
 	case failure.From(err).Ran == failure.RanNo && ctx.Err() == nil:
-		h.reach.lost(t.ID, t.Address)
+		h.reachability.startProbing(t.ID, t.Address)
 	}
 	return resp, err
 }
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -28,7 +28,7 @@
 	deadline time.Time
 	body     []byte
 	// held is what the host holds for the request.
-	held *holding
+	held *requestMemory
 	// late is set when the caller did not send its body in time: its connection ends, but
 	// takes an answer before.
 	late bool
@@ -67,11 +67,11 @@
 	}
 	x.boundUpload()
 	var ok bool
-	if x.held, ok = h.held.enter(r); !ok {
-		x.fail(failure.Retry(failure.Overloaded, retryLater, "the host holds %d requests", h.active()))
+	if x.held, ok = h.memory.admit(r); !ok {
+		x.fail(failure.Retry(failure.Overloaded, retryLater, "the host holds %d requests", h.activeRequests()))
 		return
 	}
-	defer x.held.leave(r)
+	defer x.held.closeAccount(r)
 	if err := x.serve(); err != nil {
 		x.fail(failure.From(err))
 		return
@@ -125,7 +125,7 @@
 	if x.call, err = x.host.Headers.Call(x.r.Header); err != nil {
 		return err
 	}
-	x.held.named(x.call.ID)
+	x.held.setRequestID(x.call.ID)
 	route, ok := x.table.Match(x.r.Host, x.r.URL.Path)
 	if !ok {
 		return failure.New(failure.NoRoute, "no route for %s%s in version %d", x.r.Host, x.r.URL.Path, x.table.Version)
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -98,7 +98,7 @@
 // launch sends the call to a target beside the caller's wait. The returned function breaks
 // it off.
 func (x *exchange) launch(ctx context.Context, t balance.TargetInfo, replies chan<- *reply) context.CancelFunc {
-	guarded, release := x.host.reach.guard(ctx, t)
+	guarded, release := x.host.reachability.guard(ctx, t)
 	out := x.outgoing(t, x.call.LastEventID)
 	go func() {
 		r := &reply{target: t, sent: time.Now()}
--- a/daemon/entry/held.go
+++ b/daemon/entry/held.go
@@ -13,195 +13,195 @@
 const (
 	// requestWait bounds the wait for room for what is read of a caller. A caller that is
 	// refused by then comes back to a host that has room.
-	requestWait = 100 * time.Millisecond
+	maxRequestMemoryWait = 100 * time.Millisecond
 	// answerWait bounds the wait for room for an answer: an engine cuts off an answer that
 	// stays unread for some seconds.
-	answerWait = time.Second
+	maxAnswerMemoryWait = time.Second
 	// slowCheck is how often a request that waits for room looks for a slow caller.
-	slowCheck = 50 * time.Millisecond
+	evictionInterval = 50 * time.Millisecond
 	// chunkBytes is how much is read of a caller or target at once.
-	chunkBytes = 32 << 10
+	readChunkBytes = 32 << 10
 )
 
 // holdings is the account of what a host holds. Safe for concurrent use.
-type holdings struct {
-	host  *Host
-	mu    sync.Mutex
-	book  *held.Account
-	by    map[*held.RequestAccount]*holding
-	freed broadcast
+type memoryAccount struct {
+	host     *Host
+	mu       sync.Mutex
+	account  *held.Account
+	requests map[*held.RequestAccount]*requestMemory
+	freed    broadcast
 }
 
-func newHoldings(h *Host) *holdings {
-	return &holdings{host: h, book: held.New(h.MemoryBytes, h.Descriptors), by: map[*held.RequestAccount]*holding{}}
+func newMemoryAccount(h *Host) *memoryAccount {
+	return &memoryAccount{host: h, account: held.New(h.MemoryBytes, h.Descriptors), requests: map[*held.RequestAccount]*requestMemory{}}
 }
 
 // holding is what one request holds.
-type holding struct {
-	of     *holdings
-	holder *held.RequestAccount
+type requestMemory struct {
+	parent  *memoryAccount
+	account *held.RequestAccount
 	// call names the request in logs, once it is decoded.
-	call string
+	requestID string
 	// end closes the caller's connection; nil where the host does not know it.
-	end func()
+	closeConn func()
 }
 
 // enter admits a request, or reports that the host holds too much.
-func (b *holdings) enter(r *http.Request) (*holding, bool) {
+func (b *memoryAccount) admit(r *http.Request) (*requestMemory, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	holder, ok := b.book.Admit()
+	holder, ok := b.account.Admit()
 	if !ok {
-		b.endSlowest(held.Body, held.MinRequestBytes)
+		b.evictSlowCallersLocked(held.Body, held.MinRequestBytes)
 		return nil, false
 	}
-	x := &holding{of: b, holder: holder}
+	x := &requestMemory{parent: b, account: holder}
 	if c := callerOf(r); c != nil {
-		x.end = func() { _ = c.Close() }
+		x.closeConn = func() { _ = c.Close() }
 		c.serves(x)
 	}
-	b.by[holder] = x
+	b.requests[holder] = x
 	return x, true
 }
 
 // leave ends the request.
-func (x *holding) leave(r *http.Request) {
+func (x *requestMemory) closeAccount(r *http.Request) {
 	if c := callerOf(r); c != nil {
 		c.serves(nil)
 	}
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.holder.Close()
-	delete(x.of.by, x.holder)
-	x.of.freed.tell()
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.account.Close()
+	delete(x.parent.requests, x.account)
+	x.parent.freed.notify()
 }
 
 // named gives the request its name in logs.
-func (x *holding) named(id string) {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.call = id
+func (x *requestMemory) setRequestID(id string) {
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.requestID = id
 }
 
 // grow charges n more bytes; where there is no room it waits for some, up to wait, while
 // the slowest callers end.
-func (x *holding) grow(ctx context.Context, k held.Kind, n int64, wait time.Duration) error {
-	if n <= 0 || x.try(k, n) {
+func (x *requestMemory) reserve(ctx context.Context, k held.Kind, n int64, wait time.Duration) error {
+	if n <= 0 || x.tryReserve(k, n) {
 		return nil
 	}
-	x.of.host.Meter.Count("waits", "bytes")
-	x.makeRoom(k, n)
+	x.parent.host.Meter.Count("waits", "bytes")
+	x.evictSlowCallers(k, n)
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
-	tick := time.NewTicker(slowCheck)
+	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
 	for {
-		freed := x.of.freed.wait()
-		if x.try(k, n) {
+		freed := x.parent.freed.subscribe()
+		if x.tryReserve(k, n) {
 			return nil
 		}
 		select {
 		case <-freed:
 		case <-tick.C:
-			x.makeRoom(k, n)
+			x.evictSlowCallers(k, n)
 		case <-limit.C:
-			return x.full(k, n)
+			return x.overloadedError(k, n)
 		case <-ctx.Done():
-			return x.full(k, n)
+			return x.overloadedError(k, n)
 		}
 	}
 }
 
 // full is the refusal of a request for which there is no room.
-func (x *holding) full(k held.Kind, n int64) error {
-	b := x.of
+func (x *requestMemory) overloadedError(k held.Kind, n int64) error {
+	b := x.parent
 	b.mu.Lock()
-	charged := b.book.ChargedBytes()
+	charged := b.account.ChargedBytes()
 	b.mu.Unlock()
 	b.host.Meter.Count("bytes", "refused", k.String())
 	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, k)
 }
 
 // try charges n more bytes, if there is room.
-func (x *holding) try(k held.Kind, n int64) bool {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	return x.holder.Reserve(k, n)
+func (x *requestMemory) tryReserve(k held.Kind, n int64) bool {
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	return x.account.Reserve(k, n)
 }
 
 // makeRoom ends slow callers for n more bytes.
-func (x *holding) makeRoom(k held.Kind, n int64) {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.of.endSlowest(k, n)
+func (x *requestMemory) evictSlowCallers(k held.Kind, n int64) {
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.parent.evictSlowCallersLocked(k, n)
 }
 
 // release takes n bytes off.
-func (x *holding) release(k held.Kind, n int64) {
+func (x *requestMemory) release(k held.Kind, n int64) {
 	if n <= 0 {
 		return
 	}
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.holder.Release(k, n)
-	x.of.freed.tell()
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.account.Release(k, n)
+	x.parent.freed.notify()
 }
 
 // await notes that the request waits for its caller; arrived that it does so no more.
-func (x *holding) await() {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.holder.StartCallerWait(x.of.host.now())
+func (x *requestMemory) startCallerWait() {
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.account.StartCallerWait(x.parent.host.now())
 }
 
-func (x *holding) arrived() {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
-	x.holder.StopCallerWait()
+func (x *requestMemory) stopCallerWait() {
+	x.parent.mu.Lock()
+	defer x.parent.mu.Unlock()
+	x.account.StopCallerWait()
 }
 
 // endSlowest closes the connections of slow callers, so that there is room for n more bytes;
 // the caller holds mu.
-func (b *holdings) endSlowest(k held.Kind, n int64) {
-	for _, slow := range b.book.SelectEvictions(b.host.now(), k, n) {
-		x := b.by[slow.Request]
+func (b *memoryAccount) evictSlowCallersLocked(k held.Kind, n int64) {
+	for _, slow := range b.account.SelectEvictions(b.host.now(), k, n) {
+		x := b.requests[slow.Request]
 		b.host.Meter.Count("callers_ended", "no_room")
-		b.host.Log.Warn("slow caller ended for want of room", "request", x.call, "held_bytes", slow.Request.HeldBytes(),
-			"slow_ms", slow.StalledFor.Milliseconds(), "charged_bytes", b.book.ChargedBytes())
-		if x.end != nil {
-			x.end()
+		b.host.Log.Warn("slow caller ended for want of room", "request", x.requestID, "held_bytes", slow.Request.HeldBytes(),
+			"slow_ms", slow.StalledFor.Milliseconds(), "charged_bytes", b.account.ChargedBytes())
+		if x.closeConn != nil {
+			x.closeConn()
 		}
 	}
 }
 
 // stalled logs that a caller ended because it took nothing for too long.
-func (x *holding) stalled(after time.Duration) {
-	b := x.of
+func (x *requestMemory) recordStalledCaller(after time.Duration) {
+	b := x.parent
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.host.Meter.Count("callers_ended", "unread")
-	b.host.Log.Warn("caller ended because it did not read", "request", x.call, "held_bytes", x.holder.HeldBytes(), "slow_ms", after.Milliseconds())
+	b.host.Log.Warn("caller ended because it did not read", "request", x.requestID, "held_bytes", x.account.HeldBytes(), "slow_ms", after.Milliseconds())
 }
 
 // active is the number of requests held.
-func (b *holdings) active() int {
+func (b *memoryAccount) activeRequests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.ActiveRequests()
+	return b.account.ActiveRequests()
 }
 
 // limit is the most requests held at once.
-func (b *holdings) limit() int { return b.book.MaxRequests() }
+func (b *memoryAccount) maxRequests() int { return b.account.MaxRequests() }
 
 // state is a dump of the account.
-func (b *holdings) state() held.State {
+func (b *memoryAccount) state() held.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.State(b.host.now())
+	return b.account.State(b.host.now())
 }
 
 // gauges serves what is held, in all and by kind.
-func (b *holdings) gauges() {
+func (b *memoryAccount) registerGauges() {
 	read := func(f func() int64) func() int64 {
 		return func() int64 {
 			b.mu.Lock()
@@ -210,8 +210,8 @@
 		}
 	}
 	m := b.host.Meter
-	m.Gauge("held_charged_bytes", read(b.book.ChargedBytes))
+	m.Gauge("held_charged_bytes", read(b.account.ChargedBytes))
 	for _, k := range held.Kinds() {
-		m.Gauge("held_"+k.String()+"_bytes", read(func() int64 { return b.book.HeldBytes(k) }))
+		m.Gauge("held_"+k.String()+"_bytes", read(func() int64 { return b.account.HeldBytes(k) }))
 	}
 }
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -74,17 +74,17 @@
 	// configuredAt is when the table in force came, in nanoseconds of now.
 	configuredAt atomic.Int64
 	// confirmedAt is when the table in force was surely the newest, in nanoseconds of now.
-	confirmedAt atomic.Int64
-	confirmed   broadcast
-	server      atomic.Pointer[http.Server]
-	listener    net.Listener
-	pool        *targetpool.Pool
-	targetBytes targetBytes
-	reach       *reach
-	start       time.Time
-	teller      *teller
+	confirmedAt     atomic.Int64
+	configConfirmed broadcast
+	server          atomic.Pointer[http.Server]
+	listener        net.Listener
+	pool            *targetpool.Pool
+	targetBytes     targetBytes
+	reachability    *reachabilityMonitor
+	startedAt       time.Time
+	loadExchanger   *loadExchanger
 
-	held *holdings
+	memory *memoryAccount
 
 	mu       sync.Mutex
 	registry *balance.Registry
@@ -93,7 +93,7 @@
 
 	draining atomic.Bool
 	// work is what goes on after an answer: settling budgets.
-	work sync.WaitGroup
+	background sync.WaitGroup
 }
 
 // New returns a host without configuration and targets.
@@ -104,24 +104,24 @@
 		Options:    o,
 		configured: make(chan struct{}),
 		pool:       targetpool.New(o.Dialer),
-		start:      time.Now(),
+		startedAt:  time.Now(),
 		registry:   registry,
 		dispatch:   dispatch.New(registry, dispatch.DefaultLimits()),
 		hedger:     hedge.New(),
 	}
-	h.held = newHoldings(h)
+	h.memory = newMemoryAccount(h)
 	h.confirmedAt.Store(neverConfirmed)
-	h.reach = newReach(h)
-	h.teller = newTeller(h)
-	h.gauges()
+	h.reachability = newReachabilityMonitor(h)
+	h.loadExchanger = newLoadExchanger(h)
+	h.registerGauges()
 	return h
 }
 
 // active is the number of requests held.
-func (h *Host) active() int { return h.held.active() }
+func (h *Host) activeRequests() int { return h.memory.activeRequests() }
 
 // now is the host's monotonic time.
-func (h *Host) now() time.Duration { return time.Since(h.start) }
+func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
 // Limits where a configuration leaves them out.
 const (
@@ -133,7 +133,7 @@
 
 // configurationWait is how long connections wait for the first configuration,
 // which says what callers may send; without one they are refused in good order.
-const configurationWait = 300 * time.Millisecond
+const maxFirstConfigWait = 300 * time.Millisecond
 
 // Serve takes callers' requests until Drain or Close.
 func (h *Host) Serve(listener net.Listener) {
@@ -141,15 +141,15 @@
 	go func() {
 		select {
 		case <-h.configured:
-		case <-time.After(configurationWait):
+		case <-time.After(maxFirstConfigWait):
 		}
 		limits := h.limits()
 		server := &http.Server{
 			Handler:           h,
 			MaxHeaderBytes:    cmp.Or(limits.HeaderBytes, defaultHeaderBytes),
 			ReadHeaderTimeout: cmp.Or(limits.HeaderTimeout, defaultHeaderTimeout),
-			IdleTimeout:       idleBackstop,
-			ConnState:         newIdleConns(h.idleTimeout).state,
+			IdleTimeout:       serverIdleTimeout,
+			ConnState:         newIdleCloser(h.idleTimeout).connState,
 			ConnContext:       withCaller,
 			ErrorLog:          h.Log.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 		}
@@ -161,7 +161,7 @@
 }
 
 // idleBackstop is above any idle limit; see idleConns.
-const idleBackstop = 10 * time.Minute
+const serverIdleTimeout = 10 * time.Minute
 
 // limits are those of the configuration in force, if there is one.
 func (h *Host) limits() routing.Limits {
@@ -192,13 +192,13 @@
 
 // rotationTime is how long the platform takes to send callers elsewhere after a
 // host is not ready: two questions, a second apart.
-const rotationTime = 2 * time.Second
+const outOfRotationDelay = 2 * time.Second
 
 // comeBack is when a caller that history hosts cannot serve should try again: at
 // once if this host is in touch with them, otherwise when callers are sent to
 // other hosts. Callers that came back at once where this host alone is cut off could meet
 // it again, and be refused for good.
-func (h *Host) comeBack() time.Duration {
+func (h *Host) historyRetryDelay() time.Duration {
 	isolated := h.History.Isolated()
 	if isolated == 0 {
 		return retryLater
@@ -206,7 +206,7 @@
 	if takeover := h.History.TakeoverIn(); takeover > 0 {
 		return max(retryLater, takeover)
 	}
-	return max(retryLater, rotationTime-isolated)
+	return max(retryLater, outOfRotationDelay-isolated)
 }
 
 // turnPause is when the caller of a turn comes back while this host alone is cut off. Unlike a
@@ -214,7 +214,7 @@
 // waiting for the balancer to take this one out costs most of what a program's aim leaves.
 // Where a whole data centre is cut off, its callers reach none that serves until the balancer
 // sends them elsewhere: with this pause all tries would be over before that.
-const turnPause = 350 * time.Millisecond
+const isolatedTurnRetryDelay = 350 * time.Millisecond
 
 // ServeReady answers the platform's question whether the host takes requests.
 func (h *Host) ServeReady(listener net.Listener) {
@@ -236,17 +236,17 @@
 // closes the connections then.
 func (h *Host) Run(ctx context.Context) {
 	if !h.DisableLoadExchange {
-		go h.teller.run(ctx)
+		go h.loadExchanger.run(ctx)
 	}
 	h.pool.Reap(ctx)
-	close(h.reach.done)
+	close(h.reachability.done)
 	h.pool.Close()
 }
 
 const (
 	// leaveAfter is how long a stopping host goes on as before, not ready: the
 	// platform takes it out of rotation after two questions a second apart.
-	leaveAfter = 2500 * time.Millisecond
+	drainNotReadyDelay = 2500 * time.Millisecond
 	// settleReserve is kept of the grace for what goes on after the last answer.
 	settleReserve = 500 * time.Millisecond
 )
@@ -255,19 +255,19 @@
 // new connections come, then closes connections as they fall idle.
 func (h *Host) Drain(grace time.Duration) {
 	h.draining.Store(true)
-	h.Log.Info("draining", "active", h.active())
+	h.Log.Info("draining", "active", h.activeRequests())
 	end := time.Now().Add(grace - settleReserve)
-	time.Sleep(min(leaveAfter, grace/3))
+	time.Sleep(min(drainNotReadyDelay, grace/3))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if server := h.server.Load(); server != nil {
 		if err := server.Shutdown(ctx); err != nil {
-			h.Log.Warn("requests cut off at the end of the grace time", "active", h.active())
+			h.Log.Warn("requests cut off at the end of the grace time", "active", h.activeRequests())
 		}
 	}
 	done := make(chan struct{})
 	go func() {
-		h.work.Wait()
+		h.background.Wait()
 		close(done)
 	}()
 	select {
@@ -279,7 +279,7 @@
 }
 
 // statuses are the HTTP statuses of failures that did not run.
-var statuses = map[failure.Kind]int{
+var notRunStatuses = map[failure.Kind]int{
 	failure.BadRequest:         http.StatusBadRequest,
 	failure.TooLarge:           http.StatusRequestEntityTooLarge,
 	failure.NoRoute:            http.StatusNotFound,
@@ -301,7 +301,7 @@
 // gets a status that promises that it did not.
 func statusOf(f *failure.Failure) int {
 	if f.Ran == failure.RanNo {
-		if status, ok := statuses[f.Kind]; ok {
+		if status, ok := notRunStatuses[f.Kind]; ok {
 			return status
 		}
 		return http.StatusServiceUnavailable
--- a/daemon/entry/idle.go
+++ b/daemon/entry/idle.go
@@ -10,18 +10,18 @@
 // idleConns closes callers' connections that stay idle for longer than the
 // configuration in force allows. http.Server's own timeout cannot change while it
 // runs, and callers count on the newest.
-type idleConns struct {
-	limit  func() time.Duration
-	mu     sync.Mutex
-	timers map[*callerConn]*time.Timer
+type idleCloser struct {
+	timeout func() time.Duration
+	mu      sync.Mutex
+	timers  map[*callerConn]*time.Timer
 }
 
-func newIdleConns(limit func() time.Duration) *idleConns {
-	return &idleConns{limit: limit, timers: map[*callerConn]*time.Timer{}}
+func newIdleCloser(limit func() time.Duration) *idleCloser {
+	return &idleCloser{timeout: limit, timers: map[*callerConn]*time.Timer{}}
 }
 
 // state is an http.Server.ConnState hook, for connections of callers.
-func (c *idleConns) state(conn net.Conn, s http.ConnState) {
+func (c *idleCloser) connState(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -33,52 +33,52 @@
 		delete(c.timers, caller)
 	}
 	if s == http.StateIdle {
-		caller.rest()
-		c.timers[caller] = time.AfterFunc(c.limit(), caller.closeIdle)
+		caller.markIdle()
+		c.timers[caller] = time.AfterFunc(c.timeout(), caller.closeIdle)
 	}
 }
 
 // requestStart is how many bytes http.Server waits for before it bounds the time that a
 // request's head takes: fewer are no request.
-const requestStart = 4
+const minRequestStartBytes = 4
 
 // idleness is whether a connection waits for its next request. http.Server tells that one is
 // in use only once it has read the whole head of a request; a connection that was closed until
 // then would take a request with it that is then sent to a target.
-type idleness struct {
-	mu      sync.Mutex
-	arrived int // bytes since the connection became idle
-	closed  bool
+type idleState struct {
+	mu            sync.Mutex
+	receivedBytes int // bytes since the connection became idle
+	closed        bool
 }
 
 // rest notes that the connection is idle.
-func (i *idleness) rest() {
+func (i *idleState) markIdle() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.arrived = 0
+	i.receivedBytes = 0
 }
 
 // arrive notes n bytes; it reports false where the connection has been closed, and nothing that
 // arrives may be read.
-func (i *idleness) arrive(n int) bool {
+func (i *idleState) recordRead(n int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.arrived += n
+	i.receivedBytes += n
 	return !i.closed
 }
 
 // expire reports whether the connection is still idle, and thus to be closed.
-func (i *idleness) expire() bool {
+func (i *idleState) closeIfIdle() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.arrived < requestStart {
+	if i.receivedBytes < minRequestStartBytes {
 		i.closed = true
 	}
 	return i.closed
 }
 
 // end notes that the connection is closed, idle or not.
-func (i *idleness) end() {
+func (i *idleState) markClosed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.closed = true
@@ -87,7 +87,7 @@
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.arrive(n) {
+	if n > 0 && !c.recordRead(n) {
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -95,13 +95,13 @@
 
 // Close implements net.Conn. http.Server calls it for idle connections as it shuts down.
 func (c *callerConn) Close() error {
-	c.end()
+	c.markClosed()
 	return c.Conn.Close()
 }
 
 // closeIdle closes the connection unless a request has begun to arrive.
 func (c *callerConn) closeIdle() {
-	if c.expire() {
+	if c.closeIfIdle() {
 		_ = c.Close()
 	}
 }
--- a/daemon/entry/idle_test.go
+++ b/daemon/entry/idle_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIdleConnectionIsClosedByTheNewestLimit(t *testing.T) {
+func TestIdleConnectionIsClosedAfterCurrentTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := 15 * time.Second
-		c := newIdleConns(func() time.Duration { return limit })
+		c := newIdleCloser(func() time.Duration { return limit })
 		pipe, far := net.Pipe()
 		near := &callerConn{Conn: pipe}
 		closed := make(chan time.Time, 1)
@@ -22,17 +22,17 @@
 			_, _ = far.Read(make([]byte, 1))
 			closed <- time.Now()
 		}()
-		c.state(near, http.StateNew)
-		c.state(near, http.StateIdle)
+		c.connState(near, http.StateNew)
+		c.connState(near, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		c.state(near, http.StateActive)
+		c.connState(near, http.StateActive)
 		time.Sleep(time.Hour)
 		require.Empty(t, closed, "an active connection stays")
 		limit = 30 * time.Second
 		began := time.Now()
-		c.state(near, http.StateIdle)
+		c.connState(near, http.StateIdle)
 		require.Equal(t, 30*time.Second, (<-closed).Sub(began))
-		c.state(near, http.StateClosed)
+		c.connState(near, http.StateClosed)
 		require.Empty(t, c.timers)
 	})
 }
@@ -55,14 +55,14 @@
 
 // A request that has begun to arrive when the connection's idle time ends is answered: http.Server
 // tells that the connection is in use only once it has read the whole head.
-func TestRequestThatArrivesAtTheIdleLimitIsAnswered(t *testing.T) {
+func TestRequestArrivingAtIdleTimeoutIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		listener := pipeListener{make(chan net.Conn, 1)}
 		listener.conns <- near
 		server := &http.Server{
 			Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}),
-			ConnState: newIdleConns(func() time.Duration { return 15 * time.Second }).state,
+			ConnState: newIdleCloser(func() time.Duration { return 15 * time.Second }).connState,
 		}
 		go func() { _ = server.Serve(callers{listener}) }()
 		defer func() { _ = server.Close() }()
@@ -90,24 +90,24 @@
 }
 
 // What arrives as an idle connection is closed is not passed on: its sender has seen the close.
-func TestNothingIsReadOfAConnectionClosedAsIdle(t *testing.T) {
+func TestConnectionClosedAsIdleReturnsNoData(t *testing.T) {
 	conn := &callerConn{}
-	conn.Conn = closedAsRead{conn: conn}
-	conn.rest()
+	conn.Conn = closedDuringReadConn{conn: conn}
+	conn.markIdle()
 	n, err := conn.Read(make([]byte, 100))
 	require.Zero(t, n)
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
 // closedAsRead is a connection whose idle time ends as bytes have just been read.
-type closedAsRead struct {
+type closedDuringReadConn struct {
 	net.Conn
 	conn *callerConn
 }
 
-func (c closedAsRead) Read(p []byte) (int, error) {
+func (c closedDuringReadConn) Read(p []byte) (int, error) {
 	c.conn.closeIdle()
 	return copy(p, "GET / HTTP/1.1"), nil
 }
 
-func (closedAsRead) Close() error { return nil }
+func (closedDuringReadConn) Close() error { return nil }
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -9,26 +9,26 @@
 )
 
 // teller tells a history host what this host sees of the targets, and is told what others see.
-type teller struct {
+type loadExchanger struct {
 	host     *Host
 	reporter *loads.Reporter
 	// broken: the last exchange failed.
-	broken bool
+	failing bool
 	// What follows is for operators, guarded by the host's mu. on: the host hears too little
 	// by itself; board and hosts are those of the last answer.
-	on    bool
-	board uint64
-	hosts int
+	needed     bool
+	boardID    uint64
+	otherHosts int
 }
 
-func newTeller(h *Host) *teller {
+func newLoadExchanger(h *Host) *loadExchanger {
 	id := rand.Uint64() | 1
 	h.registry.SetSalt(id)
-	return &teller{host: h, reporter: loads.NewReporter(id)}
+	return &loadExchanger{host: h, reporter: loads.NewReporter(id)}
 }
 
 // run exchanges until the context ends.
-func (t *teller) run(ctx context.Context) {
+func (t *loadExchanger) run(ctx context.Context) {
 	timer := time.NewTimer(loads.IdleReportInterval)
 	defer timer.Stop()
 	for {
@@ -36,33 +36,33 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			timer.Reset(t.step(ctx))
+			timer.Reset(t.exchangeIfNeeded(ctx))
 		}
 	}
 }
 
 // step exchanges once, if the host hears too little by itself, and returns when to look again.
-func (t *teller) step(ctx context.Context) time.Duration {
-	if !t.hushed() {
+func (t *loadExchanger) exchangeIfNeeded(ctx context.Context) time.Duration {
+	if !t.updateNeeded() {
 		return loads.IdleReportInterval
 	}
 	return t.exchange(ctx)
 }
 
 // hushed notes whether the host hears too little by itself.
-func (t *teller) hushed() bool {
+func (t *loadExchanger) updateNeeded() bool {
 	h := t.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	on := h.registry.NeedsLoadExchange(h.now())
-	if on != t.on {
+	if on != t.needed {
 		h.Log.Info("exchange of loads", "on", on)
 	}
-	t.on = on
+	t.needed = on
 	return on
 }
 
-func (t *teller) exchange(ctx context.Context) time.Duration {
+func (t *loadExchanger) exchange(ctx context.Context) time.Duration {
 	h := t.host
 	h.mu.Lock()
 	own, active := h.registry.Observations(), h.registry.InFlight() > 0
@@ -74,30 +74,30 @@
 	}
 	reply, err := h.History.ExchangeLoads(ctx, t.reporter.NextReport(h.now()))
 	if err != nil {
-		return t.failed(err)
+		return t.recordFailure(err)
 	}
 	h.Meter.Count("load_exchanges", "ok")
-	if t.broken {
+	if t.failing {
 		h.Log.Info("loads are told again", "board", reply.BoardID, "hosts", reply.OtherHosts)
 	}
-	t.broken = false
+	t.failing = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	learned := t.reporter.HandleReply(reply, h.now())
-	t.board, t.hosts = reply.BoardID, reply.OtherHosts
+	t.boardID, t.otherHosts = reply.BoardID, reply.OtherHosts
 	h.registry.ApplyUpdate(learned, h.now())
 	return every
 }
 
 // failed notes an exchange without an answer: the host goes on with what it hears itself. The
 // next member is asked soon, then seldom while none answers.
-func (t *teller) failed(err error) time.Duration {
+func (t *loadExchanger) recordFailure(err error) time.Duration {
 	h := t.host
 	h.Meter.Count("load_exchanges", "failed")
-	if t.broken {
+	if t.failing {
 		return loads.IdleReportInterval
 	}
-	t.broken = true
+	t.failing = true
 	h.Log.Warn("loads are not told", "error", err.Error())
 	return loads.ReportInterval
 }
@@ -114,8 +114,8 @@
 }
 
 // state returns what the host was told; the caller holds the host's mu.
-func (t *teller) state() LoadExchangeState {
-	s := LoadExchangeState{Needed: t.on, BoardID: t.board, OtherHosts: t.hosts, UpdateAgeMs: -1}
+func (t *loadExchanger) state() LoadExchangeState {
+	s := LoadExchangeState{Needed: t.needed, BoardID: t.boardID, OtherHosts: t.otherHosts, UpdateAgeMs: -1}
 	if age := t.host.registry.UpdateAge(t.host.now()); age >= 0 {
 		s.UpdateAgeMs = age.Milliseconds()
 	}
@@ -123,7 +123,7 @@
 }
 
 // gauge serves the age of what the host was told.
-func (t *teller) gauge() {
+func (t *loadExchanger) registerGauge() {
 	t.host.Meter.Gauge("loads_told_ms", func() int64 {
 		t.host.mu.Lock()
 		defer t.host.mu.Unlock()
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -21,18 +21,18 @@
 
 // fleet is entry hosts and the history hosts of their data centre.
 type fleet struct {
-	t       *testing.T
-	members map[string]*member
-	listens map[string]net.Listener
-	hosts   []*Host
+	t         *testing.T
+	members   map[string]*member
+	listeners map[string]net.Listener
+	hosts     []*Host
 }
 
 // boardPatience is how long a silent board is waited for.
-const boardPatience = 500 * time.Millisecond
+const boardTimeout = 500 * time.Millisecond
 
 // newFleet starts entry hosts that all list the target "x", and history hosts.
 func newFleet(t *testing.T, entries, members int) *fleet {
-	f := &fleet{t: t, members: map[string]*member{}, listens: map[string]net.Listener{}}
+	f := &fleet{t: t, members: map[string]*member{}, listeners: map[string]net.Listener{}}
 	m := placement.New(1)
 	for range members {
 		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
@@ -42,7 +42,7 @@
 		t.Cleanup(func() { _ = l.Close() })
 		x := &member{server: server}
 		go func() { _ = rpc.Serve(l, x.handle) }()
-		f.members[server.Member()], f.listens[server.Member()] = x, l
+		f.members[server.Member()], f.listeners[server.Member()] = x, l
 		m.Admit(placement.Member{ID: server.Member(), Host: server.Member(), Address: l.Addr().String(), DataCentre: "dc1"})
 	}
 	m.Assign()
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	for range entries {
 		past := quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
-		past.Patient(boardPatience)
+		past.Patient(boardTimeout)
 		past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
 		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: quietLog()})
 		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 1})
@@ -61,16 +61,16 @@
 
 // exchange lets all hosts exchange a few times: enough for a board to be told everything
 // anew, and to tell it.
-func (f *fleet) exchange() {
+func (f *fleet) exchangeRounds() {
 	const rounds = 4
 	for range rounds {
 		for _, h := range f.hosts {
-			h.teller.exchange(f.t.Context())
+			h.loadExchanger.exchange(f.t.Context())
 		}
 	}
 }
 
-func (f *fleet) sent(host int) {
+func (f *fleet) recordSend(host int) {
 	h := f.hosts[host]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,22 +80,22 @@
 }
 
 // others is what a host was told of others' requests at the target.
-func (f *fleet) others(host int) int { return f.hosts[host].State().Targets[0].OthersInFlight }
+func (f *fleet) othersInFlight(host int) int { return f.hosts[host].State().Targets[0].OthersInFlight }
 
 // board is the member that the hosts report to.
-func (f *fleet) board() string {
+func (f *fleet) boardMember() string {
 	m, ok := f.hosts[0].History.Board()
 	require.True(f.t, ok)
 	return m.ID
 }
 
-func TestHostsAreToldOfEachOther(t *testing.T) {
+func TestHostsLearnInFlightRequestsOfOtherHosts(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	f.sent(0)
-	f.sent(1)
-	f.exchange()
-	require.Equal(t, 1, f.others(0))
-	require.Equal(t, 2, f.others(2))
+	f.recordSend(0)
+	f.recordSend(1)
+	f.exchangeRounds()
+	require.Equal(t, 1, f.othersInFlight(0))
+	require.Equal(t, 2, f.othersInFlight(2))
 	s := f.hosts[2].State().LoadExchange
 	require.Equal(t, 2, s.OtherHosts)
 	require.NotZero(t, s.BoardID)
@@ -104,37 +104,37 @@
 
 // While the board is frozen or dead the next member of the data centre takes over; hosts say
 // everything again.
-func TestAnotherMemberTakesTheBoardOver(t *testing.T) {
+func TestAnotherMemberTakesOverBoard(t *testing.T) {
 	faults := map[string]func(f *fleet, id string){
 		"frozen": func(f *fleet, id string) { f.members[id].silent.Store(true) },
 		"dead": func(f *fleet, id string) {
-			_ = f.listens[id].Close()
+			_ = f.listeners[id].Close()
 			f.members[id].silent.Store(true)
 		},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 2)
-			f.sent(0)
-			f.exchange()
-			first := f.board()
+			f.recordSend(0)
+			f.exchangeRounds()
+			first := f.boardMember()
 			fault(f, first)
-			f.sent(0)
-			f.exchange()
-			require.NotEqual(t, first, f.board())
-			require.Equal(t, 2, f.others(1))
+			f.recordSend(0)
+			f.exchangeRounds()
+			require.NotEqual(t, first, f.boardMember())
+			require.Equal(t, 2, f.othersInFlight(1))
 		})
 	}
 }
 
 // Without any history host in the data centre nothing is told, and what was fades.
-func TestHostsGoOnWithoutABoard(t *testing.T) {
+func TestHostsContinueWithoutBoard(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.sent(0)
-	f.exchange()
-	require.Equal(t, 1, f.others(1))
-	f.members[f.board()].silent.Store(true)
-	f.exchange()
+	f.recordSend(0)
+	f.exchangeRounds()
+	require.Equal(t, 1, f.othersInFlight(1))
+	f.members[f.boardMember()].silent.Store(true)
+	f.exchangeRounds()
 	_, ok := f.hosts[1].History.Board()
 	require.False(t, ok)
 	h := f.hosts[1]
@@ -142,16 +142,16 @@
 	defer h.mu.Unlock()
 	x, _ := h.registry.Target("x")
 	require.Zero(t, x.Load(h.now()+time.Minute))
-	require.True(t, h.teller.broken)
+	require.True(t, h.loadExchanger.failing)
 }
 
 // A board that started anew under the same address is told everything again.
-func TestABoardThatStartsAgainIsToldEverything(t *testing.T) {
+func TestRestartedBoardReceivesFullReports(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.sent(0)
-	f.exchange()
+	f.recordSend(0)
+	f.exchangeRounds()
 	before := f.hosts[1].State().LoadExchange.BoardID
-	id := f.board()
+	id := f.boardMember()
 	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
 	require.NoError(t, err)
 	again := server.Member()
@@ -159,31 +159,31 @@
 		req.Member = again // the disk is the same
 		server.Handle(req, answer)
 	})
-	f.exchange()
+	f.exchangeRounds()
 	require.NotEqual(t, before, f.hosts[1].State().LoadExchange.BoardID)
-	require.Equal(t, 1, f.others(1))
+	require.Equal(t, 1, f.othersInFlight(1))
 }
 
 // What is told of one start of a target is not taken for the next.
-func TestATargetBornAgainIsToldOfAnew(t *testing.T) {
+func TestLoadOfEarlierIncarnationIsDropped(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.sent(0)
-	f.exchange()
-	require.Equal(t, 1, f.others(1))
+	f.recordSend(0)
+	f.exchangeRounds()
+	require.Equal(t, 1, f.othersInFlight(1))
 	for _, h := range f.hosts {
 		h.mu.Lock()
 		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 2})
 		h.mu.Unlock()
 	}
-	f.exchange()
-	require.Zero(t, f.others(1))
+	f.exchangeRounds()
+	require.Zero(t, f.othersInFlight(1))
 }
 
 // Only a host that hears too little by itself exchanges.
-func TestHostsThatHearEnoughKeepSilent(t *testing.T) {
+func TestLoadExchangeRunsOnlyWhenNeeded(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	h := f.hosts[0]
-	h.teller.step(t.Context())
+	h.loadExchanger.exchangeIfNeeded(t.Context())
 	require.EqualValues(t, -1, h.State().LoadExchange.UpdateAgeMs)
 	require.False(t, h.State().LoadExchange.Needed)
 	h.mu.Lock()
@@ -192,7 +192,7 @@
 		x.RecordLoadReport(request.Load{Running: 1, Capacity: 4, Slowdown: 1.5}, h.now())
 	}
 	h.mu.Unlock()
-	h.teller.step(t.Context())
+	h.loadExchanger.exchangeIfNeeded(t.Context())
 	require.True(t, h.State().LoadExchange.Needed, "targets tell a slowdown")
 	require.GreaterOrEqual(t, h.State().LoadExchange.UpdateAgeMs, int64(0))
 }
--- a/daemon/entry/ran.go
+++ b/daemon/entry/ran.go
@@ -13,23 +13,23 @@
 
 // mostParts bounds the parts that history hosts are asked for: the turn before ended with
 // one of the last of them.
-const mostParts = 4
+const maxLookupParts = 4
 
 // ownParts are the last parts of the prompt but for the first, which programs share.
-func (x *exchange) ownParts() []string {
+func (x *exchange) programPartIDs() []string {
 	prefix := x.call.Prefix
 	if len(prefix) < 2 {
 		return nil
 	}
 	var ids []string
-	for _, p := range prefix[max(1, len(prefix)-mostParts):] {
+	for _, p := range prefix[max(1, len(prefix)-maxLookupParts):] {
 		ids = append(ids, p.ID)
 	}
 	return ids
 }
 
 // ran says where the turn ran, nil if it did not.
-func (t *turn) ran() *historypb.Ran {
+func (t *turn) runRecord() *historypb.Ran {
 	prefix := t.x.call.Prefix
 	if t.events == 0 || len(prefix) == 0 {
 		return nil
@@ -40,7 +40,7 @@
 }
 
 // learn takes from history hosts which targets have read the beginning of the prompt.
-func (x *exchange) learn(ran []*historypb.Ran) {
+func (x *exchange) markCached(ran []*historypb.Ran) {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/daemon/entry/ran_test.go
+++ b/daemon/entry/ran_test.go
@@ -13,7 +13,7 @@
 )
 
 // turnOf is a turn of program p with a prompt of these parts.
-func (s *system) turnOf(id string, parts ...request.Part) *turn {
+func (s *system) newTurn(id string, parts ...request.Part) *turn {
 	x := &exchange{host: s.host, route: &routing.Route{Retention: time.Minute}, service: "s", began: time.Now(), engine: &routing.Engine{TokensPerEvent: 3}}
 	x.call = request.Call{ID: id, Program: "p", Prefix: parts}
 	for _, p := range parts {
@@ -23,7 +23,7 @@
 }
 
 // pick is where the turn would be sent.
-func (t *turn) pick() string {
+func (t *turn) pickTarget() string {
 	h := t.x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,33 +33,33 @@
 
 // A turn that comes through a host that has seen nothing of its program goes to the target
 // that ran the turn before.
-func TestTurnFollowsItsProgramThroughAnotherHost(t *testing.T) {
+func TestTurnThroughAnotherHostGoesToTargetOfPreviousTurn(t *testing.T) {
 	shared, own, more := request.Part{ID: "shared", Tokens: 2500}, request.Part{ID: "own", Tokens: 900}, request.Part{ID: "more", Tokens: 400}
 	for _, target := range []string{"t1", "t2", "t3"} {
 		s := newSystem(t, newTarget(t, "t1", answering), newTarget(t, "t2", answering), newTarget(t, "t3", answering))
-		before := s.turnOf("1", shared, own)
+		before := s.newTurn("1", shared, own)
 		before.x.target, before.events = target, 4
 		require.NoError(t, s.past.Write(t.Context(), "p", time.Minute, before.settlement()))
-		next := s.turnOf("2", shared, own, more)
+		next := s.newTurn("2", shared, own, more)
 		require.NoError(t, next.begin(t.Context()))
-		require.Equal(t, target, next.pick())
+		require.Equal(t, target, next.pickTarget())
 	}
 }
 
-func TestWhatDidNotRunSaysNothing(t *testing.T) {
+func TestTurnThatDidNotRunHasNoRunRecord(t *testing.T) {
 	s := newSystem(t, newTarget(t, "t1", answering))
-	x := s.turnOf("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 5})
+	x := s.newTurn("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 5})
 	x.x.target = "t1"
-	require.Nil(t, x.ran())
+	require.Nil(t, x.runRecord())
 }
 
 // A target that has started again since has read nothing.
-func TestTargetThatStartedAgainHasReadNothing(t *testing.T) {
+func TestRunRecordOfEarlierIncarnationIsIgnored(t *testing.T) {
 	s := newSystem(t, newTarget(t, "t1", answering))
-	x := s.turnOf("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
-	x.learn([]*historypb.Ran{{Target: "t1", Born: 7, Part: "own"}, {Target: "gone", Part: "own"}, {Target: "t1", Part: "unknown"}})
+	x := s.newTurn("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
+	x.markCached([]*historypb.Ran{{Target: "t1", Born: 7, Part: "own"}, {Target: "gone", Part: "own"}, {Target: "t1", Part: "unknown"}})
 	known, _ := s.host.registry.Target("t1")
 	require.Zero(t, known.CachedTokens(x.call.Prefix))
-	x.learn([]*historypb.Ran{{Target: "t1", Part: "own"}})
+	x.markCached([]*historypb.Ran{{Target: "t1", Part: "own"}})
 	require.EqualValues(t, 505, known.CachedTokens(x.call.Prefix))
 }
--- a/daemon/entry/reach.go
+++ b/daemon/entry/reach.go
@@ -13,73 +13,73 @@
 	// silenceBeforeProbe is how long a target may say nothing on any connection
 	// before a new connection to it is tried. A first token on a busy engine takes
 	// some 300 ms; other requests at it are heard meanwhile.
-	silenceBeforeProbe = 300 * time.Millisecond
+	targetSilenceTimeout = 300 * time.Millisecond
 	// centreSilence is the same for all targets of a data centre together, of which
 	// some event comes every few milliseconds under load.
-	centreSilence = 200 * time.Millisecond
+	dataCentreSilenceTimeout = 200 * time.Millisecond
 	// checkEvery is how often a waiting request looks for silence.
-	checkEvery = 150 * time.Millisecond
+	silenceCheckInterval = 150 * time.Millisecond
 	// probeTimeout is enough for a round trip between data centres (some ms) and a
 	// busy accept queue, and short against the second that a lost SYN costs.
 	probeTimeout = 250 * time.Millisecond
 	// probePause is between two probes of a target that cannot be reached.
-	probePause = 250 * time.Millisecond
+	probeRetryDelay = 250 * time.Millisecond
 )
 
 // reach watches whether targets can be reached at all. A partition shows in none
 // of the open connections for seconds; a new connection shows it at once.
-type reach struct {
-	host *Host
-	mu   sync.Mutex
-	by   map[string]*line // by target
+type reachabilityMonitor struct {
+	host    *Host
+	mu      sync.Mutex
+	targets map[string]*targetReachability // by target
 	// centres is when any target of a data centre was last heard.
-	centres map[string]time.Time
+	dataCentreLastHeard map[string]time.Time
 	// suspicions are by data centre.
-	suspicions map[string]*suspicion
+	dataCentreChecks map[string]*dataCentreCheck
 	// done is closed when the host stops.
 	done chan struct{}
 }
 
 // line is the way to one target.
-type line struct {
+type targetReachability struct {
 	dataCentre string
 
-	heard   time.Time
-	probing bool
+	lastHeard time.Time
+	probing   bool
 	// broken is true and cut closed while the target cannot be reached; cut is
 	// replaced when it can be again.
-	broken bool
-	cut    chan struct{}
+	unreachable   bool
+	unreachableCh chan struct{}
 }
 
-func newReach(h *Host) *reach {
-	return &reach{host: h, by: map[string]*line{}, centres: map[string]time.Time{}, suspicions: map[string]*suspicion{}, done: make(chan struct{})}
+func newReachabilityMonitor(h *Host) *reachabilityMonitor {
+	return &reachabilityMonitor{host: h, targets: map[string]*targetReachability{}, dataCentreLastHeard: map[string]time.Time{}, dataCentreChecks: map[string]*dataCentreCheck{}, done: make(chan struct{})}
 }
 
 // of returns the line to a target; the caller holds mu.
-func (r *reach) of(target string) *line {
-	l := r.by[target]
+func (r *reachabilityMonitor) targetLocked(target string) *targetReachability {
+	l := r.targets[target]
 	if l == nil {
-		l = &line{heard: time.Now(), cut: make(chan struct{})}
-		r.by[target] = l
+		l = &targetReachability{lastHeard: time.Now(), unreachableCh: make(chan struct{})}
+		r.targets[target] = l
 	}
 	return l
 }
 
 // heard notes bytes from a target.
-func (r *reach) heard(target string) {
+func (r *reachabilityMonitor) recordHeard(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.of(target)
-	l.heard = time.Now()
-	r.centres[l.dataCentre] = l.heard
+	l := r.targetLocked(target)
+	l.lastHeard = time.Now()
+	r.dataCentreLastHeard[l.dataCentre] = l.lastHeard
 }
 
 // heardFrom reports whether any target of a data centre was heard within d.
-func (r *reach) heardFrom(dataCentre string, d time.Duration) bool {
+func (r *reachabilityMonitor) heardFrom(dataCentre string, d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last, ever := r.centres[dataCentre]
+	last, ever := r.dataCentreLastHeard[dataCentre]
 	return ever && time.Since(last) <= d
 }
 
@@ -88,38 +88,38 @@
 // of another data centre too seldom to know, and would open a connection for
 // each request that must not be repeated.
 func (h *Host) heardFrom(dataCentre string, d time.Duration) bool {
-	return h.reach.heardFrom(dataCentre, d) || h.History != nil && h.History.HeardFrom(dataCentre, d)
+	return h.reachability.heardFrom(dataCentre, d) || h.History != nil && h.History.HeardFrom(dataCentre, d)
 }
 
 // forget drops a target that is gone.
-func (r *reach) forget(target string) {
+func (r *reachabilityMonitor) forget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.by, target)
+	delete(r.targets, target)
 }
 
 // renewed drops what is known of a target that has started again under its id, and ends
 // the requests that it had before: it knows nothing of them.
-func (r *reach) renewed(target string) {
+func (r *reachabilityMonitor) restarted(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.by[target]; l != nil && !l.broken {
-		close(l.cut)
+	if l := r.targets[target]; l != nil && !l.unreachable {
+		close(l.unreachableCh)
 	}
-	delete(r.by, target)
+	delete(r.targets, target)
 }
 
 // guard returns a context that ends with errUnreachable when the target cannot be
 // reached any more, and probes it when it has been silent.
-func (r *reach) guard(ctx context.Context, t balance.TargetInfo) (context.Context, context.CancelFunc) {
+func (r *reachabilityMonitor) guard(ctx context.Context, t balance.TargetInfo) (context.Context, context.CancelFunc) {
 	r.mu.Lock()
-	l := r.of(t.ID)
+	l := r.targetLocked(t.ID)
 	l.dataCentre = t.DataCentre
-	cut := l.cut
+	cut := l.unreachableCh
 	r.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
-		tick := time.NewTicker(checkEvery)
+		tick := time.NewTicker(silenceCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -129,7 +129,7 @@
 				cancel(errUnreachable)
 				return
 			case <-tick.C:
-				r.check(t.ID, t.Address)
+				r.checkSilence(t.ID, t.Address)
 			}
 		}
 	}()
@@ -140,12 +140,12 @@
 var errUnreachable = failure.New(failure.TargetFailed, "the target cannot be reached")
 
 // check starts a probe of a target that was silent for too long.
-func (r *reach) check(target, address string) {
+func (r *reachabilityMonitor) checkSilence(target, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.of(target)
-	silent := time.Since(l.heard)
-	if l.probing || silent < centreSilence || silent < silenceBeforeProbe && time.Since(r.centres[l.dataCentre]) < centreSilence {
+	l := r.targetLocked(target)
+	silent := time.Since(l.lastHeard)
+	if l.probing || silent < dataCentreSilenceTimeout || silent < targetSilenceTimeout && time.Since(r.dataCentreLastHeard[l.dataCentre]) < dataCentreSilenceTimeout {
 		return
 	}
 	l.probing = true
@@ -153,9 +153,9 @@
 }
 
 // lost starts probes of a target to which no connection could be made.
-func (r *reach) lost(target, address string) {
+func (r *reachabilityMonitor) startProbing(target, address string) {
 	r.mu.Lock()
-	l := r.of(target)
+	l := r.targetLocked(target)
 	start := !l.probing
 	l.probing = true
 	r.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 // probe dials the target until it answers or is gone from the list.
-func (r *reach) probe(target, address string) {
+func (r *reachabilityMonitor) probe(target, address string) {
 	for tries := 0; ; tries++ {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		conn, err := r.host.Dialer.DialContext(ctx, "tcp", address)
@@ -174,21 +174,21 @@
 			_ = conn.Close()
 		}
 		if tries == 0 {
-			r.judge(target, err == nil)
+			r.handleFirstProbe(target, err == nil)
 		}
 		if err == nil {
-			r.reached(target, tries)
+			r.recordProbeSuccess(target, tries)
 			return
 		}
-		if r.missed(target, err) {
-			r.suspect(target)
+		if r.recordProbeFailure(target, err) {
+			r.probeDataCentre(target)
 		}
 		if !r.host.setReachable(target, false) {
 			r.forget(target)
 			return
 		}
 		select {
-		case <-time.After(probePause):
+		case <-time.After(probeRetryDelay):
 		case <-r.done:
 			return
 		}
@@ -197,29 +197,29 @@
 
 // missed notes a probe that did not get through; the first, for which it returns
 // true, ends the requests at the target.
-func (r *reach) missed(target string, err error) (first bool) {
+func (r *reachabilityMonitor) recordProbeFailure(target string, err error) (first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.of(target)
-	if l.broken {
+	l := r.targetLocked(target)
+	if l.unreachable {
 		return false
 	}
-	l.broken = true
-	close(l.cut)
+	l.unreachable = true
+	close(l.unreachableCh)
 	r.host.Meter.Count("targets", "unreachable")
 	r.host.Log.Warn("target unreachable", "target", target, "error", err.Error())
 	return true
 }
 
 // reached notes a probe that got through.
-func (r *reach) reached(target string, tries int) {
+func (r *reachabilityMonitor) recordProbeSuccess(target string, tries int) {
 	r.host.setReachable(target, true)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.of(target)
-	l.heard, l.probing = time.Now(), false
-	if l.broken {
-		l.broken, l.cut = false, make(chan struct{})
+	l := r.targetLocked(target)
+	l.lastHeard, l.probing = time.Now(), false
+	if l.unreachable {
+		l.unreachable, l.unreachableCh = false, make(chan struct{})
 		r.host.Log.Info("target reachable again", "target", target, "probes", tries+1)
 	}
 }
--- a/daemon/entry/reach_test.go
+++ b/daemon/entry/reach_test.go
@@ -19,10 +19,10 @@
 )
 
 // lineDialer connects or hangs, as a link that works or is cut.
-type lineDialer struct{ cut atomic.Bool }
+type switchableDialer struct{ disconnected atomic.Bool }
 
-func (d *lineDialer) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
-	if d.cut.Load() {
+func (d *switchableDialer) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
+	if d.disconnected.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -30,13 +30,13 @@
 	return near, nil
 }
 
-func newReachHost(d *lineDialer) *Host {
+func newHostWithTarget(d *switchableDialer) *Host {
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
 	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 	return h
 }
 
-func (h *Host) reachable(t *testing.T) bool {
+func (h *Host) isTargetReachable(t *testing.T) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x, ok := h.registry.Target("t1")
@@ -44,35 +44,35 @@
 	return !x.Unreachable
 }
 
-func TestSilentTargetBehindACutIsGivenUpAndFoundAgain(t *testing.T) {
+func TestSilentUnreachableTargetIsDetectedAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &lineDialer{}
-		h := newReachHost(d)
-		ctx, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
+		d := &switchableDialer{}
+		h := newHostWithTarget(d)
+		ctx, release := h.reachability.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
 		defer release()
 		time.Sleep(5 * time.Second)
 		require.NoError(t, ctx.Err(), "a silent target that can be reached is left alone")
-		d.cut.Store(true)
+		d.disconnected.Store(true)
 		began := time.Now()
 		<-ctx.Done()
 		require.ErrorIs(t, context.Cause(ctx), errUnreachable)
-		require.LessOrEqual(t, time.Since(began), 2*silenceBeforeProbe+probeTimeout)
-		require.False(t, h.reachable(t))
+		require.LessOrEqual(t, time.Since(began), 2*targetSilenceTimeout+probeTimeout)
+		require.False(t, h.isTargetReachable(t))
 		time.Sleep(10 * time.Second)
-		d.cut.Store(false)
-		time.Sleep(probeTimeout + 2*probePause)
-		require.True(t, h.reachable(t))
+		d.disconnected.Store(false)
+		time.Sleep(probeTimeout + 2*probeRetryDelay)
+		require.True(t, h.isTargetReachable(t))
 	})
 }
 
-func TestTargetsBesideAnUnreachableOneAreFoundAtOnce(t *testing.T) {
+func TestOtherTargetsOfDataCentreAreProbedWhenOneIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &lineDialer{}
-		d.cut.Store(true)
-		h := newReachHost(d)
+		d := &switchableDialer{}
+		d.disconnected.Store(true)
+		h := newHostWithTarget(d)
 		h.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: "b"})
 		h.registry.SetTarget(balance.TargetInfo{ID: "far", Service: "s", Address: "c", DataCentre: "other"})
-		h.reach.lost("t1", "a")
+		h.reachability.startProbing("t1", "a")
 		time.Sleep(2*probeTimeout + time.Millisecond)
 		h.mu.Lock()
 		beside, _ := h.registry.Target("t2")
@@ -80,19 +80,19 @@
 		require.True(t, beside.Unreachable)
 		require.False(t, far.Unreachable)
 		h.mu.Unlock()
-		d.cut.Store(false)
+		d.disconnected.Store(false)
 		time.Sleep(time.Second)
 	})
 }
 
 // A target that leaves the list while it is behind a cut, and comes back to it, is
 // probed anew.
-func TestTargetThatIsListedAgainBehindTheSameCut(t *testing.T) {
+func TestUnreachableTargetIsProbedAgainAfterRelisting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &lineDialer{}
-		d.cut.Store(true)
-		h := newReachHost(d)
-		h.reach.lost("t1", "a")
+		d := &switchableDialer{}
+		d.disconnected.Store(true)
+		h := newHostWithTarget(d)
+		h.reachability.startProbing("t1", "a")
 		time.Sleep(time.Second)
 		h.mu.Lock()
 		h.registry.RetainOnly(map[string]bool{})
@@ -101,13 +101,13 @@
 		h.mu.Lock()
 		h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 		h.mu.Unlock()
-		h.reach.lost("t1", "a")
+		h.reachability.startProbing("t1", "a")
 		time.Sleep(time.Second)
-		require.False(t, h.reachable(t))
-		d.cut.Store(false)
+		require.False(t, h.isTargetReachable(t))
+		d.disconnected.Store(false)
 		time.Sleep(time.Second)
-		require.True(t, h.reachable(t))
-		ctx, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
+		require.True(t, h.isTargetReachable(t))
+		ctx, release := h.reachability.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
 		defer release()
 		time.Sleep(time.Second)
 		require.NoError(t, ctx.Err())
@@ -116,25 +116,25 @@
 
 // A cut shows as silence of a whole data centre: while one of its targets is heard,
 // a kept connection to another one does not lead behind a cut.
-func TestDataCentreIsHeardThroughAnyOfItsTargets(t *testing.T) {
+func TestHeardFromCountsAnyTargetOfDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newReachHost(&lineDialer{})
-		require.False(t, h.reach.heardFrom("far", time.Minute), "never heard")
-		_, release := h.reach.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a", DataCentre: "far"})
+		h := newHostWithTarget(&switchableDialer{})
+		require.False(t, h.reachability.heardFrom("far", time.Minute), "never heard")
+		_, release := h.reachability.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a", DataCentre: "far"})
 		defer release()
-		h.reach.heard("t1")
+		h.reachability.recordHeard("t1")
 		time.Sleep(farSilence)
-		require.True(t, h.reach.heardFrom("far", farSilence))
+		require.True(t, h.reachability.heardFrom("far", farSilence))
 		time.Sleep(time.Millisecond)
-		require.False(t, h.reach.heardFrom("far", farSilence))
-		require.False(t, h.reach.heardFrom("dc1", farSilence))
+		require.False(t, h.reachability.heardFrom("far", farSilence))
+		require.False(t, h.reachability.heardFrom("dc1", farSilence))
 		require.False(t, h.heardFrom("far", farSilence), "no history hosts are known")
 	})
 }
 
 // A target that starts again under its id knows nothing of the requests that it had: they
 // end at once, and what may be repeated is.
-func TestRequestsAtATargetThatStartsAgainEnd(t *testing.T) {
+func TestRequestsAtRestartedTargetEnd(t *testing.T) {
 	var s *system
 	var b *target
 	ended := make(chan struct{})
@@ -157,7 +157,7 @@
 
 // An entry that cannot be read names no target: the one that was listed under its name is
 // not used any more, the others are.
-func TestUnreadableEntryEndsItsTarget(t *testing.T) {
+func TestUndecodableEntryRemovesItsTarget(t *testing.T) {
 	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
 	s := newSystem(t, a, b)
 	view := NewTargetView(s.host, func(id string, _ []byte) (balance.TargetInfo, error) {
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -20,7 +20,7 @@
 )
 
 // regional is a system with a target in each of two regions; the host is in the north.
-func regional(t *testing.T, answer answerFunc) (s *system, north, south *target) {
+func newRegionalSystem(t *testing.T, answer answerFunc) (s *system, north, south *target) {
 	north, south = newTarget(t, "north", answer), newTarget(t, "south", answer)
 	s = newSystem(t, north)
 	s.host.Regions = map[string]string{"dc1": "north", "dc2": "south", "0": "north", "1": "north", "2": "south"}
@@ -29,7 +29,7 @@
 }
 
 // bind puts a newer version in force in which a route is bound to regions.
-func (s *system) bind(prefix string, regions routing.Regions) {
+func (s *system) restrictRoute(prefix string, regions routing.Regions) {
 	old := s.host.table.Load()
 	var routes []*routing.Route
 	for _, r := range old.Routes() {
@@ -40,11 +40,11 @@
 		routes = append(routes, &bound)
 	}
 	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, old.Services(), routes).RequireKeys(old.Customers()))
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 }
 
-func TestBoundRequestsAreServedInTheirRegionsOnly(t *testing.T) {
-	s, north, south := regional(t, answering)
+func TestRestrictedRequestsAreServedOnlyInTheirRegions(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answering)
 	a := customer("a")
 	a.Regions = routing.NewRegions("north")
 	s.keyed(a, customer("b"))
@@ -61,7 +61,7 @@
 		"a region not known": {routing.NewRegions("west"), "b-key", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s.bind("/once/", c.regions)
+			s.restrictRoute("/once/", c.regions)
 			seen := map[*target]int{north: len(north.requests()), south: len(south.requests())}
 			for i := range 6 {
 				got := s.post("/once/", "", ownheaders.ID, name+strconv.Itoa(i), ownheaders.Key, c.key)
@@ -80,9 +80,9 @@
 
 // A service that is full in the regions of a request is full for it, however much room there is
 // in others.
-func TestLoadCountsInTheRegionsOfTheRequest(t *testing.T) {
-	s, north, south := regional(t, answering)
-	s.bind("/quick/", routing.NewRegions("north"))
+func TestAdmissionCountsLoadOnlyInAllowedRegions(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answering)
+	s.restrictRoute("/quick/", routing.NewRegions("north"))
 	x, _ := s.host.registry.Target("north")
 	for range 6 {
 		x.RecordSend(nil, s.host.now())
@@ -94,7 +94,7 @@
 }
 
 // told counts the messages to a history host that hold some text.
-func (m *member) told(text string) *atomic.Int64 {
+func (m *member) countRequestsContaining(text string) *atomic.Int64 {
 	n := &atomic.Int64{}
 	m.setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
 		if encoded, err := proto.Marshal(req); err != nil || bytes.Contains(encoded, []byte(text)) {
@@ -106,7 +106,7 @@
 }
 
 // newRegions replaces the history hosts by two in the north and three in the south.
-func (s *system) newRegions() (north, south []*member) {
+func (s *system) startRegionalHistory() (north, south []*member) {
 	s.members = nil
 	s.past = quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
 	s.past.Patient(memberPatience)
@@ -115,18 +115,18 @@
 	return s.members[:2], s.members[2:]
 }
 
-func TestTurnsOfABoundRouteAreKeptInItsRegion(t *testing.T) {
-	s, _, engine := regional(t, func(n int, _ received, id string) (string, bool) {
+func TestTurnsOfRestrictedRouteAreStoredInItsRegion(t *testing.T) {
+	s, _, engine := newRegionalSystem(t, func(n int, _ received, id string) (string, bool) {
 		return streamed(id, 0, "answer"+strconv.Itoa(n)), false
 	})
-	north, south := s.newRegions()
-	s.bind("/turn/", routing.NewRegions("south"))
+	north, south := s.startRegionalHistory()
+	s.restrictRoute("/turn/", routing.NewRegions("south"))
 	var outside, inside []*atomic.Int64
 	for _, m := range north {
-		outside = append(outside, m.told("secret"))
+		outside = append(outside, m.countRequestsContaining("secret"))
 	}
 	for _, m := range south {
-		inside = append(inside, m.told("secret"))
+		inside = append(inside, m.countRequestsContaining("secret"))
 	}
 	for i := range 6 {
 		previous := ""
@@ -144,27 +144,27 @@
 	for _, n := range outside {
 		require.Zero(t, n.Load())
 	}
-	s.host.work.Wait()
+	s.host.background.Wait()
 	past, err := s.past.Read(t.Context(), "p", "")
 	require.NoError(t, err)
 	require.EqualValues(t, 18, past.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
 }
 
-func TestTurnsThatNoRegionMayKeepAreRefusedAtOnce(t *testing.T) {
-	s, north, south := regional(t, answering)
-	s.newRegions()
-	s.bind("/turn/", routing.NewRegions("west"))
+func TestTurnsWithoutStorageRegionAreRefusedAtOnce(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answering)
+	s.startRegionalHistory()
+	s.restrictRoute("/turn/", routing.NewRegions("west"))
 	require.Equal(t, http.StatusServiceUnavailable, s.turn("/turn/", "t", "", "secret").status)
 	require.Empty(t, north.requests())
 	require.Empty(t, south.requests())
 }
 
 // Where the operators move a route to another region, turns that were kept go on being found.
-func TestTurnsKeptBeforeARouteWasBoundAreFound(t *testing.T) {
-	s, north, _ := regional(t, func(_ int, _ received, id string) (string, bool) { return streamed(id, 0, "a"), false })
-	s.newRegions()
+func TestTurnsStoredBeforeRouteWasRestrictedAreFound(t *testing.T) {
+	s, north, _ := newRegionalSystem(t, func(_ int, _ received, id string) (string, bool) { return streamed(id, 0, "a"), false })
+	s.startRegionalHistory()
 	require.Equal(t, http.StatusOK, s.turn("/turn/", "t0", "", "first").status)
-	s.bind("/turn/", routing.NewRegions("north"))
+	s.restrictRoute("/turn/", routing.NewRegions("north"))
 	require.Equal(t, http.StatusOK, s.turn("/turn/", "t1", "t0", "second").status)
 	requests := north.requests()
 	require.Equal(t, "firsta\nsecond", requests[len(requests)-1].Body)
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -171,7 +171,7 @@
 				require.LessOrEqual(t, (<-ended).Sub(left), slackTime)
 				time.Sleep(slowTimeout)
 				require.Empty(t, ended, "sent nowhere else")
-				require.Zero(t, h.active())
+				require.Zero(t, h.activeRequests())
 				require.EqualValues(t, 1, h.meter.Value("sends_abandoned"))
 			})
 		})
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -92,7 +92,7 @@
 func (h *slowHost) stop() {
 	h.Close()
 	_ = h.pipes.Close()
-	close(h.reach.done)
+	close(h.reachability.done)
 	h.pool.Close()
 	// http.Server waits a little between the two halves of closing a connection.
 	time.Sleep(time.Second)
@@ -122,7 +122,7 @@
 }
 
 func (h *slowHost) charged() int64 {
-	return h.held.state().ChargedBytes
+	return h.memory.state().ChargedBytes
 }
 
 func status(t *testing.T, c net.Conn) int {
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -79,10 +79,10 @@
 					open = append(open, h.ask("/plain/"))
 				}
 				for range 30 {
-					require.LessOrEqual(t, h.charged(), h.held.state().AnswerBoundBytes)
+					require.LessOrEqual(t, h.charged(), h.memory.state().AnswerBoundBytes)
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.Greater(t, h.charged(), h.held.state().RequestBoundBytes*9/10, "the account is full")
+				require.Greater(t, h.charged(), h.memory.state().RequestBoundBytes*9/10, "the account is full")
 				require.Zero(t, h.meter.Value("requests_answered"))
 				require.True(t, h.served("/plain/"))
 				require.Positive(t, h.meter.Value("callers_ended_no_room"))
@@ -92,7 +92,7 @@
 				synctest.Wait()
 				require.Zero(t, h.charged())
 				for _, k := range held.Kinds() {
-					require.Zero(t, h.held.state().Bytes[k.String()], k.String())
+					require.Zero(t, h.memory.state().Bytes[k.String()], k.String())
 				}
 			})
 		})
@@ -239,7 +239,7 @@
 			go func() { _, _ = io.WriteString(c, requestHead("/plain/", size)+"the rest never comes") }()
 		}
 		synctest.Wait()
-		require.LessOrEqual(t, h.charged(), h.held.state().RequestBoundBytes)
+		require.LessOrEqual(t, h.charged(), h.memory.state().RequestBoundBytes)
 		began := time.Now()
 		c := h.connect()
 		defer c.Close()
@@ -248,7 +248,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
-		require.LessOrEqual(t, time.Since(began), requestWait)
+		require.LessOrEqual(t, time.Since(began), maxRequestMemoryWait)
 		time.Sleep(2 * time.Second)
 		again := h.connect()
 		defer again.Close()
@@ -272,7 +272,7 @@
 			h.write(c, requestHead("/quick/", prompt)+strings.Repeat("x", prompt))
 		}
 		time.Sleep(streamPatience / 2)
-		require.Equal(t, callers, h.active())
+		require.Equal(t, callers, h.activeRequests())
 		bytes := (inUse() - before) / callers
 		t.Logf("%d bytes a request, with those of its caller and target", bytes)
 		require.Less(t, bytes, int64(held.MinRequestBytes))
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -13,10 +13,10 @@
 )
 
 // gauges serves what the host holds.
-func (h *Host) gauges() {
+func (h *Host) registerGauges() {
 	h.bytesGauges()
-	h.Meter.Gauge("requests_active", func() int64 { return int64(h.active()) })
-	h.held.gauges()
+	h.Meter.Gauge("requests_active", func() int64 { return int64(h.activeRequests()) })
+	h.memory.registerGauges()
 	h.Meter.Gauge("targets_listed", func() int64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -25,7 +25,7 @@
 	h.Meter.Gauge("config_version", func() int64 { return int64(h.configVersion()) })
 	h.Meter.Gauge("config_age_s", func() int64 { return int64(h.configAge() / time.Second) })
 	h.Meter.Gauge("config_confirmed_ms", h.confirmedMs)
-	h.teller.gauge()
+	h.loadExchanger.registerGauge()
 	h.Meter.Gauge("ready", func() int64 {
 		if h.Ready() {
 			return 1
@@ -51,7 +51,7 @@
 	if h.confirmedAt.Load() == neverConfirmed {
 		return -1
 	}
-	return h.configurationAge().Milliseconds()
+	return h.confirmedAge().Milliseconds()
 }
 
 // State is a dump of the host for operators. It holds no content of requests.
@@ -92,21 +92,21 @@
 func (h *Host) State() State {
 	s := State{
 		Ready: h.Ready(), Draining: h.draining.Load(), ConfigVersion: h.configVersion(), ConfigAgeMs: h.configAge().Milliseconds(),
-		Routes: routesOf(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedMs(),
+		Routes: routeStates(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedMs(),
 	}
 	if t := h.table.Load(); t != nil && t.RequiresKey() {
 		s.Customers = len(t.Customers().Names())
 	}
-	s.ActiveRequests, s.MaxRequests, s.Held = h.held.active(), h.held.limit(), h.held.state()
+	s.ActiveRequests, s.MaxRequests, s.Held = h.memory.activeRequests(), h.memory.maxRequests(), h.memory.state()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.Targets = h.registry.State(h.now())
 	s.SecondSends = h.hedger.State()
-	s.LoadExchange = h.teller.state()
+	s.LoadExchange = h.loadExchanger.state()
 	return s
 }
 
-func routesOf(t *routing.Table) []RouteState {
+func routeStates(t *routing.Table) []RouteState {
 	if t == nil {
 		return nil
 	}
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -76,7 +76,7 @@
 			return err
 		}
 		x.begin(resp)
-		x.host.reach.heard(x.target)
+		x.host.reachability.recordHeard(x.target)
 		now := time.Now()
 		if heard.IsZero() {
 			x.firstEvent(now.Sub(x.sent))
@@ -123,7 +123,7 @@
 		}
 		x.host.Meter.Count("streams", "resumed")
 		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", last)
-		guarded, release := x.host.reach.guard(ctx, t)
+		guarded, release := x.host.reachability.guard(ctx, t)
 		resp, err := x.send(guarded, t, last)
 		if err != nil {
 			release()
--- a/daemon/entry/suspect_test.go
+++ b/daemon/entry/suspect_test.go
@@ -15,16 +15,16 @@
 )
 
 // someDialer connects but to the addresses that are dark, and counts.
-type someDialer struct {
-	mu    sync.Mutex
-	dark  func(address string) bool
-	dials int
+type partialDialer struct {
+	mu            sync.Mutex
+	isUnreachable func(address string) bool
+	dials         int
 }
 
-func (d *someDialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
+func (d *partialDialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	d.mu.Lock()
 	d.dials++
-	dark := d.dark(address)
+	dark := d.isUnreachable(address)
 	d.mu.Unlock()
 	if dark {
 		<-ctx.Done()
@@ -34,15 +34,15 @@
 	return near, nil
 }
 
-func (d *someDialer) mend() {
+func (d *partialDialer) restoreAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dark = func(string) bool { return false }
+	d.isUnreachable = func(string) bool { return false }
 }
 
 // manyTargets is a host before so many targets of one data centre, whose addresses are numbers.
-func manyTargets(n int, dark func(address string) bool) (*Host, *someDialer) {
-	d := &someDialer{dark: dark}
+func newHostWithTargets(n int, dark func(address string) bool) (*Host, *partialDialer) {
+	d := &partialDialer{isUnreachable: dark}
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
 	for i := range n {
 		h.registry.SetTarget(balance.TargetInfo{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint(i), DataCentre: "dc1"})
@@ -50,7 +50,7 @@
 	return h, d
 }
 
-func (h *Host) unreachable() int {
+func (h *Host) unreachableTargets() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -63,50 +63,50 @@
 }
 
 // One target that has failed makes a host probe some beside it, not all that it holds.
-func TestAFailedTargetCostsAFewProbes(t *testing.T) {
+func TestFailedTargetCausesFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, d := manyTargets(400, func(address string) bool { return address == "7" })
-		h.reach.lost("t7", "7")
+		h, d := newHostWithTargets(400, func(address string) bool { return address == "7" })
+		h.reachability.startProbing("t7", "7")
 		time.Sleep(900 * time.Millisecond)
-		require.Equal(t, 1, h.unreachable())
-		require.LessOrEqual(t, d.dials, suspectMost+3)
-		d.mend()
+		require.Equal(t, 1, h.unreachableTargets())
+		require.LessOrEqual(t, d.dials, maxFirstProbes+3)
+		d.restoreAll()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		require.Zero(t, h.unreachable())
+		require.Zero(t, h.unreachableTargets())
 	})
 }
 
 // All targets of a data centre that is cut off are found by probes within a second, however
 // many there are.
-func TestACutDataCentreIsFoundWhole(t *testing.T) {
-	for _, n := range []int{1, 12, suspectMost + 1, 400} {
+func TestAllTargetsOfUnreachableDataCentreAreDetected(t *testing.T) {
+	for _, n := range []int{1, 12, maxFirstProbes + 1, 400} {
 		synctest.Test(t, func(t *testing.T) {
-			h, d := manyTargets(n, func(string) bool { return true })
-			h.reach.lost("t0", "0")
+			h, d := newHostWithTargets(n, func(string) bool { return true })
+			h.reachability.startProbing("t0", "0")
 			time.Sleep(3*probeTimeout + 10*time.Millisecond)
 			synctest.Wait()
-			require.Equal(t, n, h.unreachable())
-			d.mend()
+			require.Equal(t, n, h.unreachableTargets())
+			d.restoreAll()
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
-			require.Zero(t, h.unreachable())
+			require.Zero(t, h.unreachableTargets())
 		})
 	}
 }
 
 // Failed targets among many that are found one after the other begin one suspicion.
-func TestSeveralFailedTargetsCostAFewProbesTogether(t *testing.T) {
+func TestSeveralFailedTargetsShareOneDataCentreCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, d := manyTargets(400, func(address string) bool { return len(address) == 1 }) // ten of them
+		h, d := newHostWithTargets(400, func(address string) bool { return len(address) == 1 }) // ten of them
 		for i := range 10 {
-			h.reach.lost(fmt.Sprint("t", i), fmt.Sprint(i))
+			h.reachability.startProbing(fmt.Sprint("t", i), fmt.Sprint(i))
 		}
 		time.Sleep(900 * time.Millisecond)
 		synctest.Wait()
-		require.Equal(t, 10, h.unreachable())
-		require.LessOrEqual(t, d.dials, suspectMost+30)
-		d.mend()
+		require.Equal(t, 10, h.unreachableTargets())
+		require.LessOrEqual(t, d.dials, maxFirstProbes+30)
+		d.restoreAll()
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -58,7 +58,7 @@
 	if t.x.route.Retained {
 		// Once here, once in the record of the turn.
 		copies := 2 * int64(len(e.data)+1)
-		if t.x.held.grow(ctx, held.Record, copies, answerWait) != nil {
+		if t.x.held.reserve(ctx, held.Record, copies, maxAnswerMemoryWait) != nil {
 			return false
 		}
 		t.output = append(t.output, e.data...)
@@ -117,7 +117,7 @@
 	if past, err = t.afford(ctx, past); err != nil {
 		return err
 	}
-	x.learn(past.Ran)
+	x.markCached(past.Ran)
 	x.underWay = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
 	return t.prepend(ctx, past.Chain, past.Elsewhere)
 }
@@ -131,9 +131,9 @@
 		previous = x.owned(x.call.PreviousTurn)
 	}
 	if t.kept == x.program() || previous == "" {
-		return x.host.History.Read(ctx, x.program(), previous, x.ownParts()...)
+		return x.host.History.Read(ctx, x.program(), previous, x.programPartIDs()...)
 	}
-	past, err := x.host.History.Read(ctx, x.program(), "", x.ownParts()...)
+	past, err := x.host.History.Read(ctx, x.program(), "", x.programPartIDs()...)
 	if err != nil {
 		return nil, err
 	}
@@ -191,9 +191,9 @@
 // comeBack is when the caller should try again after history hosts could not serve it.
 func (x *exchange) comeBack() time.Duration {
 	if x.isTurn() && x.host.History.CutAlone() {
-		return turnPause
+		return isolatedTurnRetryDelay
 	}
-	return x.host.comeBack()
+	return x.host.historyRetryDelay()
 }
 
 // prepend puts the chain, oldest turn first, before the new input. A chain that
@@ -237,7 +237,7 @@
 	if t.x.route.Retained {
 		more += input
 	}
-	return kept, t.x.held.grow(ctx, held.Prompt, more, requestWait)
+	return kept, t.x.held.reserve(ctx, held.Prompt, more, maxRequestMemoryWait)
 }
 
 // finish makes the turn and its budget use durable. Where no later turn needs this
@@ -266,7 +266,7 @@
 
 func (t *turn) settlement() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
-		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.tokens(), Ran: t.ran()},
+		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.tokens(), Ran: t.runRecord()},
 	}}
 }
 
@@ -274,7 +274,7 @@
 // handed out, without the caller waiting for it.
 func (t *turn) settle() {
 	h := t.x.host
-	h.work.Go(func() {
+	h.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settlePatience)
 		defer cancel()
 		if err := h.History.Write(ctx, t.x.program(), t.x.retention(), t.settlement()); err != nil {
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -25,22 +25,22 @@
 
 // Replaced implements objects.Listener.
 func (v *ConfigView) Replaced(s objects.Snapshot) {
-	v.back()
+	v.logRegained()
 	for _, o := range s.Items {
-		v.take(o)
+		v.apply(o)
 	}
-	v.host.confirm(s.AsOf)
+	v.host.confirmConfig(s.AsOf)
 }
 
 // Changed implements objects.Listener.
 func (v *ConfigView) Changed(changes objects.Changes) {
-	v.back()
+	v.logRegained()
 	for _, e := range changes.Events {
 		if !e.Removed {
-			v.take(e.Object)
+			v.apply(e.Object)
 		}
 	}
-	v.host.confirm(changes.AsOf)
+	v.host.confirmConfig(changes.AsOf)
 }
 
 // Lost implements objects.Listener: the configuration in force stays.
@@ -51,14 +51,14 @@
 	v.lost = true
 }
 
-func (v *ConfigView) back() {
+func (v *ConfigView) logRegained() {
 	if v.lost {
 		v.host.Log.Info("platform regained", "view", "configuration")
 	}
 	v.lost = false
 }
 
-func (v *ConfigView) take(o objects.Object) {
+func (v *ConfigView) apply(o objects.Object) {
 	if o.Name != v.name {
 		return
 	}
@@ -81,7 +81,7 @@
 		}
 		if h.table.CompareAndSwap(old, t) {
 			h.configuredAt.Store(int64(h.now()))
-			h.declare(t)
+			h.setColdStarts(t)
 			if old == nil {
 				close(h.configured)
 			}
@@ -91,7 +91,7 @@
 }
 
 // declare tells the registry what a configuration says of the targets of its services.
-func (h *Host) declare(t *routing.Table) {
+func (h *Host) setColdStarts(t *routing.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range t.Services() {
@@ -107,23 +107,23 @@
 	host   *Host
 	decode DecodeTarget
 	// steps are those of the part that the host holds; nil where it holds all.
-	steps func() []subset.Halvings
+	halvings func() []subset.Halvings
 }
 
 // WithHalvings tells the view by which steps the host holds a part of the targets.
 func (v *TargetView) WithHalvings(steps func() []subset.Halvings) *TargetView {
-	v.steps = steps
+	v.halvings = steps
 	return v
 }
 
 // held notes the part in the registry.
-func (v *TargetView) held() {
-	if v.steps == nil {
+func (v *TargetView) updateHalvings() {
+	if v.halvings == nil {
 		return
 	}
 	v.host.mu.Lock()
 	defer v.host.mu.Unlock()
-	v.host.registry.SetHalvings(v.steps())
+	v.host.registry.SetHalvings(v.halvings())
 }
 
 // NewTargetView returns the listener for the list of targets.
@@ -133,7 +133,7 @@
 
 // Replaced implements objects.Listener.
 func (v *TargetView) Replaced(s objects.Snapshot) {
-	v.held()
+	v.updateHalvings()
 	ids := map[string]bool{}
 	for _, o := range s.Items {
 		ids[o.Name] = true
@@ -146,7 +146,7 @@
 
 // Changed implements objects.Listener.
 func (v *TargetView) Changed(changes objects.Changes) {
-	v.held()
+	v.updateHalvings()
 	for _, e := range changes.Events {
 		if !e.Removed {
 			v.set(e.Object)
@@ -177,7 +177,7 @@
 	}
 	if renewed {
 		v.host.pool.CloseIdle(old.Address)
-		v.host.reach.renewed(l.ID)
+		v.host.reachability.restarted(l.ID)
 	}
 }
 
@@ -187,7 +187,7 @@
 	_, known := v.host.registry.Target(id)
 	v.host.registry.Remove(id)
 	v.host.mu.Unlock()
-	v.host.reach.forget(id)
+	v.host.reachability.forget(id)
 	if known {
 		v.host.Log.Info("target gone", "target", id)
 	}
