--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -22,13 +22,13 @@
 	if asOf.IsZero() {
 		return
 	}
-	at := int64(asOf.Sub(h.startedAt))
+	confirmedAt := int64(asOf.Sub(h.startedAt))
 	for {
 		old := h.confirmedAt.Load()
-		if old >= at {
+		if old >= confirmedAt {
 			return
 		}
-		if h.confirmedAt.CompareAndSwap(old, at) {
+		if h.confirmedAt.CompareAndSwap(old, confirmedAt) {
 			h.configConfirmed.notify()
 			return
 		}
@@ -95,9 +95,9 @@
 // staleComeBack is when a caller that shows a key should try again after the configuration
 // has been too old for a while: at another host as soon as the balancer sends it there, or,
 // where others are no better off, when the platform may be back.
-func (h *Host) staleRetryDelay(stale time.Duration) time.Duration {
+func (h *Host) staleRetryDelay(staleFor time.Duration) time.Duration {
 	if h.isIsolated() {
-		return max(retryLater, outOfRotationDelay-stale)
+		return max(retryLater, outOfRotationDelay-staleFor)
 	}
 	return outageRetryDelay
 }
@@ -109,16 +109,16 @@
 	if x.route.Public || h.staleFor() == 0 || h.isIsolated() {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, min(maxConfirmWait, time.Until(x.deadline)/confirmWaitDivisor))
 	defer cancel()
-	for confirmed := h.configConfirmed.subscribe(); h.staleFor() > 0; confirmed = h.configConfirmed.subscribe() {
+	for confirmation := h.configConfirmed.subscribe(); h.staleFor() > 0; confirmation = h.configConfirmed.subscribe() {
 		select {
-		case <-confirmed:
+		case <-confirmation:
 		case <-ctx.Done():
 			return
 		}
 	}
 	h.Meter.Count("waits", "configuration")
-	h.Log.Info("request waited for the configuration", "request", x.call.ID, "program", x.call.Program, "waited_ms", time.Since(began).Milliseconds())
+	h.Log.Info("request waited for the configuration", "request", x.call.ID, "program", x.call.Program, "waited_ms", time.Since(startedAt).Milliseconds())
 }
--- a/daemon/entry/suspect.go
+++ b/daemon/entry/datacentre_check.go
@@ -31,49 +31,49 @@
 // nothing until their probe has come through.
 func (r *reachabilityMonitor) probeDataCentre(target string) {
 	r.host.mu.Lock()
-	near := r.host.registry.OthersInDataCentre(target)
+	others := r.host.registry.OthersInDataCentre(target)
 	r.host.mu.Unlock()
-	for _, x := range r.startDataCentreCheck(near) {
-		r.probeNeighbour(x)
+	for _, other := range r.startDataCentreCheck(others) {
+		r.probeNeighbour(other)
 	}
 }
 
 // begin returns the targets of a data centre to probe first, none while a suspicion stands.
-func (r *reachabilityMonitor) startDataCentreCheck(near []balance.TargetInfo) []balance.TargetInfo {
-	if len(near) == 0 {
+func (r *reachabilityMonitor) startDataCentreCheck(others []balance.TargetInfo) []balance.TargetInfo {
+	if len(others) == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	dc := near[0].DataCentre
-	if s := r.dataCentreChecks[dc]; s != nil && time.Since(s.startedAt) < dataCentreCheckWindow {
+	dataCentre := others[0].DataCentre
+	if check := r.dataCentreChecks[dataCentre]; check != nil && time.Since(check.startedAt) < dataCentreCheckWindow {
 		return nil
 	}
-	first := near[:min(maxFirstProbes, len(near))]
-	s := &dataCentreCheck{startedAt: time.Now(), pending: map[string]bool{}, firstCount: len(first), remaining: near[len(first):]}
-	for _, x := range first {
-		s.pending[x.ID] = true
+	first := others[:min(maxFirstProbes, len(others))]
+	check := &dataCentreCheck{startedAt: time.Now(), pending: map[string]bool{}, firstCount: len(first), remaining: others[len(first):]}
+	for _, other := range first {
+		check.pending[other.ID] = true
 	}
-	r.dataCentreChecks[dc] = s
+	r.dataCentreChecks[dataCentre] = check
 	return first
 }
 
 // doubt probes a target, which gets nothing until then if it is silent.
-func (r *reachabilityMonitor) probeNeighbour(x balance.TargetInfo) {
+func (r *reachabilityMonitor) probeNeighbour(neighbour balance.TargetInfo) {
 	r.mu.Lock()
-	silent := time.Since(r.targetLocked(x.ID).lastHeard) >= dataCentreSilenceTimeout
+	silent := time.Since(r.targetLocked(neighbour.ID).lastHeard) >= dataCentreSilenceTimeout
 	r.mu.Unlock()
 	if silent {
-		r.host.setReachable(x.ID, false)
+		r.host.setReachable(neighbour.ID, false)
 	}
-	r.startProbing(x.ID, x.Address)
+	r.startProbing(neighbour.ID, neighbour.Address)
 }
 
 // judge notes the first probe of a target. Where most of those probed at first are missed, the
 // data centre is taken to be cut off, and all others are probed.
 func (r *reachabilityMonitor) handleFirstProbe(target string, reached bool) {
-	for _, x := range r.recordFirstProbe(target, reached) {
-		r.probeNeighbour(x)
+	for _, neighbour := range r.recordFirstProbe(target, reached) {
+		r.probeNeighbour(neighbour)
 	}
 }
 
@@ -81,18 +81,18 @@
 func (r *reachabilityMonitor) recordFirstProbe(target string, reached bool) []balance.TargetInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.dataCentreChecks {
-		if !s.pending[target] {
+	for _, check := range r.dataCentreChecks {
+		if !check.pending[target] {
 			continue
 		}
-		delete(s.pending, target)
+		delete(check.pending, target)
 		if !reached {
-			s.failedCount++
+			check.failedCount++
 		}
-		if 2*s.failedCount > s.firstCount {
-			rest := s.remaining
-			s.remaining = nil
-			return rest
+		if 2*check.failedCount > check.firstCount {
+			remaining := check.remaining
+			check.remaining = nil
+			return remaining
 		}
 	}
 	return nil
--- a/daemon/entry/suspect_test.go
+++ b/daemon/entry/datacentre_check_test.go
@@ -24,9 +24,9 @@
 func (d *partialDialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	d.mu.Lock()
 	d.dials++
-	dark := d.isUnreachable(address)
+	unreachable := d.isUnreachable(address)
 	d.mu.Unlock()
-	if dark {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -41,8 +41,8 @@
 }
 
 // manyTargets is a host before so many targets of one data centre, whose addresses are numbers.
-func newHostWithTargets(n int, dark func(address string) bool) (*Host, *partialDialer) {
-	d := &partialDialer{isUnreachable: dark}
+func newHostWithTargets(n int, isUnreachable func(address string) bool) (*Host, *partialDialer) {
+	d := &partialDialer{isUnreachable: isUnreachable}
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
 	for i := range n {
 		h.registry.SetTarget(balance.TargetInfo{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint(i), DataCentre: "dc1"})
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -97,13 +97,13 @@
 }
 
 // New returns a host without configuration and targets.
-func New(o Options) *Host {
-	o.HistoryTimeout = cmp.Or(o.HistoryTimeout, historyPatience)
-	registry := balance.NewRegistry(o.DataCentre, balance.DefaultWeights())
+func New(options Options) *Host {
+	options.HistoryTimeout = cmp.Or(options.HistoryTimeout, historyPatience)
+	registry := balance.NewRegistry(options.DataCentre, balance.DefaultWeights())
 	h := &Host{
-		Options:    o,
+		Options:    options,
 		configured: make(chan struct{}),
-		pool:       targetpool.New(o.Dialer),
+		pool:       targetpool.New(options.Dialer),
 		startedAt:  time.Now(),
 		registry:   registry,
 		dispatch:   dispatch.New(registry, dispatch.DefaultLimits()),
@@ -186,8 +186,8 @@
 // Ready reports whether the host can serve: it has a configuration that is current enough
 // and knows the history hosts, and it is not about to stop.
 func (h *Host) Ready() bool {
-	served := h.History.Isolated() == 0 || h.History.TakeoverIn() > 0
-	return !h.draining.Load() && h.table.Load() != nil && h.staleFor() == 0 && h.History.Ready() && served
+	historyServable := h.History.Isolated() == 0 || h.History.TakeoverIn() > 0
+	return !h.draining.Load() && h.table.Load() != nil && h.staleFor() == 0 && h.History.Ready() && historyServable
 }
 
 // rotationTime is how long the platform takes to send callers elsewhere after a
@@ -256,9 +256,9 @@
 func (h *Host) Drain(grace time.Duration) {
 	h.draining.Store(true)
 	h.Log.Info("draining", "active", h.activeRequests())
-	end := time.Now().Add(grace - settleReserve)
+	deadline := time.Now().Add(grace - settleReserve)
 	time.Sleep(min(drainNotReadyDelay, grace/3))
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if server := h.server.Load(); server != nil {
 		if err := server.Shutdown(ctx); err != nil {
--- a/daemon/entry/idle.go
+++ b/daemon/entry/idle.go
@@ -16,8 +16,8 @@
 	timers  map[*callerConn]*time.Timer
 }
 
-func newIdleCloser(limit func() time.Duration) *idleCloser {
-	return &idleCloser{timeout: limit, timers: map[*callerConn]*time.Timer{}}
+func newIdleCloser(timeout func() time.Duration) *idleCloser {
+	return &idleCloser{timeout: timeout, timers: map[*callerConn]*time.Timer{}}
 }
 
 // state is an http.Server.ConnState hook, for connections of callers.
--- a/daemon/entry/idle_test.go
+++ b/daemon/entry/idle_test.go
@@ -13,8 +13,8 @@
 
 func TestIdleConnectionIsClosedAfterCurrentTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limit := 15 * time.Second
-		c := newIdleCloser(func() time.Duration { return limit })
+		timeout := 15 * time.Second
+		closer := newIdleCloser(func() time.Duration { return timeout })
 		pipe, far := net.Pipe()
 		near := &callerConn{Conn: pipe}
 		closed := make(chan time.Time, 1)
@@ -22,18 +22,18 @@
 			_, _ = far.Read(make([]byte, 1))
 			closed <- time.Now()
 		}()
-		c.connState(near, http.StateNew)
-		c.connState(near, http.StateIdle)
+		closer.connState(near, http.StateNew)
+		closer.connState(near, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		c.connState(near, http.StateActive)
+		closer.connState(near, http.StateActive)
 		time.Sleep(time.Hour)
 		require.Empty(t, closed, "an active connection stays")
-		limit = 30 * time.Second
-		began := time.Now()
-		c.connState(near, http.StateIdle)
-		require.Equal(t, 30*time.Second, (<-closed).Sub(began))
-		c.connState(near, http.StateClosed)
-		require.Empty(t, c.timers)
+		timeout = 30 * time.Second
+		idleSince := time.Now()
+		closer.connState(near, http.StateIdle)
+		require.Equal(t, 30*time.Second, (<-closed).Sub(idleSince))
+		closer.connState(near, http.StateClosed)
+		require.Empty(t, closer.timers)
 	})
 }
 
@@ -68,7 +68,7 @@
 		defer func() { _ = server.Close() }()
 		defer close(listener.conns)
 		answers := bufio.NewReader(far)
-		ask := func(head ...string) {
+		sendRequest := func(head ...string) {
 			for i, part := range head {
 				if i > 0 {
 					time.Sleep(200 * time.Millisecond)
@@ -80,9 +80,9 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, response.StatusCode)
 		}
-		ask("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
+		sendRequest("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
 		time.Sleep(14900 * time.Millisecond)
-		ask("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
+		sendRequest("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
 		time.Sleep(16 * time.Second)
 		_, err := far.Write([]byte("GET"))
 		require.Error(t, err, "idle for longer than the limit")
--- a/daemon/entry/loads.go
+++ b/daemon/entry/load_exchange.go
@@ -54,23 +54,23 @@
 	h := t.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	on := h.registry.NeedsLoadExchange(h.now())
-	if on != t.needed {
-		h.Log.Info("exchange of loads", "on", on)
+	needed := h.registry.NeedsLoadExchange(h.now())
+	if needed != t.needed {
+		h.Log.Info("exchange of loads", "on", needed)
 	}
-	t.needed = on
-	return on
+	t.needed = needed
+	return needed
 }
 
 func (t *loadExchanger) exchange(ctx context.Context) time.Duration {
 	h := t.host
 	h.mu.Lock()
-	own, active := h.registry.Observations(), h.registry.InFlight() > 0
+	observations, hasInFlight := h.registry.Observations(), h.registry.InFlight() > 0
 	h.mu.Unlock()
-	t.reporter.Observe(own)
-	every := loads.IdleReportInterval
-	if active || t.reporter.HasPending() {
-		every = loads.ReportInterval
+	t.reporter.Observe(observations)
+	interval := loads.IdleReportInterval
+	if hasInFlight || t.reporter.HasPending() {
+		interval = loads.ReportInterval
 	}
 	reply, err := h.History.ExchangeLoads(ctx, t.reporter.NextReport(h.now()))
 	if err != nil {
@@ -83,10 +83,10 @@
 	t.failing = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	learned := t.reporter.HandleReply(reply, h.now())
+	update := t.reporter.HandleReply(reply, h.now())
 	t.boardID, t.otherHosts = reply.BoardID, reply.OtherHosts
-	h.registry.ApplyUpdate(learned, h.now())
-	return every
+	h.registry.ApplyUpdate(update, h.now())
+	return interval
 }
 
 // failed notes an exchange without an answer: the host goes on with what it hears itself. The
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/load_exchange_test.go
@@ -84,9 +84,9 @@
 
 // board is the member that the hosts report to.
 func (f *fleet) boardMember() string {
-	m, ok := f.hosts[0].History.Board()
+	board, ok := f.hosts[0].History.Board()
 	require.True(f.t, ok)
-	return m.ID
+	return board.ID
 }
 
 func TestHostsLearnInFlightRequestsOfOtherHosts(t *testing.T) {
@@ -150,17 +150,17 @@
 	f := newFleet(t, 2, 1)
 	f.recordSend(0)
 	f.exchangeRounds()
-	before := f.hosts[1].State().LoadExchange.BoardID
+	boardIDBefore := f.hosts[1].State().LoadExchange.BoardID
 	id := f.boardMember()
 	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
 	require.NoError(t, err)
-	again := server.Member()
+	newMember := server.Member()
 	f.members[id].setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
-		req.Member = again // the disk is the same
+		req.Member = newMember // the disk is the same
 		server.Handle(req, answer)
 	})
 	f.exchangeRounds()
-	require.NotEqual(t, before, f.hosts[1].State().LoadExchange.BoardID)
+	require.NotEqual(t, boardIDBefore, f.hosts[1].State().LoadExchange.BoardID)
 	require.Equal(t, 1, f.othersInFlight(1))
 }
 
--- a/daemon/entry/held.go
+++ b/daemon/entry/memory.go
@@ -50,18 +50,18 @@
 func (b *memoryAccount) admit(r *http.Request) (*requestMemory, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	holder, ok := b.account.Admit()
+	account, ok := b.account.Admit()
 	if !ok {
 		b.evictSlowCallersLocked(held.Body, held.MinRequestBytes)
 		return nil, false
 	}
-	x := &requestMemory{parent: b, account: holder}
+	request := &requestMemory{parent: b, account: account}
 	if c := callerOf(r); c != nil {
-		x.closeConn = func() { _ = c.Close() }
-		c.serves(x)
+		request.closeConn = func() { _ = c.Close() }
+		c.serves(request)
 	}
-	b.requests[holder] = x
-	return x, true
+	b.requests[account] = request
+	return request, true
 }
 
 // leave ends the request.
@@ -85,65 +85,65 @@
 
 // grow charges n more bytes; where there is no room it waits for some, up to wait, while
 // the slowest callers end.
-func (x *requestMemory) reserve(ctx context.Context, k held.Kind, n int64, wait time.Duration) error {
-	if n <= 0 || x.tryReserve(k, n) {
+func (x *requestMemory) reserve(ctx context.Context, kind held.Kind, n int64, maxWait time.Duration) error {
+	if n <= 0 || x.tryReserve(kind, n) {
 		return nil
 	}
 	x.parent.host.Meter.Count("waits", "bytes")
-	x.evictSlowCallers(k, n)
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	x.evictSlowCallers(kind, n)
+	timeout := time.NewTimer(maxWait)
+	defer timeout.Stop()
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
 	for {
 		freed := x.parent.freed.subscribe()
-		if x.tryReserve(k, n) {
+		if x.tryReserve(kind, n) {
 			return nil
 		}
 		select {
 		case <-freed:
 		case <-tick.C:
-			x.evictSlowCallers(k, n)
-		case <-limit.C:
-			return x.overloadedError(k, n)
+			x.evictSlowCallers(kind, n)
+		case <-timeout.C:
+			return x.overloadedError(kind, n)
 		case <-ctx.Done():
-			return x.overloadedError(k, n)
+			return x.overloadedError(kind, n)
 		}
 	}
 }
 
 // full is the refusal of a request for which there is no room.
-func (x *requestMemory) overloadedError(k held.Kind, n int64) error {
-	b := x.parent
-	b.mu.Lock()
-	charged := b.account.ChargedBytes()
-	b.mu.Unlock()
-	b.host.Meter.Count("bytes", "refused", k.String())
-	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, k)
+func (x *requestMemory) overloadedError(kind held.Kind, n int64) error {
+	parent := x.parent
+	parent.mu.Lock()
+	charged := parent.account.ChargedBytes()
+	parent.mu.Unlock()
+	parent.host.Meter.Count("bytes", "refused", kind.String())
+	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, kind)
 }
 
 // try charges n more bytes, if there is room.
-func (x *requestMemory) tryReserve(k held.Kind, n int64) bool {
+func (x *requestMemory) tryReserve(kind held.Kind, n int64) bool {
 	x.parent.mu.Lock()
 	defer x.parent.mu.Unlock()
-	return x.account.Reserve(k, n)
+	return x.account.Reserve(kind, n)
 }
 
 // makeRoom ends slow callers for n more bytes.
-func (x *requestMemory) evictSlowCallers(k held.Kind, n int64) {
+func (x *requestMemory) evictSlowCallers(kind held.Kind, n int64) {
 	x.parent.mu.Lock()
 	defer x.parent.mu.Unlock()
-	x.parent.evictSlowCallersLocked(k, n)
+	x.parent.evictSlowCallersLocked(kind, n)
 }
 
 // release takes n bytes off.
-func (x *requestMemory) release(k held.Kind, n int64) {
+func (x *requestMemory) release(kind held.Kind, n int64) {
 	if n <= 0 {
 		return
 	}
 	x.parent.mu.Lock()
 	defer x.parent.mu.Unlock()
-	x.account.Release(k, n)
+	x.account.Release(kind, n)
 	x.parent.freed.notify()
 }
 
@@ -162,25 +162,25 @@
 
 // endSlowest closes the connections of slow callers, so that there is room for n more bytes;
 // the caller holds mu.
-func (b *memoryAccount) evictSlowCallersLocked(k held.Kind, n int64) {
-	for _, slow := range b.account.SelectEvictions(b.host.now(), k, n) {
-		x := b.requests[slow.Request]
+func (b *memoryAccount) evictSlowCallersLocked(kind held.Kind, n int64) {
+	for _, eviction := range b.account.SelectEvictions(b.host.now(), kind, n) {
+		request := b.requests[eviction.Request]
 		b.host.Meter.Count("callers_ended", "no_room")
-		b.host.Log.Warn("slow caller ended for want of room", "request", x.requestID, "held_bytes", slow.Request.HeldBytes(),
-			"slow_ms", slow.StalledFor.Milliseconds(), "charged_bytes", b.account.ChargedBytes())
-		if x.closeConn != nil {
-			x.closeConn()
+		b.host.Log.Warn("slow caller ended for want of room", "request", request.requestID, "held_bytes", eviction.Request.HeldBytes(),
+			"slow_ms", eviction.StalledFor.Milliseconds(), "charged_bytes", b.account.ChargedBytes())
+		if request.closeConn != nil {
+			request.closeConn()
 		}
 	}
 }
 
 // stalled logs that a caller ended because it took nothing for too long.
-func (x *requestMemory) recordStalledCaller(after time.Duration) {
-	b := x.parent
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.host.Meter.Count("callers_ended", "unread")
-	b.host.Log.Warn("caller ended because it did not read", "request", x.requestID, "held_bytes", x.account.HeldBytes(), "slow_ms", after.Milliseconds())
+func (x *requestMemory) recordStalledCaller(stalledFor time.Duration) {
+	parent := x.parent
+	parent.mu.Lock()
+	defer parent.mu.Unlock()
+	parent.host.Meter.Count("callers_ended", "unread")
+	parent.host.Log.Warn("caller ended because it did not read", "request", x.requestID, "held_bytes", x.account.HeldBytes(), "slow_ms", stalledFor.Milliseconds())
 }
 
 // active is the number of requests held.
@@ -202,16 +202,16 @@
 
 // gauges serves what is held, in all and by kind.
 func (b *memoryAccount) registerGauges() {
-	read := func(f func() int64) func() int64 {
+	locked := func(read func() int64) func() int64 {
 		return func() int64 {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return f()
+			return read()
 		}
 	}
 	m := b.host.Meter
-	m.Gauge("held_charged_bytes", read(b.account.ChargedBytes))
-	for _, k := range held.Kinds() {
-		m.Gauge("held_"+k.String()+"_bytes", read(func() int64 { return b.account.HeldBytes(k) }))
+	m.Gauge("held_charged_bytes", locked(b.account.ChargedBytes))
+	for _, kind := range held.Kinds() {
+		m.Gauge("held_"+kind.String()+"_bytes", locked(func() int64 { return b.account.HeldBytes(kind) }))
 	}
 }
--- a/daemon/entry/ran.go
+++ b/daemon/entry/prefix_cache.go
@@ -40,14 +40,14 @@
 }
 
 // learn takes from history hosts which targets have read the beginning of the prompt.
-func (x *exchange) markCached(ran []*historypb.Ran) {
+func (x *exchange) markCached(records []*historypb.Ran) {
 	h := x.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range ran {
-		last := slices.IndexFunc(x.call.Prefix, func(p request.Part) bool { return p.ID == r.Part })
-		if t, ok := h.registry.TargetIncarnation(r.Target, r.Born); ok && last >= 0 {
-			t.MarkCached(x.call.Prefix[:last+1], h.now())
+	for _, record := range records {
+		lastPart := slices.IndexFunc(x.call.Prefix, func(p request.Part) bool { return p.ID == record.Part })
+		if t, ok := h.registry.TargetIncarnation(record.Target, record.Born); ok && lastPart >= 0 {
+			t.MarkCached(x.call.Prefix[:lastPart+1], h.now())
 		}
 	}
 }
--- a/daemon/entry/ran_test.go
+++ b/daemon/entry/prefix_cache_test.go
@@ -37,9 +37,9 @@
 	shared, own, more := request.Part{ID: "shared", Tokens: 2500}, request.Part{ID: "own", Tokens: 900}, request.Part{ID: "more", Tokens: 400}
 	for _, target := range []string{"t1", "t2", "t3"} {
 		s := newSystem(t, newTarget(t, "t1", answering), newTarget(t, "t2", answering), newTarget(t, "t3", answering))
-		before := s.newTurn("1", shared, own)
-		before.x.target, before.events = target, 4
-		require.NoError(t, s.past.Write(t.Context(), "p", time.Minute, before.settlement()))
+		previous := s.newTurn("1", shared, own)
+		previous.x.target, previous.events = target, 4
+		require.NoError(t, s.past.Write(t.Context(), "p", time.Minute, previous.settlement()))
 		next := s.newTurn("2", shared, own, more)
 		require.NoError(t, next.begin(t.Context()))
 		require.Equal(t, target, next.pickTarget())
@@ -58,8 +58,8 @@
 	s := newSystem(t, newTarget(t, "t1", answering))
 	x := s.newTurn("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
 	x.markCached([]*historypb.Ran{{Target: "t1", Born: 7, Part: "own"}, {Target: "gone", Part: "own"}, {Target: "t1", Part: "unknown"}})
-	known, _ := s.host.registry.Target("t1")
-	require.Zero(t, known.CachedTokens(x.call.Prefix))
+	target, _ := s.host.registry.Target("t1")
+	require.Zero(t, target.CachedTokens(x.call.Prefix))
 	x.markCached([]*historypb.Ran{{Target: "t1", Part: "own"}})
-	require.EqualValues(t, 505, known.CachedTokens(x.call.Prefix))
+	require.EqualValues(t, 505, target.CachedTokens(x.call.Prefix))
 }
--- a/daemon/entry/reach.go
+++ b/daemon/entry/reachability.go
@@ -58,37 +58,37 @@
 
 // of returns the line to a target; the caller holds mu.
 func (r *reachabilityMonitor) targetLocked(target string) *targetReachability {
-	l := r.targets[target]
-	if l == nil {
-		l = &targetReachability{lastHeard: time.Now(), unreachableCh: make(chan struct{})}
-		r.targets[target] = l
+	state := r.targets[target]
+	if state == nil {
+		state = &targetReachability{lastHeard: time.Now(), unreachableCh: make(chan struct{})}
+		r.targets[target] = state
 	}
-	return l
+	return state
 }
 
 // heard notes bytes from a target.
 func (r *reachabilityMonitor) recordHeard(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.targetLocked(target)
-	l.lastHeard = time.Now()
-	r.dataCentreLastHeard[l.dataCentre] = l.lastHeard
+	state := r.targetLocked(target)
+	state.lastHeard = time.Now()
+	r.dataCentreLastHeard[state.dataCentre] = state.lastHeard
 }
 
 // heardFrom reports whether any target of a data centre was heard within d.
-func (r *reachabilityMonitor) heardFrom(dataCentre string, d time.Duration) bool {
+func (r *reachabilityMonitor) heardFrom(dataCentre string, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last, ever := r.dataCentreLastHeard[dataCentre]
-	return ever && time.Since(last) <= d
+	last, ok := r.dataCentreLastHeard[dataCentre]
+	return ok && time.Since(last) <= window
 }
 
 // heardFrom reports whether anything of a data centre was heard within d: a target or a
 // history host, of which each turn asks some. Where hosts are many, each hears the targets
 // of another data centre too seldom to know, and would open a connection for
 // each request that must not be repeated.
-func (h *Host) heardFrom(dataCentre string, d time.Duration) bool {
-	return h.reachability.heardFrom(dataCentre, d) || h.History != nil && h.History.HeardFrom(dataCentre, d)
+func (h *Host) heardFrom(dataCentre string, window time.Duration) bool {
+	return h.reachability.heardFrom(dataCentre, window) || h.History != nil && h.History.HeardFrom(dataCentre, window)
 }
 
 // forget drops a target that is gone.
@@ -103,8 +103,8 @@
 func (r *reachabilityMonitor) restarted(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.targets[target]; l != nil && !l.unreachable {
-		close(l.unreachableCh)
+	if state := r.targets[target]; state != nil && !state.unreachable {
+		close(state.unreachableCh)
 	}
 	delete(r.targets, target)
 }
@@ -113,9 +113,9 @@
 // reached any more, and probes it when it has been silent.
 func (r *reachabilityMonitor) guard(ctx context.Context, t balance.TargetInfo) (context.Context, context.CancelFunc) {
 	r.mu.Lock()
-	l := r.targetLocked(t.ID)
-	l.dataCentre = t.DataCentre
-	cut := l.unreachableCh
+	state := r.targetLocked(t.ID)
+	state.dataCentre = t.DataCentre
+	unreachableCh := state.unreachableCh
 	r.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
@@ -125,7 +125,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-cut:
+			case <-unreachableCh:
 				cancel(errUnreachable)
 				return
 			case <-tick.C:
@@ -143,21 +143,21 @@
 func (r *reachabilityMonitor) checkSilence(target, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.targetLocked(target)
-	silent := time.Since(l.lastHeard)
-	if l.probing || silent < dataCentreSilenceTimeout || silent < targetSilenceTimeout && time.Since(r.dataCentreLastHeard[l.dataCentre]) < dataCentreSilenceTimeout {
+	state := r.targetLocked(target)
+	silence := time.Since(state.lastHeard)
+	if state.probing || silence < dataCentreSilenceTimeout || silence < targetSilenceTimeout && time.Since(r.dataCentreLastHeard[state.dataCentre]) < dataCentreSilenceTimeout {
 		return
 	}
-	l.probing = true
+	state.probing = true
 	go r.probe(target, address)
 }
 
 // lost starts probes of a target to which no connection could be made.
 func (r *reachabilityMonitor) startProbing(target, address string) {
 	r.mu.Lock()
-	l := r.targetLocked(target)
-	start := !l.probing
-	l.probing = true
+	state := r.targetLocked(target)
+	start := !state.probing
+	state.probing = true
 	r.mu.Unlock()
 	if start {
 		go r.probe(target, address)
@@ -200,12 +200,12 @@
 func (r *reachabilityMonitor) recordProbeFailure(target string, err error) (first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.targetLocked(target)
-	if l.unreachable {
+	state := r.targetLocked(target)
+	if state.unreachable {
 		return false
 	}
-	l.unreachable = true
-	close(l.unreachableCh)
+	state.unreachable = true
+	close(state.unreachableCh)
 	r.host.Meter.Count("targets", "unreachable")
 	r.host.Log.Warn("target unreachable", "target", target, "error", err.Error())
 	return true
@@ -216,10 +216,10 @@
 	r.host.setReachable(target, true)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.targetLocked(target)
-	l.lastHeard, l.probing = time.Now(), false
-	if l.unreachable {
-		l.unreachable, l.unreachableCh = false, make(chan struct{})
+	state := r.targetLocked(target)
+	state.lastHeard, state.probing = time.Now(), false
+	if state.unreachable {
+		state.unreachable, state.unreachableCh = false, make(chan struct{})
 		r.host.Log.Info("target reachable again", "target", target, "probes", tries+1)
 	}
 }
--- a/daemon/entry/reach_test.go
+++ b/daemon/entry/reachability_test.go
@@ -53,10 +53,10 @@
 		time.Sleep(5 * time.Second)
 		require.NoError(t, ctx.Err(), "a silent target that can be reached is left alone")
 		d.disconnected.Store(true)
-		began := time.Now()
+		disconnectedAt := time.Now()
 		<-ctx.Done()
 		require.ErrorIs(t, context.Cause(ctx), errUnreachable)
-		require.LessOrEqual(t, time.Since(began), 2*targetSilenceTimeout+probeTimeout)
+		require.LessOrEqual(t, time.Since(disconnectedAt), 2*targetSilenceTimeout+probeTimeout)
 		require.False(t, h.isTargetReachable(t))
 		time.Sleep(10 * time.Second)
 		d.disconnected.Store(false)
@@ -75,9 +75,9 @@
 		h.reachability.startProbing("t1", "a")
 		time.Sleep(2*probeTimeout + time.Millisecond)
 		h.mu.Lock()
-		beside, _ := h.registry.Target("t2")
+		neighbour, _ := h.registry.Target("t2")
 		far, _ := h.registry.Target("far")
-		require.True(t, beside.Unreachable)
+		require.True(t, neighbour.Unreachable)
 		require.False(t, far.Unreachable)
 		h.mu.Unlock()
 		d.disconnected.Store(false)
@@ -136,23 +136,23 @@
 // end at once, and what may be repeated is.
 func TestRequestsAtRestartedTargetEnd(t *testing.T) {
 	var s *system
-	var b *target
+	var restarted *target
 	ended := make(chan struct{})
-	a := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
+	first := newTarget(t, "t1", func(_ int, _ received, id string) (string, bool) {
 		view := NewTargetView(s.host, func(id string, spec []byte) (balance.TargetInfo, error) {
-			return balance.TargetInfo{ID: id, StartedAtMs: 2, Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc1", Capacity: 4}, nil
+			return balance.TargetInfo{ID: id, StartedAtMs: 2, Service: "s", Address: restarted.listener.Addr().String(), DataCentre: "dc1", Capacity: 4}, nil
 		})
 		view.Changed(objects.Changes{Events: []objects.Event{{Object: objects.Object{Name: "t1"}}}})
 		<-ended
 		return "", true
 	})
-	b = newTarget(t, "t1", answering)
-	s = newSystem(t, a)
+	restarted = newTarget(t, "t1", answering)
+	s = newSystem(t, first)
 	got := s.post("/plain/", "", ownheaders.ID, "1")
 	close(ended)
 	require.Equal(t, http.StatusBadGateway, got.status, "the only target was tried already")
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2").status)
-	require.Len(t, b.requests(), 1)
+	require.Len(t, restarted.requests(), 1)
 }
 
 // An entry that cannot be read names no target: the one that was listed under its name is
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -33,11 +33,11 @@
 	old := s.host.table.Load()
 	var routes []*routing.Route
 	for _, r := range old.Routes() {
-		bound := *r
+		restricted := *r
 		if r.Prefix == prefix {
-			bound.Regions = regions
+			restricted.Regions = regions
 		}
-		routes = append(routes, &bound)
+		routes = append(routes, &restricted)
 	}
 	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, old.Services(), routes).RequireKeys(old.Customers()))
 	s.host.confirmConfig(time.Now())
@@ -136,18 +136,18 @@
 		require.Equal(t, http.StatusOK, s.turn("/turn/", "t"+strconv.Itoa(i), previous, "secret"+strconv.Itoa(i)).status)
 	}
 	require.Equal(t, "secret0answer0\nsecret1answer1\nsecret2answer2\nsecret3answer3\nsecret4answer4\nsecret5", engine.requests()[5].Body)
-	told := int64(0)
+	writes := int64(0)
 	for _, n := range inside {
-		told += n.Load()
+		writes += n.Load()
 	}
-	require.GreaterOrEqual(t, told, int64(12), "each turn is on two disks")
+	require.GreaterOrEqual(t, writes, int64(12), "each turn is on two disks")
 	for _, n := range outside {
 		require.Zero(t, n.Load())
 	}
 	s.host.background.Wait()
-	past, err := s.past.Read(t.Context(), "p", "")
+	program, err := s.past.Read(t.Context(), "p", "")
 	require.NoError(t, err)
-	require.EqualValues(t, 18, past.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
+	require.EqualValues(t, 18, program.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
 }
 
 func TestTurnsWithoutStorageRegionAreRefusedAtOnce(t *testing.T) {
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -106,21 +106,21 @@
 	return s
 }
 
-func routeStates(t *routing.Table) []RouteState {
-	if t == nil {
+func routeStates(table *routing.Table) []RouteState {
+	if table == nil {
 		return nil
 	}
-	list := make([]RouteState, 0, len(t.Routes()))
-	for _, r := range t.Routes() {
-		s := RouteState{
+	states := make([]RouteState, 0, len(table.Routes()))
+	for _, r := range table.Routes() {
+		state := RouteState{
 			Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind.String(), Attempts: r.MaxAttempts,
 			TimeoutMs: r.Timeout.Milliseconds(), Priority: r.Priority,
 		}
-		for _, share := range r.Services {
-			s.Services = append(s.Services, share.Service)
+		for _, weighted := range r.Services {
+			state.Services = append(state.Services, weighted.Service)
 		}
-		list = append(list, s)
+		states = append(states, state)
 	}
-	slices.SortFunc(list, func(a, b RouteState) int { return strings.Compare(a.Host+a.Prefix, b.Host+b.Prefix) })
-	return list
+	slices.SortFunc(states, func(a, b RouteState) int { return strings.Compare(a.Host+a.Prefix, b.Host+b.Prefix) })
+	return states
 }
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -62,13 +62,13 @@
 	if o.Name != v.name {
 		return
 	}
-	t, err := v.decode(o.Spec)
+	table, err := v.decode(o.Spec)
 	if err != nil {
 		v.host.Log.Error("configuration not taken", "revision", o.Revision, "error", err.Error())
 		return
 	}
-	if v.host.SetTable(t) {
-		v.host.Log.Info("configuration in force", "version", t.Version, "revision", o.Revision)
+	if v.host.SetTable(table) {
+		v.host.Log.Info("configuration in force", "version", table.Version, "revision", o.Revision)
 	}
 }
 
@@ -111,8 +111,8 @@
 }
 
 // WithHalvings tells the view by which steps the host holds a part of the targets.
-func (v *TargetView) WithHalvings(steps func() []subset.Halvings) *TargetView {
-	v.halvings = steps
+func (v *TargetView) WithHalvings(halvings func() []subset.Halvings) *TargetView {
+	v.halvings = halvings
 	return v
 }
 
@@ -160,24 +160,24 @@
 func (v *TargetView) Lost(error) {}
 
 func (v *TargetView) set(o objects.Object) {
-	l, err := v.decode(o.Name, o.Spec)
+	info, err := v.decode(o.Name, o.Spec)
 	if err != nil {
 		v.host.Log.Error("target not taken", "target", o.Name, "revision", o.Revision, "error", err.Error())
 		v.remove(o.Name)
 		return
 	}
 	v.host.mu.Lock()
-	old, known := v.host.registry.Target(l.ID)
-	changed := !known || old.Draining != l.Draining || old.StartedAtMs != l.StartedAtMs
-	renewed := v.host.registry.SetTarget(l)
-	v.host.registry.SetColdFor(l.ID, l.ColdFor, v.host.now())
+	old, known := v.host.registry.Target(info.ID)
+	changed := !known || old.Draining != info.Draining || old.StartedAtMs != info.StartedAtMs
+	restarted := v.host.registry.SetTarget(info)
+	v.host.registry.SetColdFor(info.ID, info.ColdFor, v.host.now())
 	v.host.mu.Unlock()
 	if changed {
-		v.host.Log.Info("target listed", "target", l.ID, "service", l.Service, "draining", l.Draining, "born", l.StartedAtMs, "cold_ms", l.ColdFor.Milliseconds(), "renewed", renewed)
+		v.host.Log.Info("target listed", "target", info.ID, "service", info.Service, "draining", info.Draining, "born", info.StartedAtMs, "cold_ms", info.ColdFor.Milliseconds(), "renewed", restarted)
 	}
-	if renewed {
+	if restarted {
 		v.host.pool.CloseIdle(old.Address)
-		v.host.reachability.restarted(l.ID)
+		v.host.reachability.restarted(info.ID)
 	}
 }
 
