--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// KeyRules say how current the configuration must be to serve callers by their keys.
+// KeyRules bounds the age of the configuration by which callers with a key are served. The age
+// is the time since the platform last confirmed that the configuration was the newest.
 type KeyRules struct {
-	// MaxAge is the longest time since the configuration was surely the newest after which
-	// requests with a key are still sent: a key may have been taken away since. 0 means
-	// that there is no bound.
+	// MaxAge is the largest age at which requests with a key are sent: with an older
+	// configuration, the key may have been revoked. 0 means no bound.
 	MaxAge time.Duration
-	// UnknownKeyMaxAge is up to when an unknown key is surely unknown. A host that is further
-	// behind refuses it as one that may be known elsewhere.
+	// UnknownKeyMaxAge is the largest age at which an unknown key is rejected as unauthorized.
+	// With an older configuration, the key may be known to other hosts, and the request is
+	// refused as one to retry. 0 means no bound.
 	UnknownKeyMaxAge time.Duration
 }
 
-// confirm notes that the configuration in force was the newest at an instant.
+// confirmConfig records that the current configuration was the newest at the instant asOf; a
+// zero asOf is ignored.
 func (h *Host) confirmConfig(asOf time.Time) {
 	if asOf.IsZero() {
 		return
@@ -35,13 +37,13 @@
 	}
 }
 
-// broadcast wakes all who wait at once. Its zero value is ready for use.
+// broadcast wakes all its subscribers at once. Its zero value is ready for use.
 type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// wait returns a channel that is closed by the next tell.
+// subscribe returns a channel that the next call of notify closes.
 func (b *broadcast) subscribe() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,6 +53,7 @@
 	return b.next
 }
 
+// notify wakes all subscribers.
 func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,16 +63,17 @@
 	}
 }
 
-// neverConfirmed is confirmedAt before the first sound word of the platform.
+// neverConfirmed is the value of confirmedAt before the first confirmation.
 const neverConfirmed = -1 << 62
 
-// configurationAge is how long ago the configuration in force was surely the newest.
+// confirmedAge returns the time since the current configuration was last known to be the
+// newest.
 func (h *Host) confirmedAge() time.Duration {
 	return h.now() - time.Duration(h.confirmedAt.Load())
 }
 
-// staleFor is for how long the configuration has been too old to serve by keys; 0 while it
-// is not.
+// staleFor returns how long the configuration has been too old to serve requests with a key; 0
+// if it is not.
 func (h *Host) staleFor() time.Duration {
 	t := h.table.Load()
 	if h.KeyRules.MaxAge == 0 || t == nil || !t.RequiresKey() {
@@ -79,22 +83,23 @@
 }
 
 const (
-	// outagePause is when a caller comes back in an outage of the platform: callers give up
-	// after a few tries, and no host serves it sooner.
+	// outageRetryDelay is the retry delay during an outage of the platform: callers give up
+	// after a few retries, and no host serves them sooner.
 	outageRetryDelay = time.Second
-	// confirmWait and confirmShare bound the wait for a sound word of the platform, in all
-	// and as a part of the time that the caller has: an outage that is over soon then costs
-	// that time, and not the program.
+	// maxConfirmWait and confirmWaitDivisor bound the wait for a confirmation, absolutely and
+	// as a part of the caller's remaining time. A short outage then costs that time and does
+	// not fail the program.
 	maxConfirmWait     = 1200 * time.Millisecond
 	confirmWaitDivisor = 3
 )
 
-// alone reports whether this host is cut off from the others, which may be better off.
+// isIsolated reports whether this host has been cut off from most slots of the history hosts;
+// other entry hosts may be better off.
 func (h *Host) isIsolated() bool { return h.History.Isolated() > 0 }
 
-// staleComeBack is when a caller that shows a key should try again after the configuration
-// has been too old for a while: at another host as soon as the balancer sends it there, or,
-// where others are no better off, when the platform may be back.
+// staleRetryDelay returns when a caller with a key should retry after the configuration has
+// been too old for staleFor: when the balancer routes it to another host or, if other hosts are
+// affected too, when the platform may be available again.
 func (h *Host) staleRetryDelay(staleFor time.Duration) time.Duration {
 	if h.isIsolated() {
 		return max(retryLater, outOfRotationDelay-staleFor)
@@ -102,8 +107,8 @@
 	return outageRetryDelay
 }
 
-// awaitConfirmation waits for the platform while it does not answer the hosts that follow it
-// for this one. A host that is cut off from these does not wait.
+// awaitConfirmation waits for a confirmation while the configuration is too old because the
+// platform does not answer the hosts that relay it to this one. An isolated host does not wait.
 func (x *exchange) awaitConfirmation(ctx context.Context) {
 	h := x.host
 	if x.route.Public || h.staleFor() == 0 || h.isIsolated() {
--- a/daemon/entry/datacentre_check.go
+++ b/daemon/entry/datacentre_check.go
@@ -7,46 +7,50 @@
 )
 
 const (
-	// suspectMost is how many targets beside an unreachable one are probed at first: enough to
-	// tell a cut of their data centre from targets that have failed, and no more where many
-	// hosts find one of those.
+	// maxFirstProbes bounds how many other targets of its data centre are probed first when a
+	// target is unreachable: enough to tell a partition of the data centre from failed targets,
+	// without excess probes when many hosts detect the same failed target.
 	maxFirstProbes = 40
-	// suspectFor is for how long one suspicion stands for a data centre: while targets that
-	// have failed are found one after the other, each would begin another.
+	// dataCentreCheckWindow is how long one check suppresses further checks of its data centre.
+	// Otherwise each of several failed targets, detected one after the other, would start one.
 	dataCentreCheckWindow = time.Second
 )
 
-// suspicion is the probes of the targets beside one that was found unreachable.
+// dataCentreCheck tracks the probes of the other targets of a data centre after one of them was
+// found unreachable.
 type dataCentreCheck struct {
 	startedAt time.Time
-	// asked is those of the first ones whose probe has not ended.
+	// pending holds the ids of the targets probed first whose first probe has not ended.
 	pending                 map[string]bool
 	firstCount, failedCount int
-	// rest is probed once most of the first have been missed.
+	// remaining holds the other targets, which are probed once more than half of the first
+	// probes have failed.
 	remaining []balance.TargetInfo
 }
 
-// suspect probes targets beside one that was found unreachable: a cut mostly takes a whole data
-// centre, and each target found by a request costs that request. Those that are silent too get
-// nothing until their probe has come through.
-func (r *reachabilityMonitor) probeDataCentre(target string) {
-	r.host.mu.Lock()
-	others := r.host.registry.OthersInDataCentre(target)
-	r.host.mu.Unlock()
-	for _, other := range r.startDataCentreCheck(others) {
-		r.probeNeighbour(other)
+// probeDataCentre probes other targets in the data centre of a target that was found
+// unreachable: a partition usually affects a whole data centre, and a target that is found
+// unreachable by a request costs that request. Targets that are silent too get no requests
+// until their probe succeeds.
+func (m *reachabilityMonitor) probeDataCentre(target string) {
+	m.host.mu.Lock()
+	others := m.host.registry.OthersInDataCentre(target)
+	m.host.mu.Unlock()
+	for _, other := range m.startDataCentreCheck(others) {
+		m.probeNeighbour(other)
 	}
 }
 
-// begin returns the targets of a data centre to probe first, none while a suspicion stands.
-func (r *reachabilityMonitor) startDataCentreCheck(others []balance.TargetInfo) []balance.TargetInfo {
+// startDataCentreCheck starts a check of the data centre of others and returns the targets to
+// probe first. It returns none while the window of an earlier check lasts.
+func (m *reachabilityMonitor) startDataCentreCheck(others []balance.TargetInfo) []balance.TargetInfo {
 	if len(others) == 0 {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	dataCentre := others[0].DataCentre
-	if check := r.dataCentreChecks[dataCentre]; check != nil && time.Since(check.startedAt) < dataCentreCheckWindow {
+	if check := m.dataCentreChecks[dataCentre]; check != nil && time.Since(check.startedAt) < dataCentreCheckWindow {
 		return nil
 	}
 	first := others[:min(maxFirstProbes, len(others))]
@@ -54,34 +58,37 @@
 	for _, other := range first {
 		check.pending[other.ID] = true
 	}
-	r.dataCentreChecks[dataCentre] = check
+	m.dataCentreChecks[dataCentre] = check
 	return first
 }
 
-// doubt probes a target, which gets nothing until then if it is silent.
-func (r *reachabilityMonitor) probeNeighbour(neighbour balance.TargetInfo) {
-	r.mu.Lock()
-	silent := time.Since(r.targetLocked(neighbour.ID).lastHeard) >= dataCentreSilenceTimeout
-	r.mu.Unlock()
+// probeNeighbour starts probes of a target. If the target is silent, it gets no requests until
+// a probe succeeds.
+func (m *reachabilityMonitor) probeNeighbour(neighbour balance.TargetInfo) {
+	m.mu.Lock()
+	silent := time.Since(m.targetLocked(neighbour.ID).lastHeard) >= dataCentreSilenceTimeout
+	m.mu.Unlock()
 	if silent {
-		r.host.setReachable(neighbour.ID, false)
+		m.host.setReachable(neighbour.ID, false)
 	}
-	r.startProbing(neighbour.ID, neighbour.Address)
+	m.startProbing(neighbour.ID, neighbour.Address)
 }
 
-// judge notes the first probe of a target. Where most of those probed at first are missed, the
-// data centre is taken to be cut off, and all others are probed.
-func (r *reachabilityMonitor) handleFirstProbe(target string, reached bool) {
-	for _, neighbour := range r.recordFirstProbe(target, reached) {
-		r.probeNeighbour(neighbour)
+// handleFirstProbe handles the result of the first probe of a target. If more than half of the
+// targets probed first could not be reached, the data centre is taken to be partitioned and all
+// its remaining targets are probed.
+func (m *reachabilityMonitor) handleFirstProbe(target string, reached bool) {
+	for _, neighbour := range m.recordFirstProbe(target, reached) {
+		m.probeNeighbour(neighbour)
 	}
 }
 
-// condemned returns the targets to probe as most of those beside them were missed.
-func (r *reachabilityMonitor) recordFirstProbe(target string, reached bool) []balance.TargetInfo {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, check := range r.dataCentreChecks {
+// recordFirstProbe records the result of the first probe of a target. It returns the remaining
+// targets, once, when more than half of the first probes have failed.
+func (m *reachabilityMonitor) recordFirstProbe(target string, reached bool) []balance.TargetInfo {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, check := range m.dataCentreChecks {
 		if !check.pending[target] {
 			continue
 		}
--- a/daemon/entry/doc.go
+++ b/daemon/entry/doc.go
@@ -1,13 +1,19 @@
-// Package entry is the role of an entry host: it takes callers' requests and
-// sends each to a target. It keeps nothing that must outlive it.
+// Package entry implements the entry host, which accepts callers' requests and
+// forwards each to a target. It keeps no state that must survive a restart.
 //
 //	caller -> ServeHTTP (handle.go): decode, route, read the body
-//	       -> customer.go, confirm.go: whose key, is the configuration new enough
+//	       -> customer.go, confirm.go: authorise the key, check the age of the configuration
 //	       -> turn.go: reserve budget, rebuild the prompt   (history hosts)
-//	       -> quota.go: a token of the customer's quota     (history hosts)
+//	       -> quota.go: take a token of the customer quota  (history hosts)
 //	       -> forward.go: pick a target, send, retry        (core/balance, targetpool)
-//	       -> plain.go / stream.go: the answer to the caller
-//	       -> turn.go: settle budget, keep the turn         (history hosts)
+//	       -> plain.go / stream.go: pass the answer to the caller
+//	       -> turn.go: settle budget, store the turn        (history hosts)
 //
-// view.go holds what the platform says: configuration and targets.
+// Beside the path of a request:
+//
+//	view.go, evacuation.go                  follow the platform: configuration, targets, evacuations
+//	reachability.go, datacentre_check.go    probe targets that are silent
+//	load_exchange.go                        exchange target loads with other entry hosts
+//	memory.go, idle.go                      limit what callers may hold
+//	state.go                                gauges and a dump for operators
 package entry
--- a/daemon/entry/evacuation.go
+++ b/daemon/entry/evacuation.go
@@ -7,14 +7,15 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// EvacuationView takes from the platform which data centres are to be evacuated: their
-// targets get no new requests, while what runs there ends; an objects.Listener.
+// EvacuationView applies the evacuations of data centres from the platform to a Host: targets
+// there get no new requests, while those in progress complete. It implements objects.Listener.
 type EvacuationView struct {
 	host        *Host
 	dataCentres map[string]bool
 }
 
-// NewEvacuationView returns the listener for evacuations; an object's name is a data centre.
+// NewEvacuationView returns a listener for evacuations. The name of each object is a data
+// centre.
 func NewEvacuationView(h *Host) *EvacuationView {
 	return &EvacuationView{host: h, dataCentres: map[string]bool{}}
 }
@@ -43,10 +44,11 @@
 	v.apply()
 }
 
-// Lost implements objects.Listener: the last known evacuations stay in force, so that an
-// outage of the platform sends nothing where nothing must go.
+// Lost implements objects.Listener. The last known evacuations stay in force, so that no
+// request goes to an evacuated data centre during an outage of the platform.
 func (v *EvacuationView) Lost(error) {}
 
+// apply passes the evacuated data centres to the registry.
 func (v *EvacuationView) apply() {
 	h := v.host
 	h.mu.Lock()
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -23,58 +23,61 @@
 	"github.com/pistachioarch/pistachioarch/wire/targetpool"
 )
 
-// Headers translates the headers of callers and targets.
+// Headers translates between the headers of callers and targets and package request.
 type Headers interface {
-	// Call decodes a caller's request; the failure is of kind BadRequest.
+	// Call decodes the headers of a caller's request. Its error is a failure of kind
+	// BadRequest.
 	Call(http.Header) (request.Call, error)
-	// Outgoing returns the headers of a request to a target.
+	// Outgoing returns the headers to send to a target for the caller's headers in.
 	Outgoing(in http.Header, s request.SendOptions) http.Header
-	// Answer decodes the head of a target's answer.
+	// Answer decodes the status and headers of a target's answer.
 	Answer(status int, h http.Header) request.Answer
-	// RetryAfter tells a caller when to come back.
+	// RetryAfter sets the header that tells a caller to retry after d.
 	RetryAfter(h http.Header, d time.Duration)
-	// Echo names the request in an answer of the system's own.
+	// Echo sets the request id in an answer that the host generates itself.
 	Echo(h http.Header, id string)
 }
 
-// Options are the parts that a Host is made of.
+// Options configures a Host.
 type Options struct {
 	Headers Headers
 	History *quorum.Client
-	// Dialer opens connections to targets.
+	// Dialer opens connections to targets, also for probes.
 	Dialer     targetpool.Dialer
 	DataCentre string
-	// Regions is the region of each data centre, nil where there are none.
+	// Regions maps each data centre to its region; nil without regions.
 	Regions map[string]string
-	// HistoryTimeout is how long history hosts are waited for before a request is sent;
-	// historyPatience if it is 0.
+	// HistoryTimeout bounds the wait for history hosts before a request is sent; 0 selects the
+	// default.
 	HistoryTimeout time.Duration
-	// MemoryBytes and Descriptors are the process's limits; 0 if there is none.
+	// MemoryBytes and Descriptors are the limits of the process; 0 means no limit.
 	MemoryBytes int64
 	Descriptors int
-	// KeyRules is how current the configuration must be for requests with a key.
+	// KeyRules bounds the age of the configuration for requests with a key.
 	KeyRules KeyRules
-	// QuotaTolerance is by how much the quotas of customers may be exceeded.
+	// QuotaTolerance is how far customers may exceed their quotas.
 	QuotaTolerance quota.Tolerance
-	// DisableLoadExchange keeps the host from telling other hosts what it sees of the targets.
+	// DisableLoadExchange turns off the exchange of target loads with other entry hosts.
 	DisableLoadExchange bool
-	// ReadyPath is where the platform asks whether the host takes requests.
+	// ReadyPath is the URL path of the readiness check of the platform.
 	ReadyPath string
 	Log       *log.Logger
 	// Meter may be nil.
 	Meter *meter.Meter
 }
 
-// Host serves the callers of one entry host.
+// Host accepts callers' requests and forwards them to targets.
 type Host struct {
 	Options
 	table atomic.Pointer[routing.Table]
-	// configured is closed once there is a table.
+	// configured is closed when the first table is set.
 	configured chan struct{}
-	// configuredAt is when the table in force came, in nanoseconds of now.
+	// configuredAt is when the current table was set, in nanoseconds of now.
 	configuredAt atomic.Int64
-	// confirmedAt is when the table in force was surely the newest, in nanoseconds of now.
-	confirmedAt     atomic.Int64
+	// confirmedAt is the latest instant at which the current table is known to have been the
+	// newest, in nanoseconds of now.
+	confirmedAt atomic.Int64
+	// configConfirmed wakes requests that wait for a confirmation.
 	configConfirmed broadcast
 	server          atomic.Pointer[http.Server]
 	listener        net.Listener
@@ -84,19 +87,21 @@
 	startedAt       time.Time
 	loadExchanger   *loadExchanger
 
+	// memory accounts for what requests hold.
 	memory *memoryAccount
 
+	// mu guards registry, dispatch and hedger.
 	mu       sync.Mutex
 	registry *balance.Registry
 	dispatch *dispatch.Dispatcher
 	hedger   *hedge.Hedger
 
 	draining atomic.Bool
-	// work is what goes on after an answer: settling budgets.
+	// background tracks work that continues after the answer, such as settling budgets.
 	background sync.WaitGroup
 }
 
-// New returns a host without configuration and targets.
+// New returns a host that has no configuration and no targets yet.
 func New(options Options) *Host {
 	options.HistoryTimeout = cmp.Or(options.HistoryTimeout, historyPatience)
 	registry := balance.NewRegistry(options.DataCentre, balance.DefaultWeights())
@@ -117,13 +122,13 @@
 	return h
 }
 
-// active is the number of requests held.
+// activeRequests returns the number of requests in progress.
 func (h *Host) activeRequests() int { return h.memory.activeRequests() }
 
-// now is the host's monotonic time.
+// now returns the monotonic time since the host was created.
 func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
-// Limits where a configuration leaves them out.
+// Defaults of the limits that a configuration can set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 1 << 20
@@ -131,11 +136,12 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// configurationWait is how long connections wait for the first configuration,
-// which says what callers may send; without one they are refused in good order.
+// maxFirstConfigWait bounds how long accepted connections wait for the first configuration,
+// which defines what callers may send. After that, requests are answered with a regular refusal
+// until a configuration arrives.
 const maxFirstConfigWait = 300 * time.Millisecond
 
-// Serve takes callers' requests until Drain or Close.
+// Serve accepts callers' requests on listener in the background, until Drain or Close.
 func (h *Host) Serve(listener net.Listener) {
 	h.listener = listener
 	go func() {
@@ -155,15 +161,15 @@
 		}
 		h.server.Store(server)
 		if err := server.Serve(callers{listener}); err != nil && err != http.ErrServerClosed {
-			h.Log.Error("callers' listener failed", "error", err.Error())
+			h.Log.Error("caller listener failed", "error", err.Error())
 		}
 	}()
 }
 
-// idleBackstop is above any idle limit; see idleConns.
+// serverIdleTimeout exceeds any configured idle timeout, which idleCloser enforces.
 const serverIdleTimeout = 10 * time.Minute
 
-// limits are those of the configuration in force, if there is one.
+// limits returns the limits of the current configuration, zero without one.
 func (h *Host) limits() routing.Limits {
 	if t := h.table.Load(); t != nil {
 		return t.Limits
@@ -175,7 +181,7 @@
 	return cmp.Or(h.limits().IdleTimeout, defaultIdleTimeout)
 }
 
-// Close cuts all callers off.
+// Close closes the listener and all callers' connections at once.
 func (h *Host) Close() {
 	_ = h.listener.Close()
 	if server := h.server.Load(); server != nil {
@@ -183,21 +189,22 @@
 	}
 }
 
-// Ready reports whether the host can serve: it has a configuration that is current enough
-// and knows the history hosts, and it is not about to stop.
+// Ready reports whether the host can serve requests: it has a configuration that is current
+// enough, knows the history hosts, can be served by them now or after an expected takeover, and
+// is not draining.
 func (h *Host) Ready() bool {
 	historyServable := h.History.Isolated() == 0 || h.History.TakeoverIn() > 0
 	return !h.draining.Load() && h.table.Load() != nil && h.staleFor() == 0 && h.History.Ready() && historyServable
 }
 
-// rotationTime is how long the platform takes to send callers elsewhere after a
-// host is not ready: two questions, a second apart.
+// outOfRotationDelay is how long the platform takes to route callers to other hosts after a
+// host becomes unready: two failed readiness checks, one second apart.
 const outOfRotationDelay = 2 * time.Second
 
-// comeBack is when a caller that history hosts cannot serve should try again: at
-// once if this host is in touch with them, otherwise when callers are sent to
-// other hosts. Callers that came back at once where this host alone is cut off could meet
-// it again, and be refused for good.
+// historyRetryDelay returns when a caller that history hosts cannot serve should retry: after
+// the default delay if this host reaches them; otherwise when their takeover is expected or
+// when callers are routed to other hosts. Where only this host is cut off, callers that retried
+// sooner could reach it again and fail for good.
 func (h *Host) historyRetryDelay() time.Duration {
 	isolated := h.History.Isolated()
 	if isolated == 0 {
@@ -209,14 +216,16 @@
 	return max(retryLater, outOfRotationDelay-isolated)
 }
 
-// turnPause is when the caller of a turn comes back while this host alone is cut off. Unlike a
-// call, a turn is sent several times, each to another host, and most of these serve;
-// waiting for the balancer to take this one out costs most of what a program's aim leaves.
-// Where a whole data centre is cut off, its callers reach none that serves until the balancer
-// sends them elsewhere: with this pause all tries would be over before that.
+// isolatedTurnRetryDelay is the retry delay of a turn while only this host is cut off. Unlike a
+// call, a turn is sent several times, each time to another host, and most of these can serve
+// it; waiting until the balancer takes this host out of rotation would use up most of the time
+// left for the program. It must not apply where a whole data centre is cut off: there callers
+// reach no host that can serve until the balancer routes them elsewhere, and all retries would
+// be over before that.
 const isolatedTurnRetryDelay = 350 * time.Millisecond
 
-// ServeReady answers the platform's question whether the host takes requests.
+// ServeReady serves the readiness check of the platform at ReadyPath on listener in the
+// background: 200 if the host is ready, 503 if not.
 func (h *Host) ServeReady(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(h.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -232,8 +241,8 @@
 	}()
 }
 
-// Run keeps the connections to targets tidy and exchanges loads until the context ends, and
-// closes the connections then.
+// Run closes idle connections to targets and exchanges loads until ctx ends, then closes all
+// connections to targets.
 func (h *Host) Run(ctx context.Context) {
 	if !h.DisableLoadExchange {
 		go h.loadExchanger.run(ctx)
@@ -244,15 +253,16 @@
 }
 
 const (
-	// leaveAfter is how long a stopping host goes on as before, not ready: the
-	// platform takes it out of rotation after two questions a second apart.
+	// drainNotReadyDelay is how long a draining host keeps serving while it reports not ready:
+	// the platform takes it out of rotation after two readiness checks one second apart.
 	drainNotReadyDelay = 2500 * time.Millisecond
-	// settleReserve is kept of the grace for what goes on after the last answer.
+	// settleReserve is the part of the grace period that is reserved for background work after
+	// the last answer.
 	settleReserve = 500 * time.Millisecond
 )
 
-// Drain stops the host within grace: it is not ready at once, serves on until no
-// new connections come, then closes connections as they fall idle.
+// Drain stops the host within the grace period. The host reports not ready at once, keeps
+// serving until callers are routed elsewhere, then closes connections as they become idle.
 func (h *Host) Drain(grace time.Duration) {
 	h.draining.Store(true)
 	h.Log.Info("draining", "active", h.activeRequests())
@@ -262,7 +272,7 @@
 	defer cancel()
 	if server := h.server.Load(); server != nil {
 		if err := server.Shutdown(ctx); err != nil {
-			h.Log.Warn("requests cut off at the end of the grace time", "active", h.activeRequests())
+			h.Log.Warn("grace period expired, remaining requests are aborted", "active", h.activeRequests())
 		}
 	}
 	done := make(chan struct{})
@@ -273,12 +283,12 @@
 	select {
 	case <-done:
 	case <-time.After(settleReserve / 2):
-		h.Log.Warn("budgets left unsettled")
+		h.Log.Warn("budget settlements not finished at shutdown")
 	}
 	h.Log.Info("stopped")
 }
 
-// statuses are the HTTP statuses of failures that did not run.
+// notRunStatuses maps failure kinds to HTTP statuses for requests that did not run.
 var notRunStatuses = map[failure.Kind]int{
 	failure.BadRequest:         http.StatusBadRequest,
 	failure.TooLarge:           http.StatusRequestEntityTooLarge,
@@ -297,8 +307,8 @@
 	failure.Timeout:            http.StatusServiceUnavailable,
 }
 
-// statusOf maps a failure to an HTTP status. A request that may have run never
-// gets a status that promises that it did not.
+// statusOf returns the HTTP status of a failure. A request that may have run never gets a
+// status by which callers take it as not run.
 func statusOf(f *failure.Failure) int {
 	if f.Ran == failure.RanNo {
 		if status, ok := notRunStatuses[f.Kind]; ok {
--- a/daemon/entry/idle.go
+++ b/daemon/entry/idle.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// idleConns closes callers' connections that stay idle for longer than the
-// configuration in force allows. http.Server's own timeout cannot change while it
-// runs, and callers count on the newest.
+// idleCloser closes callers' connections that stay idle for longer than the current
+// configuration allows. The idle timeout of http.Server cannot change while the server runs,
+// but callers rely on the newest one.
 type idleCloser struct {
 	timeout func() time.Duration
 	mu      sync.Mutex
@@ -20,7 +20,7 @@
 	return &idleCloser{timeout: timeout, timers: map[*callerConn]*time.Timer{}}
 }
 
-// state is an http.Server.ConnState hook, for connections of callers.
+// connState is an http.Server.ConnState hook for connections of callers.
 func (c *idleCloser) connState(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
@@ -38,50 +38,52 @@
 	}
 }
 
-// requestStart is how many bytes http.Server waits for before it bounds the time that a
-// request's head takes: fewer are no request.
+// minRequestStartBytes is how many bytes http.Server waits for before its timeout for the head
+// of a request starts. Fewer bytes do not count as a request.
 const minRequestStartBytes = 4
 
-// idleness is whether a connection waits for its next request. http.Server tells that one is
-// in use only once it has read the whole head of a request; a connection that was closed until
-// then would take a request with it that is then sent to a target.
+// idleState tracks whether a connection waits for its next request. http.Server reports a
+// connection as active only after it has read the whole head of a request. If the connection
+// were closed before that, the request would be lost to its caller and still be sent to a
+// target.
 type idleState struct {
 	mu            sync.Mutex
-	receivedBytes int // bytes since the connection became idle
+	receivedBytes int // since the connection became idle
 	closed        bool
 }
 
-// rest notes that the connection is idle.
-func (i *idleState) markIdle() {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.receivedBytes = 0
+// markIdle records that the connection is idle.
+func (s *idleState) markIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.receivedBytes = 0
 }
 
-// arrive notes n bytes; it reports false where the connection has been closed, and nothing that
-// arrives may be read.
-func (i *idleState) recordRead(n int) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.receivedBytes += n
-	return !i.closed
+// recordRead records n bytes read. It reports false if the connection has been closed and the
+// bytes must be discarded.
+func (s *idleState) recordRead(n int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.receivedBytes += n
+	return !s.closed
 }
 
-// expire reports whether the connection is still idle, and thus to be closed.
-func (i *idleState) closeIfIdle() bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.receivedBytes < minRequestStartBytes {
-		i.closed = true
+// closeIfIdle marks the connection as closed if it is still idle, and reports whether it is
+// closed.
+func (s *idleState) closeIfIdle() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.receivedBytes < minRequestStartBytes {
+		s.closed = true
 	}
-	return i.closed
+	return s.closed
 }
 
-// end notes that the connection is closed, idle or not.
-func (i *idleState) markClosed() {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.closed = true
+// markClosed records that the connection is closed, whether idle or not.
+func (s *idleState) markClosed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
 }
 
 // Read implements net.Conn.
@@ -93,13 +95,13 @@
 	return n, err
 }
 
-// Close implements net.Conn. http.Server calls it for idle connections as it shuts down.
+// Close implements net.Conn. http.Server calls it for idle connections when it shuts down.
 func (c *callerConn) Close() error {
 	c.markClosed()
 	return c.Conn.Close()
 }
 
-// closeIdle closes the connection unless a request has begun to arrive.
+// closeIdle closes the connection unless part of a request has arrived.
 func (c *callerConn) closeIdle() {
 	if c.closeIfIdle() {
 		_ = c.Close()
--- a/daemon/entry/load_exchange.go
+++ b/daemon/entry/load_exchange.go
@@ -8,14 +8,15 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-// teller tells a history host what this host sees of the targets, and is told what others see.
+// loadExchanger reports to a history host, the board, what this host observes of the targets,
+// and applies what other hosts reported.
 type loadExchanger struct {
 	host     *Host
 	reporter *loads.Reporter
-	// broken: the last exchange failed.
+	// failing is true if the last exchange failed.
 	failing bool
-	// What follows is for operators, guarded by the host's mu. on: the host hears too little
-	// by itself; board and hosts are those of the last answer.
+	// The fields below are for operators and guarded by the mu of host. needed is whether the
+	// host observes too little by itself; boardID and otherHosts are from the last reply.
 	needed     bool
 	boardID    uint64
 	otherHosts int
@@ -27,8 +28,8 @@
 	return &loadExchanger{host: h, reporter: loads.NewReporter(id)}
 }
 
-// run exchanges until the context ends.
-func (t *loadExchanger) run(ctx context.Context) {
+// run exchanges loads until ctx ends.
+func (e *loadExchanger) run(ctx context.Context) {
 	timer := time.NewTimer(loads.IdleReportInterval)
 	defer timer.Stop()
 	for {
@@ -36,97 +37,102 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			timer.Reset(t.exchangeIfNeeded(ctx))
+			timer.Reset(e.exchangeIfNeeded(ctx))
 		}
 	}
 }
 
-// step exchanges once, if the host hears too little by itself, and returns when to look again.
-func (t *loadExchanger) exchangeIfNeeded(ctx context.Context) time.Duration {
-	if !t.updateNeeded() {
+// exchangeIfNeeded exchanges once if the host observes too little by itself. It returns the
+// time until the next call.
+func (e *loadExchanger) exchangeIfNeeded(ctx context.Context) time.Duration {
+	if !e.updateNeeded() {
 		return loads.IdleReportInterval
 	}
-	return t.exchange(ctx)
+	return e.exchange(ctx)
 }
 
-// hushed notes whether the host hears too little by itself.
-func (t *loadExchanger) updateNeeded() bool {
-	h := t.host
+// updateNeeded records and returns whether the host observes too little by itself.
+func (e *loadExchanger) updateNeeded() bool {
+	h := e.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	needed := h.registry.NeedsLoadExchange(h.now())
-	if needed != t.needed {
+	if needed != e.needed {
 		h.Log.Info("exchange of loads", "on", needed)
 	}
-	t.needed = needed
+	e.needed = needed
 	return needed
 }
 
-func (t *loadExchanger) exchange(ctx context.Context) time.Duration {
-	h := t.host
+// exchange sends a report, applies the reply and returns the time until the next call.
+func (e *loadExchanger) exchange(ctx context.Context) time.Duration {
+	h := e.host
 	h.mu.Lock()
 	observations, hasInFlight := h.registry.Observations(), h.registry.InFlight() > 0
 	h.mu.Unlock()
-	t.reporter.Observe(observations)
+	e.reporter.Observe(observations)
 	interval := loads.IdleReportInterval
-	if hasInFlight || t.reporter.HasPending() {
+	if hasInFlight || e.reporter.HasPending() {
 		interval = loads.ReportInterval
 	}
-	reply, err := h.History.ExchangeLoads(ctx, t.reporter.NextReport(h.now()))
+	reply, err := h.History.ExchangeLoads(ctx, e.reporter.NextReport(h.now()))
 	if err != nil {
-		return t.recordFailure(err)
+		return e.recordFailure(err)
 	}
 	h.Meter.Count("load_exchanges", "ok")
-	if t.failing {
+	if e.failing {
 		h.Log.Info("loads are told again", "board", reply.BoardID, "hosts", reply.OtherHosts)
 	}
-	t.failing = false
+	e.failing = false
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	update := t.reporter.HandleReply(reply, h.now())
-	t.boardID, t.otherHosts = reply.BoardID, reply.OtherHosts
+	update := e.reporter.HandleReply(reply, h.now())
+	e.boardID, e.otherHosts = reply.BoardID, reply.OtherHosts
 	h.registry.ApplyUpdate(update, h.now())
 	return interval
 }
 
-// failed notes an exchange without an answer: the host goes on with what it hears itself. The
-// next member is asked soon, then seldom while none answers.
-func (t *loadExchanger) recordFailure(err error) time.Duration {
-	h := t.host
+// recordFailure records an exchange without a reply; the host continues with its own
+// observations. It returns the time until the next call: short after the first failure, to try
+// the next member, and long while further ones fail.
+func (e *loadExchanger) recordFailure(err error) time.Duration {
+	h := e.host
 	h.Meter.Count("load_exchanges", "failed")
-	if t.failing {
+	if e.failing {
 		return loads.IdleReportInterval
 	}
-	t.failing = true
+	e.failing = true
 	h.Log.Warn("loads are not told", "error", err.Error())
 	return loads.ReportInterval
 }
 
-// LoadExchangeState is what a host was told of the targets' loads, for operators.
+// LoadExchangeState is a dump of the load exchange for operators.
 type LoadExchangeState struct {
-	// Needed: the host hears too little of the targets by itself, and exchanges.
+	// Needed is true if the host observes too little of the targets by itself and exchanges
+	// loads.
 	Needed bool `json:"on"`
-	// UpdateAgeMs is how long ago it was told; -1 if it never was.
+	// UpdateAgeMs is the time since the last reply; -1 before the first.
 	UpdateAgeMs int64 `json:"told_ms"`
-	// BoardID is the start of the board, and Hosts the other hosts that report to it.
+	// BoardID identifies the board instance, and OtherHosts is the number of other hosts that
+	// report to it.
 	BoardID    uint64 `json:"board"`
 	OtherHosts int    `json:"hosts"`
 }
 
-// state returns what the host was told; the caller holds the host's mu.
-func (t *loadExchanger) state() LoadExchangeState {
-	s := LoadExchangeState{Needed: t.needed, BoardID: t.boardID, OtherHosts: t.otherHosts, UpdateAgeMs: -1}
-	if age := t.host.registry.UpdateAge(t.host.now()); age >= 0 {
+// state returns the state of the exchange. The caller holds the mu of host.
+func (e *loadExchanger) state() LoadExchangeState {
+	s := LoadExchangeState{Needed: e.needed, BoardID: e.boardID, OtherHosts: e.otherHosts, UpdateAgeMs: -1}
+	if age := e.host.registry.UpdateAge(e.host.now()); age >= 0 {
 		s.UpdateAgeMs = age.Milliseconds()
 	}
 	return s
 }
 
-// gauge serves the age of what the host was told.
-func (t *loadExchanger) registerGauge() {
-	t.host.Meter.Gauge("loads_told_ms", func() int64 {
-		t.host.mu.Lock()
-		defer t.host.mu.Unlock()
-		return t.state().UpdateAgeMs
+// registerGauge registers the gauge of the time since the last reply.
+func (e *loadExchanger) registerGauge() {
+	e.host.Meter.Gauge("loads_told_ms", func() int64 {
+		e.host.mu.Lock()
+		defer e.host.mu.Unlock()
+		return e.state().UpdateAgeMs
 	})
 }
--- a/daemon/entry/memory.go
+++ b/daemon/entry/memory.go
@@ -11,207 +11,212 @@
 )
 
 const (
-	// requestWait bounds the wait for room for what is read of a caller. A caller that is
-	// refused by then comes back to a host that has room.
+	// maxRequestMemoryWait bounds the wait for memory for what is read from a caller. A caller
+	// refused after that retries at a host that has memory.
 	maxRequestMemoryWait = 100 * time.Millisecond
-	// answerWait bounds the wait for room for an answer: an engine cuts off an answer that
-	// stays unread for some seconds.
+	// maxAnswerMemoryWait bounds the wait for memory for an answer. Engines abort an answer
+	// that is not read for some seconds.
 	maxAnswerMemoryWait = time.Second
-	// slowCheck is how often a request that waits for room looks for a slow caller.
+	// evictionInterval is how often a request that waits for memory evicts slow callers.
 	evictionInterval = 50 * time.Millisecond
-	// chunkBytes is how much is read of a caller or target at once.
+	// readChunkBytes is how much is read from a caller or target at once.
 	readChunkBytes = 32 << 10
 )
 
-// holdings is the account of what a host holds. Safe for concurrent use.
+// memoryAccount accounts for the memory and descriptors that the requests of a host hold. It is
+// safe for concurrent use.
 type memoryAccount struct {
 	host     *Host
 	mu       sync.Mutex
 	account  *held.Account
 	requests map[*held.RequestAccount]*requestMemory
-	freed    broadcast
+	// freed wakes requests that wait for memory.
+	freed broadcast
 }
 
 func newMemoryAccount(h *Host) *memoryAccount {
 	return &memoryAccount{host: h, account: held.New(h.MemoryBytes, h.Descriptors), requests: map[*held.RequestAccount]*requestMemory{}}
 }
 
-// holding is what one request holds.
+// requestMemory is what one request holds.
 type requestMemory struct {
 	parent  *memoryAccount
 	account *held.RequestAccount
-	// call names the request in logs, once it is decoded.
+	// requestID names the request in logs; empty until the request is decoded.
 	requestID string
-	// end closes the caller's connection; nil where the host does not know it.
+	// closeConn closes the caller's connection; nil if the host did not accept it itself.
 	closeConn func()
 }
 
-// enter admits a request, or reports that the host holds too much.
-func (b *memoryAccount) admit(r *http.Request) (*requestMemory, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	account, ok := b.account.Admit()
+// admit opens the account of a request. It reports false if the host has no memory or
+// descriptors for one more.
+func (a *memoryAccount) admit(r *http.Request) (*requestMemory, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	account, ok := a.account.Admit()
 	if !ok {
-		b.evictSlowCallersLocked(held.Body, held.MinRequestBytes)
+		a.evictSlowCallersLocked(held.Body, held.MinRequestBytes)
 		return nil, false
 	}
-	request := &requestMemory{parent: b, account: account}
+	request := &requestMemory{parent: a, account: account}
 	if c := callerOf(r); c != nil {
 		request.closeConn = func() { _ = c.Close() }
 		c.serves(request)
 	}
-	b.requests[account] = request
+	a.requests[account] = request
 	return request, true
 }
 
-// leave ends the request.
-func (x *requestMemory) closeAccount(r *http.Request) {
+// closeAccount closes the account of the request and frees what it holds.
+func (m *requestMemory) closeAccount(r *http.Request) {
 	if c := callerOf(r); c != nil {
 		c.serves(nil)
 	}
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.account.Close()
-	delete(x.parent.requests, x.account)
-	x.parent.freed.notify()
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.account.Close()
+	delete(m.parent.requests, m.account)
+	m.parent.freed.notify()
 }
 
-// named gives the request its name in logs.
-func (x *requestMemory) setRequestID(id string) {
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.requestID = id
+// setRequestID sets the id of the request for logs.
+func (m *requestMemory) setRequestID(id string) {
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.requestID = id
 }
 
-// grow charges n more bytes; where there is no room it waits for some, up to wait, while
-// the slowest callers end.
-func (x *requestMemory) reserve(ctx context.Context, kind held.Kind, n int64, maxWait time.Duration) error {
-	if n <= 0 || x.tryReserve(kind, n) {
+// reserve charges n more bytes. If there is not enough memory it evicts slow callers and waits
+// up to maxWait. Its error is a failure of kind Overloaded.
+func (m *requestMemory) reserve(ctx context.Context, kind held.Kind, n int64, maxWait time.Duration) error {
+	if n <= 0 || m.tryReserve(kind, n) {
 		return nil
 	}
-	x.parent.host.Meter.Count("waits", "bytes")
-	x.evictSlowCallers(kind, n)
+	m.parent.host.Meter.Count("waits", "bytes")
+	m.evictSlowCallers(kind, n)
 	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
 	for {
-		freed := x.parent.freed.subscribe()
-		if x.tryReserve(kind, n) {
+		freed := m.parent.freed.subscribe()
+		if m.tryReserve(kind, n) {
 			return nil
 		}
 		select {
 		case <-freed:
 		case <-tick.C:
-			x.evictSlowCallers(kind, n)
+			m.evictSlowCallers(kind, n)
 		case <-timeout.C:
-			return x.overloadedError(kind, n)
+			return m.overloadedError(kind, n)
 		case <-ctx.Done():
-			return x.overloadedError(kind, n)
+			return m.overloadedError(kind, n)
 		}
 	}
 }
 
-// full is the refusal of a request for which there is no room.
-func (x *requestMemory) overloadedError(kind held.Kind, n int64) error {
-	parent := x.parent
+// overloadedError returns the failure of a request for which there is no memory.
+func (m *requestMemory) overloadedError(kind held.Kind, n int64) error {
+	parent := m.parent
 	parent.mu.Lock()
 	charged := parent.account.ChargedBytes()
 	parent.mu.Unlock()
 	parent.host.Meter.Count("bytes", "refused", kind.String())
-	return failure.Retry(failure.Overloaded, retryLater, "the host holds %d bytes, no room for %d more of %s", charged, n, kind)
+	return failure.Retry(failure.Overloaded, retryLater, "host holds %d bytes, no memory for %d more of %s", charged, n, kind)
 }
 
-// try charges n more bytes, if there is room.
-func (x *requestMemory) tryReserve(kind held.Kind, n int64) bool {
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	return x.account.Reserve(kind, n)
+// tryReserve charges n more bytes if there is memory for them, and reports whether there was.
+func (m *requestMemory) tryReserve(kind held.Kind, n int64) bool {
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	return m.account.Reserve(kind, n)
 }
 
-// makeRoom ends slow callers for n more bytes.
-func (x *requestMemory) evictSlowCallers(kind held.Kind, n int64) {
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.parent.evictSlowCallersLocked(kind, n)
+// evictSlowCallers closes the connections of slow callers to free n bytes.
+func (m *requestMemory) evictSlowCallers(kind held.Kind, n int64) {
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.parent.evictSlowCallersLocked(kind, n)
 }
 
-// release takes n bytes off.
-func (x *requestMemory) release(kind held.Kind, n int64) {
+// release returns n bytes.
+func (m *requestMemory) release(kind held.Kind, n int64) {
 	if n <= 0 {
 		return
 	}
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.account.Release(kind, n)
-	x.parent.freed.notify()
-}
-
-// await notes that the request waits for its caller; arrived that it does so no more.
-func (x *requestMemory) startCallerWait() {
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.account.StartCallerWait(x.parent.host.now())
-}
-
-func (x *requestMemory) stopCallerWait() {
-	x.parent.mu.Lock()
-	defer x.parent.mu.Unlock()
-	x.account.StopCallerWait()
-}
-
-// endSlowest closes the connections of slow callers, so that there is room for n more bytes;
-// the caller holds mu.
-func (b *memoryAccount) evictSlowCallersLocked(kind held.Kind, n int64) {
-	for _, eviction := range b.account.SelectEvictions(b.host.now(), kind, n) {
-		request := b.requests[eviction.Request]
-		b.host.Meter.Count("callers_ended", "no_room")
-		b.host.Log.Warn("slow caller ended for want of room", "request", request.requestID, "held_bytes", eviction.Request.HeldBytes(),
-			"slow_ms", eviction.StalledFor.Milliseconds(), "charged_bytes", b.account.ChargedBytes())
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.account.Release(kind, n)
+	m.parent.freed.notify()
+}
+
+// startCallerWait records that the request waits for its caller to read or send.
+func (m *requestMemory) startCallerWait() {
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.account.StartCallerWait(m.parent.host.now())
+}
+
+// stopCallerWait records that the request no longer waits for its caller.
+func (m *requestMemory) stopCallerWait() {
+	m.parent.mu.Lock()
+	defer m.parent.mu.Unlock()
+	m.account.StopCallerWait()
+}
+
+// evictSlowCallersLocked closes the connections of slow callers to free n bytes. The caller
+// holds mu.
+func (a *memoryAccount) evictSlowCallersLocked(kind held.Kind, n int64) {
+	for _, eviction := range a.account.SelectEvictions(a.host.now(), kind, n) {
+		request := a.requests[eviction.Request]
+		a.host.Meter.Count("callers_ended", "no_room")
+		a.host.Log.Warn("slow caller ended for want of room", "request", request.requestID, "held_bytes", eviction.Request.HeldBytes(),
+			"slow_ms", eviction.StalledFor.Milliseconds(), "charged_bytes", a.account.ChargedBytes())
 		if request.closeConn != nil {
 			request.closeConn()
 		}
 	}
 }
 
-// stalled logs that a caller ended because it took nothing for too long.
-func (x *requestMemory) recordStalledCaller(stalledFor time.Duration) {
-	parent := x.parent
+// recordStalledCaller logs and counts a caller whose connection ends because it read nothing
+// for stalledFor.
+func (m *requestMemory) recordStalledCaller(stalledFor time.Duration) {
+	parent := m.parent
 	parent.mu.Lock()
 	defer parent.mu.Unlock()
 	parent.host.Meter.Count("callers_ended", "unread")
-	parent.host.Log.Warn("caller ended because it did not read", "request", x.requestID, "held_bytes", x.account.HeldBytes(), "slow_ms", stalledFor.Milliseconds())
+	parent.host.Log.Warn("caller ended because it did not read", "request", m.requestID, "held_bytes", m.account.HeldBytes(), "slow_ms", stalledFor.Milliseconds())
 }
 
-// active is the number of requests held.
-func (b *memoryAccount) activeRequests() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.account.ActiveRequests()
+// activeRequests returns the number of requests in progress.
+func (a *memoryAccount) activeRequests() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.account.ActiveRequests()
 }
 
-// limit is the most requests held at once.
-func (b *memoryAccount) maxRequests() int { return b.account.MaxRequests() }
+// maxRequests returns the bound on requests in progress.
+func (a *memoryAccount) maxRequests() int { return a.account.MaxRequests() }
 
-// state is a dump of the account.
-func (b *memoryAccount) state() held.State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.account.State(b.host.now())
+// state returns a dump of the account.
+func (a *memoryAccount) state() held.State {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.account.State(a.host.now())
 }
 
-// gauges serves what is held, in all and by kind.
-func (b *memoryAccount) registerGauges() {
+// registerGauges registers gauges of the bytes held, in total and by kind.
+func (a *memoryAccount) registerGauges() {
 	locked := func(read func() int64) func() int64 {
 		return func() int64 {
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			a.mu.Lock()
+			defer a.mu.Unlock()
 			return read()
 		}
 	}
-	m := b.host.Meter
-	m.Gauge("held_charged_bytes", locked(b.account.ChargedBytes))
+	m := a.host.Meter
+	m.Gauge("held_charged_bytes", locked(a.account.ChargedBytes))
 	for _, kind := range held.Kinds() {
-		m.Gauge("held_"+kind.String()+"_bytes", locked(func() int64 { return b.account.HeldBytes(kind) }))
+		m.Gauge("held_"+kind.String()+"_bytes", locked(func() int64 { return a.account.HeldBytes(kind) }))
 	}
 }
--- a/daemon/entry/prefix_cache.go
+++ b/daemon/entry/prefix_cache.go
@@ -7,15 +7,17 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-// Where the turns of a program ran is kept beside its budget, because with many hosts most turns
-// come through another host than the turn before, which cannot know it; without it most of
-// what engines read under load are prompts that another engine has read.
+// Run records, of where the turns of a program ran, are stored with its budget. With many entry
+// hosts, most turns arrive at another host than the previous turn, and that host cannot know
+// where it ran. Without the records, most of the tokens that engines prefill under load are of
+// prompts that another engine has cached.
 
-// mostParts bounds the parts that history hosts are asked for: the turn before ended with
-// one of the last of them.
+// maxLookupParts bounds the prompt parts that history hosts look up: the previous turn ended
+// with one of the last parts.
 const maxLookupParts = 4
 
-// ownParts are the last parts of the prompt but for the first, which programs share.
+// programPartIDs returns the ids of the last parts of the prompt, without the first part, which
+// programs share.
 func (x *exchange) programPartIDs() []string {
 	prefix := x.call.Prefix
 	if len(prefix) < 2 {
@@ -28,7 +30,7 @@
 	return ids
 }
 
-// ran says where the turn ran, nil if it did not.
+// runRecord returns the record of where the turn ran, nil if it did not run.
 func (t *turn) runRecord() *historypb.Ran {
 	prefix := t.x.call.Prefix
 	if t.events == 0 || len(prefix) == 0 {
@@ -39,7 +41,8 @@
 	}
 }
 
-// learn takes from history hosts which targets have read the beginning of the prompt.
+// markCached marks in the registry which targets have the beginning of the prompt cached, by
+// the run records of the program.
 func (x *exchange) markCached(records []*historypb.Ran) {
 	h := x.host
 	h.mu.Lock()
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/daemon/quorum"
 )
 
-// gauges serves what the host holds.
+// registerGauges registers the gauges of the host.
 func (h *Host) registerGauges() {
 	h.bytesGauges()
 	h.Meter.Gauge("requests_active", func() int64 { return int64(h.activeRequests()) })
@@ -41,12 +41,12 @@
 	return 0
 }
 
-// configAge is how long the configuration has been in force here.
+// configAge returns how long the current configuration has been in force on this host.
 func (h *Host) configAge() time.Duration {
 	return h.now() - time.Duration(h.configuredAt.Load())
 }
 
-// confirmedMs is how long ago the configuration was surely the newest, -1 if it never was.
+// confirmedMs returns the age of the last confirmation in milliseconds, -1 before the first.
 func (h *Host) confirmedMs() int64 {
 	if h.confirmedAt.Load() == neverConfirmed {
 		return -1
@@ -54,29 +54,30 @@
 	return h.confirmedAge().Milliseconds()
 }
 
-// State is a dump of the host for operators. It holds no content of requests.
+// State is a dump of a host for operators. It contains no content of requests.
 type State struct {
 	Ready          bool `json:"ready"`
 	Draining       bool `json:"draining"`
 	ActiveRequests int  `json:"requests_active"`
 	MaxRequests    int  `json:"requests_limit"`
-	// Held is what the host holds for callers and targets.
+	// Held is the memory that requests hold.
 	Held          held.State `json:"held"`
 	ConfigVersion uint64     `json:"config_version"`
 	ConfigAgeMs   int64      `json:"config_age_ms"`
-	// ConfigConfirmedMs is how long ago the configuration was surely the newest; -1 if it never
-	// was. Customers is the number of customers, 0 where no keys are needed.
+	// ConfigConfirmedMs is the time since the configuration was last known to be the newest; -1
+	// before the first confirmation. Customers is the number of customers, 0 if no keys are
+	// required.
 	ConfigConfirmedMs int64           `json:"config_confirmed_ms"`
 	Customers         int             `json:"customers"`
 	Routes            []RouteState    `json:"routes"`
 	Targets           []balance.State `json:"targets"`
 	History           quorum.State    `json:"history"`
-	// SecondSends is when calls are sent a second time, and how many may be.
+	// SecondSends is the state of hedging: delays and remaining budgets.
 	SecondSends  hedge.State       `json:"second_sends"`
 	LoadExchange LoadExchangeState `json:"loads"`
 }
 
-// RouteState is one route of the configuration in force.
+// RouteState describes one route of the current configuration.
 type RouteState struct {
 	Name      string   `json:"name"`
 	Host      string   `json:"host"`
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -7,10 +7,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// DecodeTable decodes a configuration object.
+// DecodeTable decodes the spec of a configuration object.
 type DecodeTable func(spec []byte) (*routing.Table, error)
 
-// ConfigView takes the configuration from the platform; an objects.Listener.
+// ConfigView applies configurations from the platform to a Host. It implements
+// objects.Listener.
 type ConfigView struct {
 	host   *Host
 	name   string
@@ -18,7 +19,7 @@
 	lost   bool
 }
 
-// NewConfigView returns the listener for the configuration object of that name.
+// NewConfigView returns a listener that applies the configuration object called name.
 func NewConfigView(h *Host, name string, decode DecodeTable) *ConfigView {
 	return &ConfigView{host: h, name: name, decode: decode}
 }
@@ -43,7 +44,7 @@
 	v.host.confirmConfig(changes.AsOf)
 }
 
-// Lost implements objects.Listener: the configuration in force stays.
+// Lost implements objects.Listener. The current configuration stays in force.
 func (v *ConfigView) Lost(err error) {
 	if !v.lost {
 		v.host.Log.Warn("platform lost", "view", "configuration", "error", err.Error())
@@ -51,6 +52,7 @@
 	v.lost = true
 }
 
+// logRegained logs the first contact with the platform after Lost.
 func (v *ConfigView) logRegained() {
 	if v.lost {
 		v.host.Log.Info("platform regained", "view", "configuration")
@@ -58,6 +60,8 @@
 	v.lost = false
 }
 
+// apply puts the configuration of an object in force. One that cannot be decoded is logged and
+// ignored.
 func (v *ConfigView) apply(o objects.Object) {
 	if o.Name != v.name {
 		return
@@ -72,7 +76,7 @@
 	}
 }
 
-// SetTable puts a newer configuration in force.
+// SetTable puts t in force if it is newer than the current table, and reports whether it was.
 func (h *Host) SetTable(t *routing.Table) bool {
 	for {
 		old := h.table.Load()
@@ -90,7 +94,7 @@
 	}
 }
 
-// declare tells the registry what a configuration says of the targets of its services.
+// setColdStarts passes the cold start settings of the services to the registry.
 func (h *Host) setColdStarts(t *routing.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,24 +103,27 @@
 	}
 }
 
-// DecodeTarget decodes the entry of a target.
+// DecodeTarget decodes the spec of the target object called id.
 type DecodeTarget func(id string, spec []byte) (balance.TargetInfo, error)
 
-// TargetView takes the list of targets from the platform; an objects.Listener.
+// TargetView applies the list of targets from the platform to a Host. It implements
+// objects.Listener.
 type TargetView struct {
 	host   *Host
 	decode DecodeTarget
-	// steps are those of the part that the host holds; nil where it holds all.
+	// halvings returns how the host's subset of the targets is chosen; nil if it holds all
+	// targets.
 	halvings func() []subset.Halvings
 }
 
-// WithHalvings tells the view by which steps the host holds a part of the targets.
+// WithHalvings sets the source of the halvings of the host's subset of the targets, and returns
+// v.
 func (v *TargetView) WithHalvings(halvings func() []subset.Halvings) *TargetView {
 	v.halvings = halvings
 	return v
 }
 
-// held notes the part in the registry.
+// updateHalvings passes the current halvings to the registry.
 func (v *TargetView) updateHalvings() {
 	if v.halvings == nil {
 		return
@@ -126,7 +133,7 @@
 	v.host.registry.SetHalvings(v.halvings())
 }
 
-// NewTargetView returns the listener for the list of targets.
+// NewTargetView returns a listener that applies the list of targets.
 func NewTargetView(h *Host, decode DecodeTarget) *TargetView {
 	return &TargetView{host: h, decode: decode}
 }
@@ -156,9 +163,10 @@
 	}
 }
 
-// Lost implements objects.Listener: the list in use stays.
+// Lost implements objects.Listener. The current list stays in use.
 func (v *TargetView) Lost(error) {}
 
+// set adds or changes a target. An entry that cannot be decoded takes its target out of use.
 func (v *TargetView) set(o objects.Object) {
 	info, err := v.decode(o.Name, o.Spec)
 	if err != nil {
@@ -181,7 +189,8 @@
 	}
 }
 
-// remove takes a target out of use: it is gone, or its entry names none that could be used.
+// remove takes a target out of use because it is no longer listed or its entry cannot be
+// decoded.
 func (v *TargetView) remove(id string) {
 	v.host.mu.Lock()
 	_, known := v.host.registry.Target(id)
