--- a/daemon/entry/datacentre_check_test.go
+++ b/daemon/entry/datacentre_check_test.go
@@ -14,7 +14,8 @@
 	"github.com/pistachioarch/pistachioarch/core/balance"
 )
 
-// someDialer connects but to the addresses that are dark, and counts.
+// partialDialer connects to all addresses but the unreachable ones, where dials time out. It
+// counts dials.
 type partialDialer struct {
 	mu            sync.Mutex
 	isUnreachable func(address string) bool
@@ -40,7 +41,8 @@
 	d.isUnreachable = func(string) bool { return false }
 }
 
-// manyTargets is a host before so many targets of one data centre, whose addresses are numbers.
+// newHostWithTargets returns a host with n targets in one data centre. The address of target
+// "t<i>" is "<i>".
 func newHostWithTargets(n int, isUnreachable func(address string) bool) (*Host, *partialDialer) {
 	d := &partialDialer{isUnreachable: isUnreachable}
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
@@ -50,6 +52,7 @@
 	return h, d
 }
 
+// unreachableTargets returns the number of targets marked unreachable.
 func (h *Host) unreachableTargets() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +65,8 @@
 	return n
 }
 
-// One target that has failed makes a host probe some beside it, not all that it holds.
+// One failed target must cause probes of some targets beside it, not of all that the host
+// lists.
 func TestFailedTargetCausesFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, d := newHostWithTargets(400, func(address string) bool { return address == "7" })
@@ -77,8 +81,8 @@
 	})
 }
 
-// All targets of a data centre that is cut off are found by probes within a second, however
-// many there are.
+// When a data centre is partitioned, probes must detect all of its targets within a second,
+// however many there are.
 func TestAllTargetsOfUnreachableDataCentreAreDetected(t *testing.T) {
 	for _, n := range []int{1, 12, maxFirstProbes + 1, 400} {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,10 +99,11 @@
 	}
 }
 
-// Failed targets among many that are found one after the other begin one suspicion.
+// Several failed targets among many, detected one after the other, must start only one data
+// centre check.
 func TestSeveralFailedTargetsShareOneDataCentreCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, d := newHostWithTargets(400, func(address string) bool { return len(address) == 1 }) // ten of them
+		h, d := newHostWithTargets(400, func(address string) bool { return len(address) == 1 }) // ten targets
 		for i := range 10 {
 			h.reachability.startProbing(fmt.Sprint("t", i), fmt.Sprint(i))
 		}
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -13,7 +13,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// evacuated is the platform's list with these data centres.
+// evacuationSnapshot returns the platform's list of evacuations with these data centres.
 func evacuationSnapshot(dataCentres ...string) objects.Snapshot {
 	s := objects.Snapshot{}
 	for _, name := range dataCentres {
@@ -39,7 +39,7 @@
 	require.Len(t, a.requests(), 1)
 }
 
-// What nobody may serve is refused at once, as not run.
+// A request that no target may serve is refused at once, as not run.
 func TestRequestsAreRefusedAtOnceWhenAllDataCentresAreEvacuated(t *testing.T) {
 	a := newTarget(t, "t1", answering)
 	s := newSystem(t, a)
--- a/daemon/entry/idle_test.go
+++ b/daemon/entry/idle_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(14 * time.Second)
 		closer.connState(near, http.StateActive)
 		time.Sleep(time.Hour)
-		require.Empty(t, closed, "an active connection stays")
+		require.Empty(t, closed, "an active connection stays open")
 		timeout = 30 * time.Second
 		idleSince := time.Now()
 		closer.connState(near, http.StateIdle)
@@ -37,7 +37,7 @@
 	})
 }
 
-// pipeListener hands out one connection.
+// pipeListener accepts the connections sent to conns.
 type pipeListener struct {
 	conns chan net.Conn
 }
@@ -53,8 +53,8 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request that has begun to arrive when the connection's idle time ends is answered: http.Server
-// tells that the connection is in use only once it has read the whole head.
+// A request that has begun to arrive when the idle timeout expires must be answered, although
+// http.Server reports the connection as active only after it has read the whole head.
 func TestRequestArrivingAtIdleTimeoutIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -85,11 +85,12 @@
 		sendRequest("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
 		time.Sleep(16 * time.Second)
 		_, err := far.Write([]byte("GET"))
-		require.Error(t, err, "idle for longer than the limit")
+		require.Error(t, err, "idle for longer than the timeout")
 	})
 }
 
-// What arrives as an idle connection is closed is not passed on: its sender has seen the close.
+// Bytes that arrive while an idle connection is being closed must not be passed on: their
+// sender has seen the close.
 func TestConnectionClosedAsIdleReturnsNoData(t *testing.T) {
 	conn := &callerConn{}
 	conn.Conn = closedDuringReadConn{conn: conn}
@@ -99,7 +100,8 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// closedAsRead is a connection whose idle time ends as bytes have just been read.
+// closedDuringReadConn is a connection whose idle timeout expires when bytes have just been
+// read.
 type closedDuringReadConn struct {
 	net.Conn
 	conn *callerConn
--- a/daemon/entry/load_exchange_test.go
+++ b/daemon/entry/load_exchange_test.go
@@ -19,7 +19,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// fleet is entry hosts and the history hosts of their data centre.
+// fleet is a set of entry hosts and the history hosts of their data centre.
 type fleet struct {
 	t         *testing.T
 	members   map[string]*member
@@ -27,7 +27,7 @@
 	hosts     []*Host
 }
 
-// boardPatience is how long a silent board is waited for.
+// boardTimeout bounds the wait for a board that does not answer.
 const boardTimeout = 500 * time.Millisecond
 
 // newFleet starts entry hosts that all list the target "x", and history hosts.
@@ -59,8 +59,8 @@
 	return f
 }
 
-// exchange lets all hosts exchange a few times: enough for a board to be told everything
-// anew, and to tell it.
+// exchangeRounds lets all hosts exchange loads several times: enough for a new board to receive
+// full reports and to pass them on.
 func (f *fleet) exchangeRounds() {
 	const rounds = 4
 	for range rounds {
@@ -70,6 +70,7 @@
 	}
 }
 
+// recordSend records a request of a host at the target.
 func (f *fleet) recordSend(host int) {
 	h := f.hosts[host]
 	h.mu.Lock()
@@ -79,10 +80,11 @@
 	x.RecordSend(nil, h.now())
 }
 
-// others is what a host was told of others' requests at the target.
+// othersInFlight returns the in-flight requests of other hosts at the target, as known to a
+// host.
 func (f *fleet) othersInFlight(host int) int { return f.hosts[host].State().Targets[0].OthersInFlight }
 
-// board is the member that the hosts report to.
+// boardMember returns the id of the member that the hosts report to.
 func (f *fleet) boardMember() string {
 	board, ok := f.hosts[0].History.Board()
 	require.True(f.t, ok)
@@ -102,8 +104,8 @@
 	require.GreaterOrEqual(t, s.UpdateAgeMs, int64(0))
 }
 
-// While the board is frozen or dead the next member of the data centre takes over; hosts say
-// everything again.
+// When the board is frozen or dead, the next member of the data centre must take over and
+// receive full reports.
 func TestAnotherMemberTakesOverBoard(t *testing.T) {
 	faults := map[string]func(f *fleet, id string){
 		"frozen": func(f *fleet, id string) { f.members[id].silent.Store(true) },
@@ -127,7 +129,8 @@
 	}
 }
 
-// Without any history host in the data centre nothing is told, and what was fades.
+// Without a history host in the data centre no loads are exchanged, and those received before
+// must expire.
 func TestHostsContinueWithoutBoard(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.recordSend(0)
@@ -145,7 +148,7 @@
 	require.True(t, h.loadExchanger.failing)
 }
 
-// A board that started anew under the same address is told everything again.
+// A board that restarted under the same address must receive full reports again.
 func TestRestartedBoardReceivesFullReports(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.recordSend(0)
@@ -156,7 +159,7 @@
 	require.NoError(t, err)
 	newMember := server.Member()
 	f.members[id].setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
-		req.Member = newMember // the disk is the same
+		req.Member = newMember // stands for a restart on the same disk
 		server.Handle(req, answer)
 	})
 	f.exchangeRounds()
@@ -164,7 +167,7 @@
 	require.Equal(t, 1, f.othersInFlight(1))
 }
 
-// What is told of one start of a target is not taken for the next.
+// Loads of an earlier incarnation of a target must not count for the next one.
 func TestLoadOfEarlierIncarnationIsDropped(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.recordSend(0)
@@ -179,7 +182,7 @@
 	require.Zero(t, f.othersInFlight(1))
 }
 
-// Only a host that hears too little by itself exchanges.
+// Only a host that observes too little by itself exchanges loads.
 func TestLoadExchangeRunsOnlyWhenNeeded(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	h := f.hosts[0]
@@ -193,6 +196,6 @@
 	}
 	h.mu.Unlock()
 	h.loadExchanger.exchangeIfNeeded(t.Context())
-	require.True(t, h.State().LoadExchange.Needed, "targets tell a slowdown")
+	require.True(t, h.State().LoadExchange.Needed, "targets report a slowdown")
 	require.GreaterOrEqual(t, h.State().LoadExchange.UpdateAgeMs, int64(0))
 }
--- a/daemon/entry/prefix_cache_test.go
+++ b/daemon/entry/prefix_cache_test.go
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/core/routing"
 )
 
-// turnOf is a turn of program p with a prompt of these parts.
+// newTurn returns a turn of program p whose prompt has these parts.
 func (s *system) newTurn(id string, parts ...request.Part) *turn {
 	x := &exchange{host: s.host, route: &routing.Route{Retention: time.Minute}, service: "s", began: time.Now(), engine: &routing.Engine{TokensPerEvent: 3}}
 	x.call = request.Call{ID: id, Program: "p", Prefix: parts}
@@ -22,7 +22,7 @@
 	return &turn{x: x}
 }
 
-// pick is where the turn would be sent.
+// pickTarget returns the id of the target to which the turn would be sent.
 func (t *turn) pickTarget() string {
 	h := t.x.host
 	h.mu.Lock()
@@ -31,8 +31,8 @@
 	return c.ID
 }
 
-// A turn that comes through a host that has seen nothing of its program goes to the target
-// that ran the turn before.
+// A turn that arrives at a host without any state of its program must go to the target that ran
+// the previous turn and has its prompt cached.
 func TestTurnThroughAnotherHostGoesToTargetOfPreviousTurn(t *testing.T) {
 	shared, own, more := request.Part{ID: "shared", Tokens: 2500}, request.Part{ID: "own", Tokens: 900}, request.Part{ID: "more", Tokens: 400}
 	for _, target := range []string{"t1", "t2", "t3"} {
@@ -53,7 +53,8 @@
 	require.Nil(t, x.runRecord())
 }
 
-// A target that has started again since has read nothing.
+// A restarted target has nothing cached: records of its earlier incarnation, of unknown targets
+// and of unknown parts do not count.
 func TestRunRecordOfEarlierIncarnationIsIgnored(t *testing.T) {
 	s := newSystem(t, newTarget(t, "t1", answering))
 	x := s.newTurn("1", request.Part{ID: "shared", Tokens: 5}, request.Part{ID: "own", Tokens: 500}).x
--- a/daemon/entry/reachability_test.go
+++ b/daemon/entry/reachability_test.go
@@ -18,7 +18,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// lineDialer connects or hangs, as a link that works or is cut.
+// switchableDialer connects, or hangs while disconnected, like a link that is partitioned.
 type switchableDialer struct{ disconnected atomic.Bool }
 
 func (d *switchableDialer) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -30,12 +30,14 @@
 	return near, nil
 }
 
+// newHostWithTarget returns a host with one target, t1 at address a.
 func newHostWithTarget(d *switchableDialer) *Host {
 	h := New(Options{Dialer: d, DataCentre: "dc1", Log: quietLog()})
 	h.registry.SetTarget(balance.TargetInfo{ID: "t1", Service: "s", Address: "a"})
 	return h
 }
 
+// isTargetReachable reports whether t1 is reachable.
 func (h *Host) isTargetReachable(t *testing.T) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,7 +53,7 @@
 		ctx, release := h.reachability.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a"})
 		defer release()
 		time.Sleep(5 * time.Second)
-		require.NoError(t, ctx.Err(), "a silent target that can be reached is left alone")
+		require.NoError(t, ctx.Err(), "a silent target that is reachable keeps its requests")
 		d.disconnected.Store(true)
 		disconnectedAt := time.Now()
 		<-ctx.Done()
@@ -85,8 +87,8 @@
 	})
 }
 
-// A target that leaves the list while it is behind a cut, and comes back to it, is
-// probed anew.
+// A target that is removed from the list while it is unreachable, and listed again, must be
+// probed again.
 func TestUnreachableTargetIsProbedAgainAfterRelisting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &switchableDialer{}
@@ -114,8 +116,8 @@
 	})
 }
 
-// A cut shows as silence of a whole data centre: while one of its targets is heard,
-// a kept connection to another one does not lead behind a cut.
+// A partition shows as silence of a whole data centre: while any of its targets is heard, a
+// reused connection to another target there does not lead behind a partition.
 func TestHeardFromCountsAnyTargetOfDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHostWithTarget(&switchableDialer{})
@@ -132,8 +134,8 @@
 	})
 }
 
-// A target that starts again under its id knows nothing of the requests that it had: they
-// end at once, and what may be repeated is.
+// A target that restarts under its id does not know the requests of its earlier incarnation:
+// they must end at once, and those that may be repeated are.
 func TestRequestsAtRestartedTargetEnd(t *testing.T) {
 	var s *system
 	var restarted *target
@@ -150,13 +152,13 @@
 	s = newSystem(t, first)
 	got := s.post("/plain/", "", ownheaders.ID, "1")
 	close(ended)
-	require.Equal(t, http.StatusBadGateway, got.status, "the only target was tried already")
+	require.Equal(t, http.StatusBadGateway, got.status, "the only target has been tried already")
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "2").status)
 	require.Len(t, restarted.requests(), 1)
 }
 
-// An entry that cannot be read names no target: the one that was listed under its name is
-// not used any more, the others are.
+// An entry that cannot be decoded must take the target listed under its name out of use, and
+// leave the others in use.
 func TestUndecodableEntryRemovesItsTarget(t *testing.T) {
 	a, b := newTarget(t, "t1", answering), newTarget(t, "t2", answering)
 	s := newSystem(t, a, b)
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -19,7 +19,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// regional is a system with a target in each of two regions; the host is in the north.
+// newRegionalSystem returns a system with one target in each of the regions north and south.
+// The host is in north.
 func newRegionalSystem(t *testing.T, answer answerFunc) (s *system, north, south *target) {
 	north, south = newTarget(t, "north", answer), newTarget(t, "south", answer)
 	s = newSystem(t, north)
@@ -28,7 +29,7 @@
 	return s, north, south
 }
 
-// bind puts a newer version in force in which a route is bound to regions.
+// restrictRoute sets a newer configuration in which a route is restricted to regions.
 func (s *system) restrictRoute(prefix string, regions routing.Regions) {
 	old := s.host.table.Load()
 	var routes []*routing.Route
@@ -53,12 +54,12 @@
 		key     string
 		by      *target
 	}{
-		"route":              {routing.NewRegions("south"), "b-key", south},
-		"route, near":        {routing.NewRegions("north"), "b-key", north},
-		"customer":           {routing.NewRegions(), "a-key", north},
-		"both":               {routing.NewRegions("south", "north"), "a-key", north},
-		"both, nowhere":      {routing.NewRegions("south"), "a-key", nil},
-		"a region not known": {routing.NewRegions("west"), "b-key", nil},
+		"route":                  {routing.NewRegions("south"), "b-key", south},
+		"route, near":            {routing.NewRegions("north"), "b-key", north},
+		"customer":               {routing.NewRegions(), "a-key", north},
+		"both":                   {routing.NewRegions("south", "north"), "a-key", north},
+		"both, no common region": {routing.NewRegions("south"), "a-key", nil},
+		"unknown region":         {routing.NewRegions("west"), "b-key", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s.restrictRoute("/once/", c.regions)
@@ -78,8 +79,8 @@
 	}
 }
 
-// A service that is full in the regions of a request is full for it, however much room there is
-// in others.
+// The load of a service counts only in the regions that a request may use: if the service is
+// full there, the request is refused, however much capacity other regions have.
 func TestAdmissionCountsLoadOnlyInAllowedRegions(t *testing.T) {
 	s, north, south := newRegionalSystem(t, answering)
 	s.restrictRoute("/quick/", routing.NewRegions("north"))
@@ -93,7 +94,7 @@
 	require.Empty(t, south.requests())
 }
 
-// told counts the messages to a history host that hold some text.
+// countRequestsContaining counts the requests to a history host that contain text.
 func (m *member) countRequestsContaining(text string) *atomic.Int64 {
 	n := &atomic.Int64{}
 	m.setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
@@ -105,7 +106,7 @@
 	return n
 }
 
-// newRegions replaces the history hosts by two in the north and three in the south.
+// startRegionalHistory replaces the history hosts by two in north and three in south.
 func (s *system) startRegionalHistory() (north, south []*member) {
 	s.members = nil
 	s.past = quorum.New(&net.Dialer{}, "dc1", quietLog(), nil)
@@ -140,14 +141,14 @@
 	for _, n := range inside {
 		writes += n.Load()
 	}
-	require.GreaterOrEqual(t, writes, int64(12), "each turn is on two disks")
+	require.GreaterOrEqual(t, writes, int64(12), "each turn is stored on two disks")
 	for _, n := range outside {
 		require.Zero(t, n.Load())
 	}
 	s.host.background.Wait()
 	program, err := s.past.Read(t.Context(), "p", "")
 	require.NoError(t, err)
-	require.EqualValues(t, 18, program.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
+	require.EqualValues(t, 18, program.Usage.TokensExcluding(""), "the budget is shared by all routes of the program")
 }
 
 func TestTurnsWithoutStorageRegionAreRefusedAtOnce(t *testing.T) {
@@ -159,7 +160,7 @@
 	require.Empty(t, south.requests())
 }
 
-// Where the operators move a route to another region, turns that were kept go on being found.
+// When a route is moved to another region, turns stored before must still be found.
 func TestTurnsStoredBeforeRouteWasRestrictedAreFound(t *testing.T) {
 	s, north, _ := newRegionalSystem(t, func(_ int, _ received, id string) (string, bool) { return streamed(id, 0, "a"), false })
 	s.startRegionalHistory()
