--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -77,7 +77,7 @@
 
 // growBody grows the buffer of the body to size bytes.
 func (x *exchange) growBody(size int64) error {
-	if err := x.held.grow(x.r.Context(), held.Body, size-int64(cap(x.body)), requestWait); err != nil {
+	if err := x.held.reserve(x.r.Context(), held.Body, size-int64(cap(x.body)), maxRequestMemoryWait); err != nil {
 		return err
 	}
 	x.body = append(make([]byte, 0, size), x.body...)
@@ -91,9 +91,9 @@
 		deadline = x.deadline
 	}
 	x.setReadDeadline(deadline)
-	x.held.await()
+	x.held.startCallerWait()
 	n, err := source.Read(x.body[len(x.body):cap(x.body)])
-	x.held.arrived()
+	x.held.stopCallerWait()
 	x.body = x.body[:len(x.body)+n]
 	return err
 }
@@ -146,8 +146,8 @@
 		size = initialReadBytes
 	}
 	// At least one byte, as the end has to be read too.
-	for size = max(size, 1); body.size+size <= maxPlainAnswerBytes+chunkBytes; size = chunkBytes {
-		if err := x.held.grow(ctx, held.Answer, size, answerWait); err != nil {
+	for size = max(size, 1); body.size+size <= maxPlainAnswerBytes+readChunkBytes; size = readChunkBytes {
+		if err := x.held.reserve(ctx, held.Answer, size, maxAnswerMemoryWait); err != nil {
 			return nil, err
 		}
 		if err := body.read(resp.Body, size); err != nil {
@@ -169,7 +169,7 @@
 // answer from a complete one.
 func (p *bodyChunks) read(source io.Reader, size int64) error {
 	for size > 0 {
-		chunk := make([]byte, min(size, chunkBytes))
+		chunk := make([]byte, min(size, readChunkBytes))
 		n, err := readFull(source, chunk)
 		p.chunks = append(p.chunks, chunk[:n])
 		p.size += int64(n)
@@ -208,7 +208,7 @@
 // errNoMemory.
 func (x *exchange) reserveFunc(ctx context.Context, kind held.Kind) func(n int64) error {
 	return func(n int64) error {
-		if x.held.grow(ctx, kind, n, answerWait) != nil {
+		if x.held.reserve(ctx, kind, n, maxAnswerMemoryWait) != nil {
 			return errNoMemory
 		}
 		return nil
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -40,9 +40,9 @@
 // served.
 type callerConn struct {
 	net.Conn
-	idleness
+	idleState
 	writeTimeout atomic.Int64
-	request      atomic.Pointer[holding]
+	request      atomic.Pointer[requestMemory]
 }
 
 // callerConnKey is the context key of a request's callerConn.
@@ -61,7 +61,7 @@
 
 // setRequest sets the request that is being answered, nil for none, and the write timeout of plain
 // answers.
-func (c *callerConn) setRequest(request *holding) {
+func (c *callerConn) setRequest(request *requestMemory) {
 	c.writeTimeout.Store(int64(answerWriteTimeout))
 	c.request.Store(request)
 }
@@ -73,8 +73,8 @@
 func (c *callerConn) Write(p []byte) (int, error) {
 	request := c.request.Load()
 	if request != nil {
-		request.await()
-		defer request.arrived()
+		request.startCallerWait()
+		defer request.stopCallerWait()
 	}
 	written, lastProgress := 0, time.Now()
 	for {
@@ -88,11 +88,11 @@
 		case n > 0:
 			lastProgress = time.Now()
 			if request != nil {
-				request.await()
+				request.startCallerWait()
 			}
 		case time.Since(lastProgress) >= timeout:
 			if request != nil {
-				request.stalled(timeout)
+				request.recordStalledCaller(timeout)
 			}
 			return written, err
 		}
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -15,14 +15,14 @@
 		return nil
 	}
 	if staleFor := x.host.staleFor(); staleFor > 0 {
-		return failure.Retry(failure.StaleConfiguration, x.host.staleComeBack(staleFor), "configuration last confirmed %d ms ago", x.host.configurationAge().Milliseconds())
+		return failure.Retry(failure.StaleConfiguration, x.host.staleRetryDelay(staleFor), "configuration last confirmed %d ms ago", x.host.confirmedAge().Milliseconds())
 	}
 	customer, known := table.Customers().ByKey(routing.DigestKey(x.call.CustomerKey))
 	if known && (x.customer == nil || x.customer.Name == customer.Name) {
 		x.customer, x.customerVersion = customer, table.Version
 		return nil
 	}
-	if age := x.host.configurationAge(); x.host.Keys.SureAge > 0 && age > x.host.Keys.SureAge {
+	if age := x.host.confirmedAge(); x.host.KeyRules.UnknownKeyMaxAge > 0 && age > x.host.KeyRules.UnknownKeyMaxAge {
 		return failure.Retry(failure.StaleConfiguration, defaultRetryDelay, "unknown key, configuration last confirmed %d ms ago", age.Milliseconds())
 	}
 	return failure.New(failure.Unauthorized, "unknown key in configuration version %d", table.Version)
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -22,7 +22,7 @@
 	service, _ := current.Service("s")
 	routes := append(current.Routes(), public)
 	s.host.SetTable(routing.NewTable(current.Version+1, current.Limits, []*routing.Service{service}, routes).RequireKeys(byKey))
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 }
 
 // customer returns a customer with one key, its name followed by "-key".
@@ -99,7 +99,7 @@
 func TestStaleConfigurationRejectsKeys(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	require.False(t, s.host.Ready())
@@ -108,7 +108,7 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	require.Empty(t, x.requests())
 	require.Equal(t, http.StatusOK, s.post("/open/", "", ownheaders.ID, "2").status)
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "3", ownheaders.Key, "a-key").status)
 }
 
@@ -116,7 +116,7 @@
 // since.
 func TestUnknownKeyIsUnauthorizedOnlyWithRecentConfiguration(t *testing.T) {
 	s := newSystem(t, newFakeTarget(t, "t1", answerOK))
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Minute))
 	require.Equal(t, http.StatusServiceUnavailable, s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "b-key").status)
@@ -128,23 +128,23 @@
 func TestRequestWaitsForConfirmedConfiguration(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
-	s.host.Keys = KeyRules{MaxAge: time.Hour, SureAge: time.Minute}
+	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
 	s.requireKeys(customer("a"))
 	s.host.confirmedAt.Store(int64(s.host.now() - 2*time.Hour))
 	answers := make(chan answer)
 	go func() { answers <- s.post("/plain/", "", ownheaders.ID, "1", ownheaders.Key, "a-key") }()
-	require.Eventually(t, func() bool { return s.host.active() == 1 }, time.Second, time.Millisecond)
-	s.host.confirm(time.Now())
+	require.Eventually(t, func() bool { return s.host.activeRequests() == 1 }, time.Second, time.Millisecond)
+	s.host.confirmConfig(time.Now())
 	require.Equal(t, http.StatusOK, (<-answers).status)
 }
 
 func TestConfirmationTimeIsMonotonic(t *testing.T) {
 	s := newSystem(t)
 	now := time.Now()
-	s.host.confirm(now)
+	s.host.confirmConfig(now)
 	at := s.host.confirmedAt.Load()
-	s.host.confirm(now.Add(-time.Second))
-	s.host.confirm(time.Time{})
+	s.host.confirmConfig(now.Add(-time.Second))
+	s.host.confirmConfig(time.Time{})
 	require.Equal(t, at, s.host.confirmedAt.Load())
 }
 
@@ -219,7 +219,7 @@
 	s := newSystem(t, x)
 	s.requireKeys(limitedCustomer("a", 6), customer("b"))
 	s.aged.Store(true)
-	s.host.HistoryPatience = historyTimeout
+	s.host.HistoryTimeout = historyTimeout
 	for _, m := range s.members {
 		m.silent.Store(true)
 	}
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -210,7 +210,7 @@
 	s.members[0].silent.Store(true)
 	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "2", "none", "x").status, "two of three history hosts answer")
 	s.members[1].silent.Store(true)
-	s.host.HistoryPatience = historyTimeout
+	s.host.HistoryTimeout = historyTimeout
 	got := s.postTurn("/turn/", "3", "none", "x")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -13,8 +13,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// evacuated is the platform's list with these data centres.
-func evacuated(dataCentres ...string) objects.Snapshot {
+// evacuationSnapshot returns the platform's list of evacuations with these data centres.
+func evacuationSnapshot(dataCentres ...string) objects.Snapshot {
 	s := objects.Snapshot{}
 	for _, name := range dataCentres {
 		s.Items = append(s.Items, objects.Object{Name: name})
@@ -22,12 +22,12 @@
 	return s
 }
 
-func TestAnEvacuationStaysInForceWhileThePlatformIsLost(t *testing.T) {
+func TestEvacuationStaysInForceWhenPlatformIsLost(t *testing.T) {
 	a, b := newFakeTarget(t, "t1", answerOK), newFakeTarget(t, "t2", answerOK)
 	s := newSystem(t, a, b)
 	s.host.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	view := NewEvacuationView(s.host)
-	view.Replaced(evacuated("dc1"))
+	view.Replaced(evacuationSnapshot("dc1"))
 	view.Lost(failure.New(failure.PlatformUnavailable, "away"))
 	view.Changed(objects.Changes{})
 	for i := range 6 {
@@ -39,8 +39,8 @@
 	require.Len(t, a.requests(), 1)
 }
 
-// What nobody may serve is refused at once, as not run.
-func TestWithAllDataCentresEvacuatedRequestsAreRefusedAtOnce(t *testing.T) {
+// A request that no target may serve is refused at once, as not run.
+func TestRequestsAreRefusedAtOnceWhenAllDataCentresAreEvacuated(t *testing.T) {
 	a := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, a)
 	view := NewEvacuationView(s.host)
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -229,7 +229,7 @@
 // recordAnswerHead records that the target was heard, and the load report in the head of its
 // answer. It is called as the head arrives: at the end of a stream the report would be outdated.
 func (h *Host) recordAnswerHead(t balance.TargetInfo, head request.Answer) {
-	h.reach.heard(t.ID)
+	h.reachability.recordHeard(t.ID)
 	if !head.HasLoad {
 		return
 	}
@@ -246,7 +246,7 @@
 	if delay, hedged := x.hedgeDelay(); hedged {
 		return x.attemptHedged(ctx, t, delay)
 	}
-	guarded, release := x.host.reach.guard(ctx, t)
+	guarded, release := x.host.reachability.guard(ctx, t)
 	defer release()
 	resp, err := x.send(guarded, t, x.call.LastEventID)
 	if err != nil {
@@ -301,7 +301,7 @@
 		h.Meter.Observe("target_head", time.Since(sentAt))
 		h.recordAnswerHead(t, resp.Answer)
 	case failure.From(err).Ran == failure.RanNo && ctx.Err() == nil:
-		h.reach.lost(t.ID, t.Address)
+		h.reachability.startProbing(t.ID, t.Address)
 	}
 	return resp, err
 }
--- a/daemon/entry/guarantees_test.go
+++ b/daemon/entry/guarantees_test.go
@@ -173,7 +173,7 @@
 				require.LessOrEqual(t, (<-ended).Sub(leftAt), timeSlack)
 				time.Sleep(slowRouteTimeout)
 				require.Empty(t, ended, "sent to no other target")
-				require.Zero(t, h.active())
+				require.Zero(t, h.activeRequests())
 				require.EqualValues(t, 1, h.meter.Value("sends_abandoned"))
 			})
 		})
@@ -199,7 +199,7 @@
 	s.adopt(m)
 	require.Equal(t, http.StatusNotFound, s.postTurn("/turn/", "1", "none", "x").status, "both other history hosts answer")
 	s.members[1].silent.Store(true)
-	s.host.HistoryPatience = historyTimeout
+	s.host.HistoryTimeout = historyTimeout
 	require.Equal(t, http.StatusServiceUnavailable, s.postTurn("/turn/", "2", "none", "x").status)
 	require.Empty(t, x.requests())
 }
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -98,7 +98,7 @@
 // startSend sends the call to a target in the background and passes the result to results. The
 // returned function cancels the send.
 func (x *exchange) startSend(ctx context.Context, t balance.TargetInfo, results chan<- *sendResult) context.CancelFunc {
-	guarded, release := x.host.reach.guard(ctx, t)
+	guarded, release := x.host.reachability.guard(ctx, t)
 	req := x.newTargetRequest(t, x.call.LastEventID)
 	go func() {
 		result := &sendResult{target: t, sentAt: time.Now()}
--- a/daemon/entry/idle_test.go
+++ b/daemon/entry/idle_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIdleConnectionIsClosedByTheNewestLimit(t *testing.T) {
+func TestIdleConnectionIsClosedAfterCurrentTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limit := 15 * time.Second
-		c := newIdleConns(func() time.Duration { return limit })
+		timeout := 15 * time.Second
+		closer := newIdleCloser(func() time.Duration { return timeout })
 		pipe, far := net.Pipe()
 		near := &callerConn{Conn: pipe}
 		closed := make(chan time.Time, 1)
@@ -22,22 +22,22 @@
 			_, _ = far.Read(make([]byte, 1))
 			closed <- time.Now()
 		}()
-		c.state(near, http.StateNew)
-		c.state(near, http.StateIdle)
+		closer.connState(near, http.StateNew)
+		closer.connState(near, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		c.state(near, http.StateActive)
+		closer.connState(near, http.StateActive)
 		time.Sleep(time.Hour)
-		require.Empty(t, closed, "an active connection stays")
-		limit = 30 * time.Second
-		began := time.Now()
-		c.state(near, http.StateIdle)
-		require.Equal(t, 30*time.Second, (<-closed).Sub(began))
-		c.state(near, http.StateClosed)
-		require.Empty(t, c.timers)
+		require.Empty(t, closed, "an active connection stays open")
+		timeout = 30 * time.Second
+		idleSince := time.Now()
+		closer.connState(near, http.StateIdle)
+		require.Equal(t, 30*time.Second, (<-closed).Sub(idleSince))
+		closer.connState(near, http.StateClosed)
+		require.Empty(t, closer.timers)
 	})
 }
 
-// pipeListener hands out one connection.
+// pipeListener accepts the connections sent to conns.
 type pipeListener struct {
 	conns chan net.Conn
 }
@@ -53,22 +53,22 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request that has begun to arrive when the connection's idle time ends is answered: http.Server
-// tells that the connection is in use only once it has read the whole head.
-func TestRequestThatArrivesAtTheIdleLimitIsAnswered(t *testing.T) {
+// A request that has begun to arrive when the idle timeout expires must be answered, although
+// http.Server reports the connection as active only after it has read the whole head.
+func TestRequestArrivingAtIdleTimeoutIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		listener := pipeListener{make(chan net.Conn, 1)}
 		listener.conns <- near
 		server := &http.Server{
 			Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}),
-			ConnState: newIdleConns(func() time.Duration { return 15 * time.Second }).state,
+			ConnState: newIdleCloser(func() time.Duration { return 15 * time.Second }).connState,
 		}
 		go func() { _ = server.Serve(callerListener{listener}) }()
 		defer func() { _ = server.Close() }()
 		defer close(listener.conns)
 		answers := bufio.NewReader(far)
-		ask := func(head ...string) {
+		sendRequest := func(head ...string) {
 			for i, part := range head {
 				if i > 0 {
 					time.Sleep(200 * time.Millisecond)
@@ -80,34 +80,36 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, response.StatusCode)
 		}
-		ask("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
+		sendRequest("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
 		time.Sleep(14900 * time.Millisecond)
-		ask("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
+		sendRequest("GET / HTTP/1.1\r\n", "Host: a\r\n\r\n")
 		time.Sleep(16 * time.Second)
 		_, err := far.Write([]byte("GET"))
-		require.Error(t, err, "idle for longer than the limit")
+		require.Error(t, err, "idle for longer than the timeout")
 	})
 }
 
-// What arrives as an idle connection is closed is not passed on: its sender has seen the close.
-func TestNothingIsReadOfAConnectionClosedAsIdle(t *testing.T) {
+// Bytes that arrive while an idle connection is being closed must not be passed on: their
+// sender has seen the close.
+func TestConnectionClosedAsIdleReturnsNoData(t *testing.T) {
 	conn := &callerConn{}
-	conn.Conn = closedAsRead{conn: conn}
-	conn.rest()
+	conn.Conn = closedDuringReadConn{conn: conn}
+	conn.markIdle()
 	n, err := conn.Read(make([]byte, 100))
 	require.Zero(t, n)
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// closedAsRead is a connection whose idle time ends as bytes have just been read.
-type closedAsRead struct {
+// closedDuringReadConn is a connection whose idle timeout expires when bytes have just been
+// read.
+type closedDuringReadConn struct {
 	net.Conn
 	conn *callerConn
 }
 
-func (c closedAsRead) Read(p []byte) (int, error) {
+func (c closedDuringReadConn) Read(p []byte) (int, error) {
 	c.conn.closeIdle()
 	return copy(p, "GET / HTTP/1.1"), nil
 }
 
-func (closedAsRead) Close() error { return nil }
+func (closedDuringReadConn) Close() error { return nil }
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -33,7 +33,7 @@
 	if x.customer == nil || !x.customer.Quota.Limited() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
+	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryTimeout)
 	defer cancel()
 	grant, err := x.requestToken(ctx)
 	for remaining := x.tokenWaitTimeout(); err == nil && !grant.Granted && grant.RetryDelay <= remaining && sleep(ctx, grant.RetryDelay); {
@@ -55,7 +55,7 @@
 func (x *exchange) requestToken(ctx context.Context) (quota.Grant, error) {
 	q := x.customer.Quota
 	return x.host.History.TakeToken(ctx, quota.TokenRequest{
-		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.Quotas), Version: x.customerVersion,
+		Customer: x.customer.Name, Limit: quota.Limit{Rate: q.Rate, Burst: q.Burst}.WithTolerance(x.host.QuotaTolerance), Version: x.customerVersion,
 		FirstOfProgram: x.startsProgram(),
 	})
 }
--- a/daemon/entry/regions_test.go
+++ b/daemon/entry/regions_test.go
@@ -19,8 +19,9 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// regional is a system with a target in each of two regions; the host is in the north.
-func regional(t *testing.T, answer answerFunc) (s *testSystem, north, south *fakeTarget) {
+// newRegionalSystem returns a system with one target in each of the regions north and south.
+// The host is in north.
+func newRegionalSystem(t *testing.T, answer answerFunc) (s *testSystem, north, south *fakeTarget) {
 	north, south = newFakeTarget(t, "north", answer), newFakeTarget(t, "south", answer)
 	s = newSystem(t, north)
 	s.host.Regions = map[string]string{"dc1": "north", "dc2": "south", "0": "north", "1": "north", "2": "south"}
@@ -28,23 +29,23 @@
 	return s, north, south
 }
 
-// bind puts a newer version in force in which a route is bound to regions.
-func (s *testSystem) bind(prefix string, regions routing.Regions) {
+// restrictRoute sets a newer configuration in which a route is restricted to regions.
+func (s *testSystem) restrictRoute(prefix string, regions routing.Regions) {
 	old := s.host.table.Load()
 	var routes []*routing.Route
 	for _, r := range old.Routes() {
-		bound := *r
+		restricted := *r
 		if r.Prefix == prefix {
-			bound.Regions = regions
+			restricted.Regions = regions
 		}
-		routes = append(routes, &bound)
+		routes = append(routes, &restricted)
 	}
 	s.host.SetTable(routing.NewTable(old.Version+1, old.Limits, old.Services(), routes).RequireKeys(old.Customers()))
-	s.host.confirm(time.Now())
+	s.host.confirmConfig(time.Now())
 }
 
-func TestBoundRequestsAreServedInTheirRegionsOnly(t *testing.T) {
-	s, north, south := regional(t, answerOK)
+func TestRestrictedRequestsAreServedOnlyInTheirRegions(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answerOK)
 	a := customer("a")
 	a.Regions = routing.NewRegions("north")
 	s.requireKeys(a, customer("b"))
@@ -53,15 +54,15 @@
 		key     string
 		by      *fakeTarget
 	}{
-		"route":              {routing.NewRegions("south"), "b-key", south},
-		"route, near":        {routing.NewRegions("north"), "b-key", north},
-		"customer":           {routing.NewRegions(), "a-key", north},
-		"both":               {routing.NewRegions("south", "north"), "a-key", north},
-		"both, nowhere":      {routing.NewRegions("south"), "a-key", nil},
-		"a region not known": {routing.NewRegions("west"), "b-key", nil},
+		"route":                  {routing.NewRegions("south"), "b-key", south},
+		"route, near":            {routing.NewRegions("north"), "b-key", north},
+		"customer":               {routing.NewRegions(), "a-key", north},
+		"both":                   {routing.NewRegions("south", "north"), "a-key", north},
+		"both, no common region": {routing.NewRegions("south"), "a-key", nil},
+		"unknown region":         {routing.NewRegions("west"), "b-key", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s.bind("/once/", c.regions)
+			s.restrictRoute("/once/", c.regions)
 			seen := map[*fakeTarget]int{north: len(north.requests()), south: len(south.requests())}
 			for i := range 6 {
 				got := s.post("/once/", "", ownheaders.ID, name+strconv.Itoa(i), ownheaders.Key, c.key)
@@ -78,11 +79,11 @@
 	}
 }
 
-// A service that is full in the regions of a request is full for it, however much room there is
-// in others.
-func TestLoadCountsInTheRegionsOfTheRequest(t *testing.T) {
-	s, north, south := regional(t, answerOK)
-	s.bind("/quick/", routing.NewRegions("north"))
+// The load of a service counts only in the regions that a request may use: if the service is
+// full there, the request is refused, however much capacity other regions have.
+func TestAdmissionCountsLoadOnlyInAllowedRegions(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answerOK)
+	s.restrictRoute("/quick/", routing.NewRegions("north"))
 	x, _ := s.host.registry.Target("north")
 	for range 6 {
 		x.RecordSend(nil, s.host.now())
@@ -93,8 +94,8 @@
 	require.Empty(t, south.requests())
 }
 
-// told counts the messages to a history host that hold some text.
-func (m *member) told(text string) *atomic.Int64 {
+// countRequestsContaining counts the requests to a history host that contain text.
+func (m *member) countRequestsContaining(text string) *atomic.Int64 {
 	n := &atomic.Int64{}
 	m.setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
 		if encoded, err := proto.Marshal(req); err != nil || bytes.Contains(encoded, []byte(text)) {
@@ -105,8 +106,8 @@
 	return n
 }
 
-// newRegions replaces the history hosts by two in the north and three in the south.
-func (s *testSystem) newRegions() (north, south []*member) {
+// startRegionalHistory replaces the history hosts by two in north and three in south.
+func (s *testSystem) startRegionalHistory() (north, south []*member) {
 	s.members = nil
 	s.history = quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
 	s.history.SetTimeouts(memberTimeout)
@@ -115,18 +116,18 @@
 	return s.members[:2], s.members[2:]
 }
 
-func TestTurnsOfABoundRouteAreKeptInItsRegion(t *testing.T) {
-	s, _, engine := regional(t, func(n int, _ received, id string) (string, bool) {
+func TestTurnsOfRestrictedRouteAreStoredInItsRegion(t *testing.T) {
+	s, _, engine := newRegionalSystem(t, func(n int, _ received, id string) (string, bool) {
 		return okStream(id, 0, "answer"+strconv.Itoa(n)), false
 	})
-	north, south := s.newRegions()
-	s.bind("/turn/", routing.NewRegions("south"))
+	north, south := s.startRegionalHistory()
+	s.restrictRoute("/turn/", routing.NewRegions("south"))
 	var outside, inside []*atomic.Int64
 	for _, m := range north {
-		outside = append(outside, m.told("secret"))
+		outside = append(outside, m.countRequestsContaining("secret"))
 	}
 	for _, m := range south {
-		inside = append(inside, m.told("secret"))
+		inside = append(inside, m.countRequestsContaining("secret"))
 	}
 	for i := range 6 {
 		previous := ""
@@ -136,35 +137,35 @@
 		require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t"+strconv.Itoa(i), previous, "secret"+strconv.Itoa(i)).status)
 	}
 	require.Equal(t, "secret0answer0\nsecret1answer1\nsecret2answer2\nsecret3answer3\nsecret4answer4\nsecret5", engine.requests()[5].Body)
-	told := int64(0)
+	writes := int64(0)
 	for _, n := range inside {
-		told += n.Load()
+		writes += n.Load()
 	}
-	require.GreaterOrEqual(t, told, int64(12), "each turn is on two disks")
+	require.GreaterOrEqual(t, writes, int64(12), "each turn is stored on two disks")
 	for _, n := range outside {
 		require.Zero(t, n.Load())
 	}
-	s.host.work.Wait()
-	past, err := s.history.Read(t.Context(), "p", "")
+	s.host.background.Wait()
+	program, err := s.history.Read(t.Context(), "p", "")
 	require.NoError(t, err)
-	require.EqualValues(t, 18, past.Usage.TokensExcluding(""), "the budget stays with all routes of the program")
+	require.EqualValues(t, 18, program.Usage.TokensExcluding(""), "the budget is shared by all routes of the program")
 }
 
-func TestTurnsThatNoRegionMayKeepAreRefusedAtOnce(t *testing.T) {
-	s, north, south := regional(t, answerOK)
-	s.newRegions()
-	s.bind("/turn/", routing.NewRegions("west"))
+func TestTurnsWithoutStorageRegionAreRefusedAtOnce(t *testing.T) {
+	s, north, south := newRegionalSystem(t, answerOK)
+	s.startRegionalHistory()
+	s.restrictRoute("/turn/", routing.NewRegions("west"))
 	require.Equal(t, http.StatusServiceUnavailable, s.postTurn("/turn/", "t", "", "secret").status)
 	require.Empty(t, north.requests())
 	require.Empty(t, south.requests())
 }
 
-// Where the operators move a route to another region, turns that were kept go on being found.
-func TestTurnsKeptBeforeARouteWasBoundAreFound(t *testing.T) {
-	s, north, _ := regional(t, func(_ int, _ received, id string) (string, bool) { return okStream(id, 0, "a"), false })
-	s.newRegions()
+// When a route is moved to another region, turns stored before must still be found.
+func TestTurnsStoredBeforeRouteWasRestrictedAreFound(t *testing.T) {
+	s, north, _ := newRegionalSystem(t, func(_ int, _ received, id string) (string, bool) { return okStream(id, 0, "a"), false })
+	s.startRegionalHistory()
 	require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t0", "", "first").status)
-	s.bind("/turn/", routing.NewRegions("north"))
+	s.restrictRoute("/turn/", routing.NewRegions("north"))
 	require.Equal(t, http.StatusOK, s.postTurn("/turn/", "t1", "t0", "second").status)
 	requests := north.requests()
 	require.Equal(t, "firsta\nsecond", requests[len(requests)-1].Body)
--- a/daemon/entry/slow_harness_test.go
+++ b/daemon/entry/slow_harness_test.go
@@ -94,7 +94,7 @@
 func (h *slowHost) stop() {
 	h.Close()
 	_ = h.network.Close()
-	close(h.reach.done)
+	close(h.reachability.done)
 	h.pool.Close()
 	// http.Server waits for a short time between closing the two directions of a connection.
 	time.Sleep(time.Second)
@@ -124,7 +124,7 @@
 }
 
 func (h *slowHost) chargedBytes() int64 {
-	return h.held.state().ChargedBytes
+	return h.memory.state().ChargedBytes
 }
 
 // readStatus reads one answer and returns its status.
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -79,10 +79,10 @@
 					open = append(open, h.sendRequest("/plain/"))
 				}
 				for range 30 {
-					require.LessOrEqual(t, h.chargedBytes(), h.held.state().AnswerBoundBytes)
+					require.LessOrEqual(t, h.chargedBytes(), h.memory.state().AnswerBoundBytes)
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.Greater(t, h.chargedBytes(), h.held.state().RequestBoundBytes*9/10, "the memory account is full")
+				require.Greater(t, h.chargedBytes(), h.memory.state().RequestBoundBytes*9/10, "the memory account is full")
 				require.Zero(t, h.meter.Value("requests_answered"))
 				require.True(t, h.servedWithRetries("/plain/"))
 				require.Positive(t, h.meter.Value("callers_ended_no_room"))
@@ -92,7 +92,7 @@
 				synctest.Wait()
 				require.Zero(t, h.chargedBytes())
 				for _, k := range held.Kinds() {
-					require.Zero(t, h.held.state().Bytes[k.String()], k.String())
+					require.Zero(t, h.memory.state().Bytes[k.String()], k.String())
 				}
 			})
 		})
@@ -240,7 +240,7 @@
 			go func() { _, _ = io.WriteString(c, requestHead("/plain/", size)+"the rest never comes") }()
 		}
 		synctest.Wait()
-		require.LessOrEqual(t, h.chargedBytes(), h.held.state().RequestBoundBytes)
+		require.LessOrEqual(t, h.chargedBytes(), h.memory.state().RequestBoundBytes)
 		startedAt := time.Now()
 		c := h.connect()
 		defer c.Close()
@@ -249,7 +249,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
-		require.LessOrEqual(t, time.Since(startedAt), requestWait)
+		require.LessOrEqual(t, time.Since(startedAt), maxRequestMemoryWait)
 		time.Sleep(2 * time.Second)
 		again := h.connect()
 		defer again.Close()
@@ -273,7 +273,7 @@
 			h.write(c, requestHead("/quick/", prompt)+strings.Repeat("x", prompt))
 		}
 		time.Sleep(streamWriteTimeout / 2)
-		require.Equal(t, callers, h.active())
+		require.Equal(t, callers, h.activeRequests())
 		bytesPerRequest := (memoryInUse() - before) / callers
 		t.Logf("%d bytes per request, including those of its caller and target", bytesPerRequest)
 		require.Less(t, bytesPerRequest, int64(held.MinRequestBytes))
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -12,11 +12,11 @@
 	"github.com/pistachioarch/pistachioarch/daemon/quorum"
 )
 
-// gauges serves what the host holds.
-func (h *Host) gauges() {
+// registerGauges registers the gauges of the host.
+func (h *Host) registerGauges() {
 	h.registerByteGauges()
-	h.Meter.Gauge("requests_active", func() int64 { return int64(h.active()) })
-	h.held.gauges()
+	h.Meter.Gauge("requests_active", func() int64 { return int64(h.activeRequests()) })
+	h.memory.registerGauges()
 	h.Meter.Gauge("targets_listed", func() int64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -25,7 +25,7 @@
 	h.Meter.Gauge("config_version", func() int64 { return int64(h.configVersion()) })
 	h.Meter.Gauge("config_age_s", func() int64 { return int64(h.configAge() / time.Second) })
 	h.Meter.Gauge("config_confirmed_ms", h.confirmedMs)
-	h.teller.gauge()
+	h.loadExchanger.registerGauge()
 	h.Meter.Gauge("ready", func() int64 {
 		if h.Ready() {
 			return 1
@@ -41,42 +41,43 @@
 	return 0
 }
 
-// configAge is how long the configuration has been in force here.
+// configAge returns how long the current configuration has been in force on this host.
 func (h *Host) configAge() time.Duration {
 	return h.now() - time.Duration(h.configuredAt.Load())
 }
 
-// confirmedMs is how long ago the configuration was surely the newest, -1 if it never was.
+// confirmedMs returns the age of the last confirmation in milliseconds, -1 before the first.
 func (h *Host) confirmedMs() int64 {
 	if h.confirmedAt.Load() == neverConfirmed {
 		return -1
 	}
-	return h.configurationAge().Milliseconds()
+	return h.confirmedAge().Milliseconds()
 }
 
-// State is a dump of the host for operators. It holds no content of requests.
+// State is a dump of a host for operators. It contains no content of requests.
 type State struct {
-	Ready       bool `json:"ready"`
-	Draining    bool `json:"draining"`
-	Active      int  `json:"requests_active"`
-	ActiveLimit int  `json:"requests_limit"`
-	// Held is what the host holds for callers and targets.
+	Ready          bool `json:"ready"`
+	Draining       bool `json:"draining"`
+	ActiveRequests int  `json:"requests_active"`
+	MaxRequests    int  `json:"requests_limit"`
+	// Held is the memory that requests hold.
 	Held          held.State `json:"held"`
 	ConfigVersion uint64     `json:"config_version"`
 	ConfigAgeMs   int64      `json:"config_age_ms"`
-	// ConfirmedMs is how long ago the configuration was surely the newest; -1 if it never
-	// was. Customers is the number of customers, 0 where no keys are needed.
-	ConfirmedMs int64           `json:"config_confirmed_ms"`
-	Customers   int             `json:"customers"`
-	Routes      []RouteState    `json:"routes"`
-	Targets     []balance.State `json:"targets"`
-	History     quorum.State    `json:"history"`
-	// SecondSends is when calls are sent a second time, and how many may be.
-	SecondSends hedge.State `json:"second_sends"`
-	Loads       LoadsState  `json:"loads"`
+	// ConfigConfirmedMs is the time since the configuration was last known to be the newest; -1
+	// before the first confirmation. Customers is the number of customers, 0 if no keys are
+	// required.
+	ConfigConfirmedMs int64           `json:"config_confirmed_ms"`
+	Customers         int             `json:"customers"`
+	Routes            []RouteState    `json:"routes"`
+	Targets           []balance.State `json:"targets"`
+	History           quorum.State    `json:"history"`
+	// SecondSends is the state of hedging: delays and remaining budgets.
+	SecondSends  hedge.State       `json:"second_sends"`
+	LoadExchange LoadExchangeState `json:"loads"`
 }
 
-// RouteState is one route of the configuration in force.
+// RouteState describes one route of the current configuration.
 type RouteState struct {
 	Name      string   `json:"name"`
 	Host      string   `json:"host"`
@@ -92,35 +93,35 @@
 func (h *Host) State() State {
 	s := State{
 		Ready: h.Ready(), Draining: h.draining.Load(), ConfigVersion: h.configVersion(), ConfigAgeMs: h.configAge().Milliseconds(),
-		Routes: routesOf(h.table.Load()), History: h.History.State(), ConfirmedMs: h.confirmedMs(),
+		Routes: routeStates(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedMs(),
 	}
 	if t := h.table.Load(); t != nil && t.RequiresKey() {
 		s.Customers = len(t.Customers().Names())
 	}
-	s.Active, s.ActiveLimit, s.Held = h.held.active(), h.held.limit(), h.held.state()
+	s.ActiveRequests, s.MaxRequests, s.Held = h.memory.activeRequests(), h.memory.maxRequests(), h.memory.state()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.Targets = h.registry.State(h.now())
 	s.SecondSends = h.hedger.State()
-	s.Loads = h.teller.state()
+	s.LoadExchange = h.loadExchanger.state()
 	return s
 }
 
-func routesOf(t *routing.Table) []RouteState {
-	if t == nil {
+func routeStates(table *routing.Table) []RouteState {
+	if table == nil {
 		return nil
 	}
-	list := make([]RouteState, 0, len(t.Routes()))
-	for _, r := range t.Routes() {
-		s := RouteState{
+	states := make([]RouteState, 0, len(table.Routes()))
+	for _, r := range table.Routes() {
+		state := RouteState{
 			Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind.String(), Attempts: r.MaxAttempts,
 			TimeoutMs: r.Timeout.Milliseconds(), Priority: r.Priority,
 		}
-		for _, share := range r.Services {
-			s.Services = append(s.Services, share.Service)
+		for _, weighted := range r.Services {
+			state.Services = append(state.Services, weighted.Service)
 		}
-		list = append(list, s)
+		states = append(states, state)
 	}
-	slices.SortFunc(list, func(a, b RouteState) int { return strings.Compare(a.Host+a.Prefix, b.Host+b.Prefix) })
-	return list
+	slices.SortFunc(states, func(a, b RouteState) int { return strings.Compare(a.Host+a.Prefix, b.Host+b.Prefix) })
+	return states
 }
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -77,7 +77,7 @@
 			return err
 		}
 		x.writeHead(resp)
-		x.host.reach.heard(x.targetID)
+		x.host.reachability.recordHeard(x.targetID)
 		now := time.Now()
 		if lastEventAt.IsZero() {
 			x.recordFirstEvent(now.Sub(x.sentAt))
@@ -124,7 +124,7 @@
 		}
 		x.host.Meter.Count("streams", "resumed")
 		x.host.Log.Info("stream resumed", "request", x.call.ID, "target", t.ID, "after_event", lastEventID)
-		guarded, release := x.host.reach.guard(ctx, t)
+		guarded, release := x.host.reachability.guard(ctx, t)
 		resp, err := x.send(guarded, t, lastEventID)
 		if err != nil {
 			release()
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -62,7 +62,7 @@
 	if t.x.route.Retained {
 		// One copy in the output, one in the record of the turn.
 		size := 2 * int64(len(e.data)+1)
-		if t.x.held.grow(ctx, held.Record, size, answerWait) != nil {
+		if t.x.held.reserve(ctx, held.Record, size, maxAnswerMemoryWait) != nil {
 			return false
 		}
 		t.output = append(t.output, e.data...)
@@ -105,7 +105,7 @@
 	if !x.host.History.IsServable(x.budgetProgram()) || !x.host.History.IsServable(t.historyProgram) {
 		return failure.Retry(failure.HistoryUnavailable, x.historyRetryDelay(), "history hosts of the program are unreachable")
 	}
-	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryPatience)
+	ctx, cancel := context.WithTimeout(ctx, x.host.HistoryTimeout)
 	defer cancel()
 	reservation := &historypb.Record{Change: &historypb.Record_Reserve{
 		Reserve: &historypb.Reserve{Turn: x.call.ID, Tokens: x.call.MaxTokens},
@@ -121,7 +121,7 @@
 	if past, err = t.checkBudget(ctx, past); err != nil {
 		return err
 	}
-	x.learn(past.Runs)
+	x.markCached(past.Runs)
 	x.programStarted = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
 	return t.prependChain(ctx, past.Chain, past.ChainInOtherProgram)
 }
@@ -135,9 +135,9 @@
 		previous = x.customerScoped(x.call.PreviousTurn)
 	}
 	if t.historyProgram == x.budgetProgram() || previous == "" {
-		return x.host.History.Read(ctx, x.budgetProgram(), previous, x.ownParts()...)
+		return x.host.History.Read(ctx, x.budgetProgram(), previous, x.programPartIDs()...)
 	}
-	past, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.ownParts()...)
+	past, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.programPartIDs()...)
 	if err != nil {
 		return nil, err
 	}
@@ -197,9 +197,9 @@
 // historyRetryDelay is the retry delay for a caller that history hosts could not serve.
 func (x *exchange) historyRetryDelay() time.Duration {
 	if x.isTurn() && x.host.History.IsIsolatedFromDataCentre() {
-		return turnPause
+		return isolatedTurnRetryDelay
 	}
-	return x.host.comeBack()
+	return x.host.historyRetryDelay()
 }
 
 // prependChain puts the chain, oldest turn first, before the new input. A chain that is stored
@@ -243,7 +243,7 @@
 	if t.x.route.Retained {
 		size += inputBytes
 	}
-	return chainBytes, t.x.held.grow(ctx, held.Prompt, size, requestWait)
+	return chainBytes, t.x.held.reserve(ctx, held.Prompt, size, maxRequestMemoryWait)
 }
 
 // finish makes the turn and its budget use durable. The caller of a turn that is not retained
@@ -274,7 +274,7 @@
 // settlementRecord replaces the reservation by the tokens delivered.
 func (t *turn) settlementRecord() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
-		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.ran()},
+		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.runRecord()},
 	}}
 }
 
@@ -282,7 +282,7 @@
 // caller does not wait for it.
 func (t *turn) settle() {
 	h := t.x.host
-	h.work.Go(func() {
+	h.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		if err := h.History.Write(ctx, t.x.budgetProgram(), t.x.retention(), t.settlementRecord()); err != nil {
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -7,10 +7,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// DecodeTable decodes a configuration object.
+// DecodeTable decodes the spec of a configuration object.
 type DecodeTable func(spec []byte) (*routing.Table, error)
 
-// ConfigView takes the configuration from the platform; an objects.Listener.
+// ConfigView applies configurations from the platform to a Host. It implements
+// objects.Listener.
 type ConfigView struct {
 	host   *Host
 	name   string
@@ -18,32 +19,32 @@
 	lost   bool
 }
 
-// NewConfigView returns the listener for the configuration object of that name.
+// NewConfigView returns a listener that applies the configuration object called name.
 func NewConfigView(h *Host, name string, decode DecodeTable) *ConfigView {
 	return &ConfigView{host: h, name: name, decode: decode}
 }
 
 // Replaced implements objects.Listener.
 func (v *ConfigView) Replaced(s objects.Snapshot) {
-	v.back()
+	v.logRegained()
 	for _, o := range s.Items {
-		v.take(o)
+		v.apply(o)
 	}
-	v.host.confirm(s.AsOf)
+	v.host.confirmConfig(s.AsOf)
 }
 
 // Changed implements objects.Listener.
 func (v *ConfigView) Changed(changes objects.Changes) {
-	v.back()
+	v.logRegained()
 	for _, e := range changes.Events {
 		if !e.Removed {
-			v.take(e.Object)
+			v.apply(e.Object)
 		}
 	}
-	v.host.confirm(changes.AsOf)
+	v.host.confirmConfig(changes.AsOf)
 }
 
-// Lost implements objects.Listener: the configuration in force stays.
+// Lost implements objects.Listener. The current configuration stays in force.
 func (v *ConfigView) Lost(err error) {
 	if !v.lost {
 		v.host.Log.Warn("platform lost", "view", "configuration", "error", err.Error())
@@ -51,28 +52,31 @@
 	v.lost = true
 }
 
-func (v *ConfigView) back() {
+// logRegained logs the first contact with the platform after Lost.
+func (v *ConfigView) logRegained() {
 	if v.lost {
 		v.host.Log.Info("platform regained", "view", "configuration")
 	}
 	v.lost = false
 }
 
-func (v *ConfigView) take(o objects.Object) {
+// apply puts the configuration of an object in force. One that cannot be decoded is logged and
+// ignored.
+func (v *ConfigView) apply(o objects.Object) {
 	if o.Name != v.name {
 		return
 	}
-	t, err := v.decode(o.Spec)
+	table, err := v.decode(o.Spec)
 	if err != nil {
 		v.host.Log.Error("configuration not taken", "revision", o.Revision, "error", err.Error())
 		return
 	}
-	if v.host.SetTable(t) {
-		v.host.Log.Info("configuration in force", "version", t.Version, "revision", o.Revision)
+	if v.host.SetTable(table) {
+		v.host.Log.Info("configuration in force", "version", table.Version, "revision", o.Revision)
 	}
 }
 
-// SetTable puts a newer configuration in force.
+// SetTable puts t in force if it is newer than the current table, and reports whether it was.
 func (h *Host) SetTable(t *routing.Table) bool {
 	for {
 		old := h.table.Load()
@@ -81,7 +85,7 @@
 		}
 		if h.table.CompareAndSwap(old, t) {
 			h.configuredAt.Store(int64(h.now()))
-			h.declare(t)
+			h.setColdStarts(t)
 			if old == nil {
 				close(h.configured)
 			}
@@ -90,8 +94,8 @@
 	}
 }
 
-// declare tells the registry what a configuration says of the targets of its services.
-func (h *Host) declare(t *routing.Table) {
+// setColdStarts passes the cold start settings of the services to the registry.
+func (h *Host) setColdStarts(t *routing.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range t.Services() {
@@ -99,41 +103,44 @@
 	}
 }
 
-// DecodeTarget decodes the entry of a target.
+// DecodeTarget decodes the spec of the target object called id.
 type DecodeTarget func(id string, spec []byte) (balance.TargetInfo, error)
 
-// TargetView takes the list of targets from the platform; an objects.Listener.
+// TargetView applies the list of targets from the platform to a Host. It implements
+// objects.Listener.
 type TargetView struct {
 	host   *Host
 	decode DecodeTarget
-	// steps are those of the part that the host holds; nil where it holds all.
-	steps func() []subset.Halvings
+	// halvings returns how the host's subset of the targets is chosen; nil if it holds all
+	// targets.
+	halvings func() []subset.Halvings
 }
 
-// Holding tells the view by which steps the host holds a part of the targets.
-func (v *TargetView) Holding(steps func() []subset.Halvings) *TargetView {
-	v.steps = steps
+// WithHalvings sets the source of the halvings of the host's subset of the targets, and returns
+// v.
+func (v *TargetView) WithHalvings(halvings func() []subset.Halvings) *TargetView {
+	v.halvings = halvings
 	return v
 }
 
-// held notes the part in the registry.
-func (v *TargetView) held() {
-	if v.steps == nil {
+// updateHalvings passes the current halvings to the registry.
+func (v *TargetView) updateHalvings() {
+	if v.halvings == nil {
 		return
 	}
 	v.host.mu.Lock()
 	defer v.host.mu.Unlock()
-	v.host.registry.SetHalvings(v.steps())
+	v.host.registry.SetHalvings(v.halvings())
 }
 
-// NewTargetView returns the listener for the list of targets.
+// NewTargetView returns a listener that applies the list of targets.
 func NewTargetView(h *Host, decode DecodeTarget) *TargetView {
 	return &TargetView{host: h, decode: decode}
 }
 
 // Replaced implements objects.Listener.
 func (v *TargetView) Replaced(s objects.Snapshot) {
-	v.held()
+	v.updateHalvings()
 	ids := map[string]bool{}
 	for _, o := range s.Items {
 		ids[o.Name] = true
@@ -146,7 +153,7 @@
 
 // Changed implements objects.Listener.
 func (v *TargetView) Changed(changes objects.Changes) {
-	v.held()
+	v.updateHalvings()
 	for _, e := range changes.Events {
 		if !e.Removed {
 			v.set(e.Object)
@@ -156,38 +163,40 @@
 	}
 }
 
-// Lost implements objects.Listener: the list in use stays.
+// Lost implements objects.Listener. The current list stays in use.
 func (v *TargetView) Lost(error) {}
 
+// set adds or changes a target. An entry that cannot be decoded takes its target out of use.
 func (v *TargetView) set(o objects.Object) {
-	l, err := v.decode(o.Name, o.Spec)
+	info, err := v.decode(o.Name, o.Spec)
 	if err != nil {
 		v.host.Log.Error("target not taken", "target", o.Name, "revision", o.Revision, "error", err.Error())
 		v.remove(o.Name)
 		return
 	}
 	v.host.mu.Lock()
-	old, known := v.host.registry.Target(l.ID)
-	changed := !known || old.Draining != l.Draining || old.StartedAtMs != l.StartedAtMs
-	renewed := v.host.registry.SetTarget(l)
-	v.host.registry.SetColdFor(l.ID, l.ColdFor, v.host.now())
+	old, known := v.host.registry.Target(info.ID)
+	changed := !known || old.Draining != info.Draining || old.StartedAtMs != info.StartedAtMs
+	restarted := v.host.registry.SetTarget(info)
+	v.host.registry.SetColdFor(info.ID, info.ColdFor, v.host.now())
 	v.host.mu.Unlock()
 	if changed {
-		v.host.Log.Info("target listed", "target", l.ID, "service", l.Service, "draining", l.Draining, "born", l.StartedAtMs, "cold_ms", l.ColdFor.Milliseconds(), "renewed", renewed)
+		v.host.Log.Info("target listed", "target", info.ID, "service", info.Service, "draining", info.Draining, "born", info.StartedAtMs, "cold_ms", info.ColdFor.Milliseconds(), "renewed", restarted)
 	}
-	if renewed {
+	if restarted {
 		v.host.pool.CloseIdle(old.Address)
-		v.host.reach.renewed(l.ID)
+		v.host.reachability.restarted(info.ID)
 	}
 }
 
-// remove takes a target out of use: it is gone, or its entry names none that could be used.
+// remove takes a target out of use because it is no longer listed or its entry cannot be
+// decoded.
 func (v *TargetView) remove(id string) {
 	v.host.mu.Lock()
 	_, known := v.host.registry.Target(id)
 	v.host.registry.Remove(id)
 	v.host.mu.Unlock()
-	v.host.reach.forget(id)
+	v.host.reachability.forget(id)
 	if known {
 		v.host.Log.Info("target gone", "target", id)
 	}
