--- a/daemon/quorum/probeset_test.go
+++ b/daemon/quorum/probeset_test.go
@@ -25,6 +25,9 @@
 	return nil, ctx.Err()
 }
 
+// awaitProbes waits in virtual time until probes by a hangingDialer have timed out.
+func awaitProbes() { time.Sleep(time.Minute) }
+
 // newClient returns the client of a host in dc0 and its slot map, with members spread over data
 // centres dc0, dc1, ...
 func newClient(t *testing.T, members, dataCentres int) (*Client, *placement.Map) {
--- a/daemon/quorum/rank_test.go
+++ b/daemon/quorum/rank_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/charmbracelet/log"
@@ -37,22 +38,26 @@
 }
 
 func TestNearReplicasRankFirstAndFailingLast(t *testing.T) {
-	m := fiveReplicaMap()
-	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
-	initial := c.rankedReplicas(m, 0)
-	require.ElementsMatch(t, []string{"m0", "m1"}, initial[:2])
-	require.Equal(t, initial, New(&net.Dialer{}, "a", log.New(io.Discard), nil).rankedReplicas(m, 0), "the order is the same on every host")
-	for id := range m.Members {
-		recordCalls(c, id, writeCall, 5*time.Millisecond)
-	}
-	require.Equal(t, initial, c.rankedReplicas(m, 0))
-	recordCalls(c, initial[0], writeCall, 20*time.Millisecond)
-	require.Equal(t, initial[0], c.rankedReplicas(m, 0)[4], "a slow replica is last")
-	c.recordOutcome(initial[1], failure.New(failure.PeerUnavailable, "silent"))
-	require.Equal(t, []string{initial[0], initial[1]}, c.rankedReplicas(m, 0)[3:], "the slow replica precedes the failing one")
-	recordCalls(c, initial[0], writeCall, 5*time.Millisecond)
-	c.recordOutcome(initial[1], nil)
-	require.Equal(t, initial, c.rankedReplicas(m, 0), "all replicas have recovered")
+	synctest.Test(t, func(t *testing.T) {
+		m := fiveReplicaMap()
+		c := New(hangingDialer{}, "a", log.New(io.Discard), nil)
+		initial := c.rankedReplicas(m, 0)
+		require.ElementsMatch(t, []string{"m0", "m1"}, initial[:2])
+		require.Equal(t, initial, New(hangingDialer{}, "a", log.New(io.Discard), nil).rankedReplicas(m, 0), "the order is the same on every host")
+		for id := range m.Members {
+			recordCalls(c, id, writeCall, 5*time.Millisecond)
+		}
+		require.Equal(t, initial, c.rankedReplicas(m, 0))
+		recordCalls(c, initial[0], writeCall, 20*time.Millisecond)
+		require.Equal(t, initial[0], c.rankedReplicas(m, 0)[4], "a slow replica is last")
+		c.recordOutcome(initial[1], failure.New(failure.PeerUnavailable, "silent"))
+		time.Sleep(time.Millisecond)
+		require.Equal(t, []string{initial[0], initial[1]}, c.rankedReplicas(m, 0)[3:], "the slow replica precedes the failing one")
+		recordCalls(c, initial[0], writeCall, 5*time.Millisecond)
+		c.recordOutcome(initial[1], nil)
+		require.Equal(t, initial, c.rankedReplicas(m, 0), "all replicas have recovered")
+		awaitProbes()
+	})
 }
 
 // The preferred replica of a slot is in the quorum that each data centre asks first.
@@ -84,25 +89,30 @@
 // If a read needs the member that is being replaced, a turn counts as unknown only after that
 // member's answer, and the slot is not servable while it does not answer.
 func TestFormerMemberIsNeededWhenFewReplicasAreActive(t *testing.T) {
-	m := fiveReplicaMap()
-	m.Admit(placement.Member{ID: "former", Host: "former", Address: "former", DataCentre: "e"})
-	s := &m.Slots[placement.GlobalSlotOf("p")]
-	for i := range 3 {
-		s.Replicas[i].Joining = true
-	}
-	answered := map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true, "m4": true}
-	require.True(t, coversAllSlots(m, answered))
-	s.FormerMember = "former"
-	require.False(t, coversAllSlots(m, answered))
-	answered["former"] = true
-	require.True(t, coversAllSlots(m, answered))
+	synctest.Test(t, func(t *testing.T) {
+		m := fiveReplicaMap()
+		m.Admit(placement.Member{ID: "former", Host: "former", Address: "former", DataCentre: "e"})
+		s := &m.Slots[placement.GlobalSlotOf("p")]
+		for i := range 3 {
+			s.Replicas[i].Joining = true
+		}
+		answered := map[string]bool{"m0": true, "m1": true, "m2": true, "m3": true, "m4": true}
+		require.True(t, coversAllSlots(m, answered))
+		s.FormerMember = "former"
+		require.False(t, coversAllSlots(m, answered))
+		answered["former"] = true
+		require.True(t, coversAllSlots(m, answered))
 
-	c := New(&net.Dialer{}, "a", log.New(io.Discard), nil)
-	c.slotMap = m
-	require.True(t, c.IsServable("p"))
-	require.Zero(t, c.unreachableFor("p"))
-	c.recordOutcome("former", failure.New(failure.PeerUnavailable, "lost"))
-	c.health["former"].failingSince = time.Now().Add(-time.Second)
-	require.False(t, c.IsServable("p"))
-	require.Positive(t, c.unreachableFor("p"))
+		c := New(hangingDialer{}, "a", log.New(io.Discard), nil)
+		c.slotMap = m
+		require.True(t, c.IsServable("p"))
+		require.Zero(t, c.unreachableFor("p"))
+		c.recordOutcome("former", failure.New(failure.PeerUnavailable, "lost"))
+		c.mu.Lock()
+		c.health["former"].failingSince = time.Now().Add(-time.Second)
+		c.mu.Unlock()
+		require.False(t, c.IsServable("p"))
+		require.Positive(t, c.unreachableFor("p"))
+		awaitProbes()
+	})
 }
--- a/daemon/quorum/relay_test.go
+++ b/daemon/quorum/relay_test.go
@@ -19,30 +19,34 @@
 
 // The seeds are the relays until a slot map lists members, and the first members after that.
 func TestRelaysAreSeedsUntilMembersAreKnown(t *testing.T) {
-	c := New(&net.Dialer{}, "dc0", log.New(io.Discard), nil)
-	require.Empty(t, c.Relays())
-	c.SetSeeds([]string{"10.0.0.1:1", "10.0.0.2:1"})
-	require.Equal(t, []string{"10.0.0.1:1", "10.0.0.2:1"}, c.Relays())
-	require.Empty(t, c.AssignedPeers().Relays(), "seeds are asked for the slot map only")
-	require.False(t, c.AssignedPeers().AwaitsSlotAssignment(), "no slot map is known")
-	encoded, err := json.Marshal(placement.New(1))
-	require.NoError(t, err)
-	c.adopt(encoded, "test")
-	require.True(t, c.AssignedPeers().AwaitsSlotAssignment())
-	m := newMap(5)
-	encoded, err = json.Marshal(m)
-	require.NoError(t, err)
-	c.adopt(encoded, "test")
-	require.False(t, c.AssignedPeers().AwaitsSlotAssignment())
-	relays := c.Relays()
-	require.Len(t, relays, m.Quorum())
-	require.Equal(t, relays, c.AssignedPeers().Relays())
-	for _, id := range relays {
-		require.Contains(t, m.Members, id)
-	}
-	c.recordOutcome(relays[0], failure.New(failure.PeerUnavailable, "silent"))
-	require.NotContains(t, c.Relays(), relays[0])
-	require.Len(t, c.Relays(), m.Quorum())
+	synctest.Test(t, func(t *testing.T) {
+		c := New(hangingDialer{}, "dc0", log.New(io.Discard), nil)
+		require.Empty(t, c.Relays())
+		c.SetSeeds([]string{"10.0.0.1:1", "10.0.0.2:1"})
+		require.Equal(t, []string{"10.0.0.1:1", "10.0.0.2:1"}, c.Relays())
+		require.Empty(t, c.AssignedPeers().Relays(), "seeds are asked for the slot map only")
+		require.False(t, c.AssignedPeers().AwaitsSlotAssignment(), "no slot map is known")
+		encoded, err := json.Marshal(placement.New(1))
+		require.NoError(t, err)
+		c.adopt(encoded, "test")
+		require.True(t, c.AssignedPeers().AwaitsSlotAssignment())
+		m := newMap(5)
+		encoded, err = json.Marshal(m)
+		require.NoError(t, err)
+		c.adopt(encoded, "test")
+		require.False(t, c.AssignedPeers().AwaitsSlotAssignment())
+		relays := c.Relays()
+		require.Len(t, relays, m.Quorum())
+		require.Equal(t, relays, c.AssignedPeers().Relays())
+		for _, id := range relays {
+			require.Contains(t, m.Members, id)
+		}
+		c.recordOutcome(relays[0], failure.New(failure.PeerUnavailable, "silent"))
+		time.Sleep(time.Millisecond)
+		require.NotContains(t, c.Relays(), relays[0])
+		require.Len(t, c.Relays(), m.Quorum())
+		awaitProbes()
+	})
 }
 
 // A host that has received the answer of another member cancels its call to this one, which must
