--- a/ctl/replicas/fleet_test.go
+++ b/ctl/replicas/cluster_test.go
@@ -23,73 +23,73 @@
 )
 
 // A fleet is history hosts in several data centres and entry hosts that reach them.
-type fleet struct {
-	t       *testing.T
-	net     *vnet.Network
-	slots   *placement.Map
-	members []*member
-	entries []*entry
+type cluster struct {
+	t          *testing.T
+	net        *vnet.Network
+	slots      *placement.Map
+	members    []*member
+	entryHosts []*entryHost
 }
 
 // member is a history host.
 type member struct {
-	id, place, dataCentre, dir string
-	server                     *history.Server
-	listener                   *vnet.Listener
+	id, ip, dataCentre, dir string
+	server                  *history.Server
+	listener                *vnet.Listener
 	// extra is what the member takes longer than others, in nanoseconds.
-	extra atomic.Int64
+	extraDelay atomic.Int64
 
 	mu    sync.Mutex
 	calls []*historypb.Request
 }
 
 // entry is an entry host's client.
-type entry struct {
+type entryHost struct {
 	*quorum.Client
-	place string
-	stop  context.CancelFunc
-	ended chan struct{}
+	ip   string
+	stop context.CancelFunc
+	done chan struct{}
 }
 
 // roundTrip is between any two hosts, with the work of the one that answers.
-const roundTrip = 2 * time.Millisecond
+const roundTripTime = 2 * time.Millisecond
 
 // grown is ten history hosts in four data centres.
-var grown = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
+var tenMembers = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
 
 // newFleet starts a history host for each of the data centres named.
-func newFleet(t *testing.T, faults int, dataCentres ...string) *fleet {
-	f := &fleet{t: t, net: vnet.New(), slots: placement.New(faults)}
+func newCluster(t *testing.T, maxFaults int, dataCentres ...string) *cluster {
+	c := &cluster{t: t, net: vnet.New(), slots: placement.New(maxFaults)}
 	for i, dc := range dataCentres {
-		m := &member{dataCentre: dc, place: fmt.Sprintf("10.2.0.%d", i), dir: t.TempDir()}
-		m.open(f)
-		f.members = append(f.members, m)
-		f.slots.Admit(m.listed(i))
+		m := &member{dataCentre: dc, ip: fmt.Sprintf("10.2.0.%d", i), dir: t.TempDir()}
+		m.start(c)
+		c.members = append(c.members, m)
+		c.slots.Admit(m.placementMember(i))
 	}
-	f.slots.Assign()
-	f.adopt()
-	return f
+	c.slots.Assign()
+	c.distributeMap()
+	return c
 }
 
-func (m *member) listed(i int) placement.Member {
-	return placement.Member{ID: m.id, Host: fmt.Sprintf("h%d", i), Address: m.place + ":1", DataCentre: m.dataCentre}
+func (m *member) placementMember(i int) placement.Member {
+	return placement.Member{ID: m.id, Host: fmt.Sprintf("h%d", i), Address: m.ip + ":1", DataCentre: m.dataCentre}
 }
 
-func (m *member) open(f *fleet) {
+func (m *member) start(c *cluster) {
 	server, err := history.OpenServer(history.Options{Dir: m.dir, Log: log.New(io.Discard)})
-	require.NoError(f.t, err)
+	require.NoError(c.t, err)
 	m.id, m.server = server.Member(), server
-	m.listener = f.net.Listen(m.place + ":1")
+	m.listener = c.net.Listen(m.ip + ":1")
 	go func() { _ = rpc.Serve(m.listener, m.handle) }()
 }
 
 // adopt gives the map to all members and entry hosts.
-func (f *fleet) adopt() {
-	for _, m := range f.members {
-		require.NoError(f.t, m.server.Adopt(f.slots.Clone()))
+func (c *cluster) distributeMap() {
+	for _, m := range c.members {
+		require.NoError(c.t, m.server.Adopt(c.slots.Clone()))
 	}
-	for _, e := range f.entries {
-		e.take(f)
+	for _, e := range c.entryHosts {
+		e.setMap(c)
 	}
 }
 
@@ -98,52 +98,52 @@
 	m.calls = append(m.calls, req)
 	m.mu.Unlock()
 	server := m.server
-	time.AfterFunc(roundTrip+time.Duration(m.extra.Load()), func() { server.Handle(req, answer) })
+	time.AfterFunc(roundTripTime+time.Duration(m.extraDelay.Load()), func() { server.Handle(req, answer) })
 }
 
 // entry starts the client of an entry host in a data centre.
-func (f *fleet) entry(dataCentre string) *entry {
-	place := fmt.Sprintf("10.1.0.%d", len(f.entries))
+func (c *cluster) startEntryHost(dataCentre string) *entryHost {
+	ip := fmt.Sprintf("10.1.0.%d", len(c.entryHosts))
 	ctx, stop := context.WithCancel(context.Background())
-	e := &entry{
-		Client: quorum.New(vnet.Dialer{Net: f.net, From: place}, dataCentre, log.New(io.Discard), nil),
-		place:  place, stop: stop, ended: make(chan struct{}),
+	e := &entryHost{
+		Client: quorum.New(vnet.Dialer{Net: c.net, From: ip}, dataCentre, log.New(io.Discard), nil),
+		ip:     ip, stop: stop, done: make(chan struct{}),
 	}
-	e.take(f)
+	e.setMap(c)
 	go func() {
-		defer close(e.ended)
+		defer close(e.done)
 		e.Run(ctx)
 	}()
-	f.entries = append(f.entries, e)
+	c.entryHosts = append(c.entryHosts, e)
 	time.Sleep(2 * time.Second) // its probes open connections
 	return e
 }
 
 // take gives the map of the fleet to an entry host.
-func (e *entry) take(f *fleet) {
-	text, err := json.Marshal(f.slots)
-	require.NoError(f.t, err)
+func (e *entryHost) setMap(c *cluster) {
+	text, err := json.Marshal(c.slots)
+	require.NoError(c.t, err)
 	e.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
 }
 
-func (f *fleet) close() {
-	f.net.Heal()
-	for _, e := range f.entries {
+func (c *cluster) close() {
+	c.net.Heal()
+	for _, e := range c.entryHosts {
 		e.stop()
-		<-e.ended
+		<-e.done
 	}
 	time.Sleep(5 * time.Second) // calls under way end
-	for _, m := range f.members {
+	for _, m := range c.members {
 		_ = m.listener.Close()
-		f.net.Crash(m.place)
+		c.net.Crash(m.ip)
 		m.server.Close()
 	}
 	time.Sleep(5 * time.Second)
 }
 
 // by returns the member of an id.
-func (f *fleet) by(id string) *member {
-	for _, m := range f.members {
+func (c *cluster) memberByID(id string) *member {
+	for _, m := range c.members {
 		if m.id == id {
 			return m
 		}
@@ -152,8 +152,8 @@
 }
 
 // forget forgets the calls of all members.
-func (f *fleet) forget() {
-	for _, m := range f.members {
+func (c *cluster) resetCalls() {
+	for _, m := range c.members {
 		m.mu.Lock()
 		m.calls = nil
 		m.mu.Unlock()
@@ -161,11 +161,11 @@
 }
 
 // asked returns the members that took a call of a kind since the last forget.
-func (f *fleet) asked(is func(*historypb.Request) bool) (list []*member) {
-	for _, m := range f.members {
+func (c *cluster) membersAsked(match func(*historypb.Request) bool) (list []*member) {
+	for _, m := range c.members {
 		m.mu.Lock()
-		for _, c := range m.calls {
-			if is(c) {
+		for _, call := range m.calls {
+			if match(call) {
 				list = append(list, m)
 				break
 			}
--- a/ctl/replicas/main_test.go
+++ b/ctl/replicas/main_test.go
@@ -20,7 +20,7 @@
 
 // bubble runs a test on virtual time. yamux keeps timers in a pool of the process, and those
 // of one bubble are of no use in the next: two collections empty the pool.
-func bubble(t *testing.T, test func(t *testing.T)) {
+func runInBubble(t *testing.T, test func(t *testing.T)) {
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, test)
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -16,81 +16,81 @@
 
 const (
 	// hedgeMost is how long a member that fails may hold up a call until others are asked.
-	hedgeMost = 30 * time.Millisecond
+	maxHedgeDelay = 30 * time.Millisecond
 	// keepFor is the retention of the tests' programs.
-	keepFor = time.Minute
+	programRetention = time.Minute
 )
 
 func isRead(r *historypb.Request) bool  { return r.GetRead() != nil }
 func isWrite(r *historypb.Request) bool { return r.GetWrite() != nil }
 
-func reservation(turn string) *historypb.Record {
+func reserveRecord(turn string) *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Reserve{Reserve: &historypb.Reserve{Turn: turn, Tokens: 100}}}
 }
 
-func settlement(turn string) *historypb.Record {
+func settleRecord(turn string) *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{Settle: &historypb.Settle{
 		Turn: turn, Tokens: 40, Ran: &historypb.Ran{Target: "t", Part: "part", Prompt: 10}}}}
 }
 
-func kept(turn, previous string) *historypb.Record {
+func turnRecord(turn, previous string) *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Turn{Turn: &historypb.Turn{
 		Turn: turn, Previous: previous, Content: []byte("content of " + turn)}}}
 }
 
 // fault is one that a member may have while a call needs it.
-type fault struct {
+type memberFault struct {
 	name   string
-	inject func(f *fleet, e *entry, m *member)
+	inject func(c *cluster, e *entryHost, m *member)
 }
 
-var faults = []fault{
-	{"killed", func(f *fleet, _ *entry, m *member) {
+var memberFaults = []memberFault{
+	{"killed", func(c *cluster, _ *entryHost, m *member) {
 		_ = m.listener.Close()
-		f.net.Crash(m.place)
+		c.net.Crash(m.ip)
 	}},
-	{"frozen", func(f *fleet, _ *entry, m *member) { f.net.Freeze(m.place, true) }},
-	{"cut off", func(f *fleet, e *entry, m *member) { f.net.Cut(e.place, m.place, true) }},
-	{"slow", func(_ *fleet, _ *entry, m *member) { m.extra.Store(int64(250 * time.Millisecond)) }},
+	{"frozen", func(c *cluster, _ *entryHost, m *member) { c.net.Freeze(m.ip, true) }},
+	{"cut off", func(c *cluster, e *entryHost, m *member) { c.net.Cut(e.ip, m.ip, true) }},
+	{"slow", func(_ *cluster, _ *entryHost, m *member) { m.extraDelay.Store(int64(250 * time.Millisecond)) }},
 }
 
 // warm plays turns of programs of all slots, so that the client knows how long members take.
-func (f *fleet) warm(e *entry) {
+func (c *cluster) warmUp(e *entryHost) {
 	for i := range 2 * placement.GlobalSlotCount {
 		p := fmt.Sprintf("warm-%d", i)
-		require.NoError(f.t, e.Write(f.t.Context(), p, keepFor, reservation("1")))
-		_, err := e.Read(f.t.Context(), p, "")
-		require.NoError(f.t, err)
-		require.NoError(f.t, e.Write(f.t.Context(), p, keepFor, settlement("1")))
+		require.NoError(c.t, e.Write(c.t.Context(), p, programRetention, reserveRecord("1")))
+		_, err := e.Read(c.t.Context(), p, "")
+		require.NoError(c.t, err)
+		require.NoError(c.t, e.Write(c.t.Context(), p, programRetention, settleRecord("1")))
 	}
 	time.Sleep(100 * time.Millisecond)
-	f.forget()
+	c.resetCalls()
 }
 
 // timed returns how long a call takes.
-func timed(call func()) time.Duration {
-	began := time.Now()
+func measure(call func()) time.Duration {
+	startedAt := time.Now()
 	call()
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 // A read asks as many replicas as it needs, those of its own data centre first.
-func TestAReadAsksAQuorumOfTheNearest(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		f := newFleet(t, 2, grown...)
-		defer f.close()
-		e := f.entry("a")
-		f.warm(e)
+func TestReadAsksNearestQuorum(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		c := newCluster(t, 2, tenMembers...)
+		defer c.close()
+		e := c.startEntryHost("a")
+		c.warmUp(e)
 		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
-			f.forget()
+			c.resetCalls()
 			_, err := e.Read(t.Context(), p, "")
 			require.NoError(t, err)
-			asked := f.asked(isRead)
+			asked := c.membersAsked(isRead)
 			require.Len(t, asked, 3, p)
-			for _, r := range f.slots.Slots[placement.GlobalSlotOf(p)].Replicas {
-				if f.by(r.Member).dataCentre == "a" {
-					require.Contains(t, asked, f.by(r.Member), "the near ones first")
+			for _, r := range c.slots.Slots[placement.GlobalSlotOf(p)].Replicas {
+				if c.memberByID(r.Member).dataCentre == "a" {
+					require.Contains(t, asked, c.memberByID(r.Member), "the near ones first")
 				}
 			}
 		}
@@ -98,74 +98,74 @@
 }
 
 // A slot of three replicas, or one that a replica joins, is read from all that are active.
-func TestAReadAsksAllWhereReplicasAreFewOrJoin(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, "a", "b", "c")
-		e := f.entry("a")
+func TestReadAsksAllActiveReplicasOfSmallOrJoiningSlot(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		c := newCluster(t, 1, "a", "b", "c")
+		e := c.startEntryHost("a")
 		_, err := e.Read(t.Context(), "p", "")
 		require.NoError(t, err)
 		time.Sleep(10 * time.Millisecond)
-		require.Len(t, f.asked(isRead), 3)
-		f.close()
+		require.Len(t, c.membersAsked(isRead), 3)
+		c.close()
 
-		f = newFleet(t, 2, grown...)
-		defer f.close()
+		c = newCluster(t, 2, tenMembers...)
+		defer c.close()
 		slot := placement.GlobalSlotOf("p")
-		f.slots.Slots[slot].Replicas[0].Joining = true
-		f.slots.Epoch++
-		f.adopt()
-		e = f.entry("a")
+		c.slots.Slots[slot].Replicas[0].Joining = true
+		c.slots.Epoch++
+		c.distributeMap()
+		e = c.startEntryHost("a")
 		_, err = e.Read(t.Context(), "p", "")
 		require.NoError(t, err)
 		time.Sleep(10 * time.Millisecond)
-		require.Len(t, f.asked(isRead), 4)
+		require.Len(t, c.membersAsked(isRead), 4)
 	})
 }
 
 // A replica that was asked and fails holds a read up for no longer than the hedge, whatever
 // the fault; after that it is asked last.
-func TestAReadGoesOnWithoutAReplicaThatFails(t *testing.T) {
-	for _, x := range faults {
-		t.Run(x.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				f := newFleet(t, 2, grown...)
-				defer f.close()
-				e := f.entry("a")
-				f.warm(e)
+func TestReadSucceedsWithinHedgeDelayOfReplicaFailure(t *testing.T) {
+	for _, fault := range memberFaults {
+		t.Run(fault.name, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				c := newCluster(t, 2, tenMembers...)
+				defer c.close()
+				e := c.startEntryHost("a")
+				c.warmUp(e)
 				const program = "p"
-				require.NoError(t, e.Write(t.Context(), program, keepFor, settlement("1"), kept("1", "")))
-				f.forget()
+				require.NoError(t, e.Write(t.Context(), program, programRetention, settleRecord("1"), turnRecord("1", "")))
+				c.resetCalls()
 				_, err := e.Read(t.Context(), program, "1")
 				require.NoError(t, err)
 				// The one that fails is the one that would send the chain.
-				near := slices.IndexFunc(f.asked(isRead), func(m *member) bool { return m.sentChain() })
-				broken := f.asked(isRead)[near]
-				x.inject(f, e, broken)
-				took := timed(func() {
-					past, err := e.Read(t.Context(), program, "1")
+				chainSource := slices.IndexFunc(c.membersAsked(isRead), func(m *member) bool { return m.isAskedForChain() })
+				failing := c.membersAsked(isRead)[chainSource]
+				fault.inject(c, e, failing)
+				duration := measure(func() {
+					history, err := e.Read(t.Context(), program, "1")
 					require.NoError(t, err)
-					require.Len(t, past.Chain, 1)
-					require.EqualValues(t, 40, past.Usage.TokensExcluding(""))
+					require.Len(t, history.Chain, 1)
+					require.EqualValues(t, 40, history.Usage.TokensExcluding(""))
 				})
-				require.LessOrEqual(t, took, hedgeMost+roundTrip)
-				if x.name == "slow" {
+				require.LessOrEqual(t, duration, maxHedgeDelay+roundTripTime)
+				if fault.name == "slow" {
 					return
 				}
 				time.Sleep(time.Second)
-				f.forget()
-				took = timed(func() {
+				c.resetCalls()
+				duration = measure(func() {
 					_, err := e.Read(t.Context(), program, "1")
 					require.NoError(t, err)
 				})
-				require.LessOrEqual(t, took, roundTrip, "known to fail")
-				require.NotContains(t, f.asked(isRead), broken)
+				require.LessOrEqual(t, duration, roundTripTime, "known to fail")
+				require.NotContains(t, c.membersAsked(isRead), failing)
 			})
 		})
 	}
 }
 
 // sentChain reports whether the member was asked for a chain.
-func (m *member) sentChain() bool {
+func (m *member) isAskedForChain() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.calls, func(r *historypb.Request) bool { return r.GetRead().GetTurn() != "" })
@@ -173,27 +173,27 @@
 
 // While a replica is replaced and two disks of its slot are lost, it may be the only one that
 // has what lay on all three: a read is complete with its answer only.
-func TestAReadNeedsTheFormerReplicaWhereFewAreLeft(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		f := newFleet(t, 2, grown...)
-		defer f.close()
+func TestReadRequiresFormerMemberWhenFewReplicasRemain(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		c := newCluster(t, 2, tenMembers...)
+		defer c.close()
 		const program = "p"
-		s := &f.slots.Slots[placement.GlobalSlotOf(program)]
+		s := &c.slots.Slots[placement.GlobalSlotOf(program)]
 		for i := range 3 {
 			s.Replicas[i].Joining = true
 		}
-		outside := slices.IndexFunc(f.members, func(m *member) bool { _, in := s.Replica(m.id); return !in })
-		former := f.members[outside]
+		nonReplica := slices.IndexFunc(c.members, func(m *member) bool { _, isReplica := s.Replica(m.id); return !isReplica })
+		former := c.members[nonReplica]
 		s.FormerMember = former.id
-		f.slots.Epoch++
-		f.adopt()
-		e := f.entry("a")
-		f.forget()
+		c.slots.Epoch++
+		c.distributeMap()
+		e := c.startEntryHost("a")
+		c.resetCalls()
 		_, err := e.Read(t.Context(), program, "")
 		require.NoError(t, err)
-		require.Len(t, f.asked(isRead), 3)
-		require.Contains(t, f.asked(isRead), former)
-		f.net.Freeze(former.place, true)
+		require.Len(t, c.membersAsked(isRead), 3)
+		require.Contains(t, c.membersAsked(isRead), former)
+		c.net.Freeze(former.ip, true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = e.Read(ctx, program, "")
@@ -203,23 +203,23 @@
 
 // A program that comes through another data centre than before finds its chain at one replica
 // that both write to: no other is asked for it, but for the nearest.
-func TestAChainIsFoundFromAnotherDataCentre(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		f := newFleet(t, 2, grown...)
-		defer f.close()
-		a, d := f.entry("a"), f.entry("d")
-		f.warm(a)
-		f.warm(d)
+func TestChainIsFoundFromAnotherDataCentre(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		c := newCluster(t, 2, tenMembers...)
+		defer c.close()
+		a, d := c.startEntryHost("a"), c.startEntryHost("d")
+		c.warmUp(a)
+		c.warmUp(d)
 		for i := range placement.GlobalSlotCount {
 			p := fmt.Sprintf("p%d", i)
-			require.NoError(t, a.Write(t.Context(), p, keepFor, settlement(p+"1"), kept(p+"1", "")))
-			require.NoError(t, a.Write(t.Context(), p, keepFor, settlement(p+"2"), kept(p+"2", p+"1")))
-			f.forget()
-			past, err := d.Read(t.Context(), p, p+"2")
+			require.NoError(t, a.Write(t.Context(), p, programRetention, settleRecord(p+"1"), turnRecord(p+"1", "")))
+			require.NoError(t, a.Write(t.Context(), p, programRetention, settleRecord(p+"2"), turnRecord(p+"2", p+"1")))
+			c.resetCalls()
+			history, err := d.Read(t.Context(), p, p+"2")
 			require.NoError(t, err)
-			require.Len(t, past.Chain, 2)
-			require.False(t, past.ChainInOtherProgram)
-			require.LessOrEqual(t, len(f.asked(func(r *historypb.Request) bool { return r.GetRead().GetTurn() != "" })), 2)
+			require.Len(t, history.Chain, 2)
+			require.False(t, history.ChainInOtherProgram)
+			require.LessOrEqual(t, len(c.membersAsked(func(r *historypb.Request) bool { return r.GetRead().GetTurn() != "" })), 2)
 		}
 	})
 }
