--- a/ctl/replicas/cluster_test.go
+++ b/ctl/replicas/cluster_test.go
@@ -22,7 +22,7 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// A fleet is history hosts in several data centres and entry hosts that reach them.
+// cluster holds history hosts in several data centres and the entry hosts that call them.
 type cluster struct {
 	t          *testing.T
 	net        *vnet.Network
@@ -36,14 +36,14 @@
 	id, ip, dataCentre, dir string
 	server                  *history.Server
 	listener                *vnet.Listener
-	// extra is what the member takes longer than others, in nanoseconds.
+	// extraDelay is added to the round trip of each call, in nanoseconds.
 	extraDelay atomic.Int64
 
 	mu    sync.Mutex
 	calls []*historypb.Request
 }
 
-// entry is an entry host's client.
+// entryHost is the history client of an entry host.
 type entryHost struct {
 	*quorum.Client
 	ip   string
@@ -51,13 +51,15 @@
 	done chan struct{}
 }
 
-// roundTrip is between any two hosts, with the work of the one that answers.
+// roundTripTime is the time from a call to its reply between any two hosts, including the work
+// of the member that answers.
 const roundTripTime = 2 * time.Millisecond
 
-// grown is ten history hosts in four data centres.
+// tenMembers are the data centres of ten history hosts.
 var tenMembers = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
 
-// newFleet starts a history host for each of the data centres named.
+// newCluster starts one history host for each entry of dataCentres; maxFaults is the number of
+// disks that may be lost at once.
 func newCluster(t *testing.T, maxFaults int, dataCentres ...string) *cluster {
 	c := &cluster{t: t, net: vnet.New(), slots: placement.New(maxFaults)}
 	for i, dc := range dataCentres {
@@ -83,7 +85,7 @@
 	go func() { _ = rpc.Serve(m.listener, m.handle) }()
 }
 
-// adopt gives the map to all members and entry hosts.
+// distributeMap passes the slot map to all members and entry hosts.
 func (c *cluster) distributeMap() {
 	for _, m := range c.members {
 		require.NoError(c.t, m.server.Adopt(c.slots.Clone()))
@@ -101,7 +103,7 @@
 	time.AfterFunc(roundTripTime+time.Duration(m.extraDelay.Load()), func() { server.Handle(req, answer) })
 }
 
-// entry starts the client of an entry host in a data centre.
+// startEntryHost starts the history client of an entry host in a data centre.
 func (c *cluster) startEntryHost(dataCentre string) *entryHost {
 	ip := fmt.Sprintf("10.1.0.%d", len(c.entryHosts))
 	ctx, stop := context.WithCancel(context.Background())
@@ -115,11 +117,11 @@
 		e.Run(ctx)
 	}()
 	c.entryHosts = append(c.entryHosts, e)
-	time.Sleep(2 * time.Second) // its probes open connections
+	time.Sleep(2 * time.Second) // lets its probes open connections
 	return e
 }
 
-// take gives the map of the fleet to an entry host.
+// setMap passes the cluster's slot map to the entry host.
 func (e *entryHost) setMap(c *cluster) {
 	text, err := json.Marshal(c.slots)
 	require.NoError(c.t, err)
@@ -132,7 +134,7 @@
 		e.stop()
 		<-e.done
 	}
-	time.Sleep(5 * time.Second) // calls under way end
+	time.Sleep(5 * time.Second) // lets calls in flight end
 	for _, m := range c.members {
 		_ = m.listener.Close()
 		c.net.Crash(m.ip)
@@ -141,7 +143,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// by returns the member of an id.
+// memberByID returns the member with the given id, or nil.
 func (c *cluster) memberByID(id string) *member {
 	for _, m := range c.members {
 		if m.id == id {
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// forget forgets the calls of all members.
+// resetCalls clears the recorded calls of all members.
 func (c *cluster) resetCalls() {
 	for _, m := range c.members {
 		m.mu.Lock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// asked returns the members that took a call of a kind since the last forget.
+// membersAsked returns the members that have received a matching call since the last resetCalls.
 func (c *cluster) membersAsked(match func(*historypb.Request) bool) (list []*member) {
 	for _, m := range c.members {
 		m.mu.Lock()
--- a/ctl/replicas/isolation_test.go
+++ b/ctl/replicas/isolation_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host whose data centre is cut off and that has one request only must know that it can
-// serve no turns before its caller has come back twice, so that the balancer is told.
+// A host in an isolated data centre must detect that it can serve no turns before its caller
+// has retried twice, even if that caller's request is its only one, so that the load balancer
+// is notified.
 func TestHostWithFewRequestsDetectsIsolation(t *testing.T) {
 	const maxDetectionDelay = 800 * time.Millisecond
 	runInBubble(t, func(t *testing.T) {
@@ -26,7 +27,7 @@
 		readDone := make(chan struct{})
 		go func() {
 			defer close(readDone)
-			_, _ = e.Read(t.Context(), "p", "") // fails, or is answered by what is left of the slot
+			_, _ = e.Read(t.Context(), "p", "") // fails, or the reachable replicas of the slot answer
 		}()
 		for e.IsolatedFor() == 0 && time.Since(isolatedAt) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
--- a/ctl/replicas/main_test.go
+++ b/ctl/replicas/main_test.go
@@ -1,6 +1,6 @@
-// Package replicas plays turns on the real client of the history hosts and on real history
-// hosts, over connections in memory and on virtual time, and asks which replicas are asked,
-// how long that takes when some of them fail, and what it moves between data centres.
+// Package replicas tests the client of the history hosts together with real history hosts, over
+// in-memory connections and in virtual time: which replicas a call asks, how long calls take
+// when replicas fail, and how many bytes turns transfer between data centres.
 package replicas
 
 import (
@@ -18,8 +18,9 @@
 	os.Exit(m.Run())
 }
 
-// bubble runs a test on virtual time. yamux keeps timers in a pool of the process, and those
-// of one bubble are of no use in the next: two collections empty the pool.
+// runInBubble runs a test in a synctest bubble, in virtual time. yamux keeps timers in a
+// process-wide sync.Pool, and timers of one bubble are unusable in the next: two garbage
+// collections empty the pool.
 func runInBubble(t *testing.T, test func(t *testing.T)) {
 	runtime.GC()
 	runtime.GC()
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// hedgeMost is how long a member that fails may hold up a call until others are asked.
-	maxHedgeDelay = 30 * time.Millisecond
-	// keepFor is the retention of the tests' programs.
+	// maxHedgeDelay bounds the time for which a failing member delays a call until other
+	// members are asked.
+	maxHedgeDelay    = 30 * time.Millisecond
 	programRetention = time.Minute
 )
 
@@ -38,23 +38,24 @@
 		Turn: turn, Previous: previous, Content: []byte("content of " + turn)}}}
 }
 
-// fault is one that a member may have while a call needs it.
+// memberFault is a fault of a member while a call needs it.
 type memberFault struct {
 	name   string
 	inject func(c *cluster, e *entryHost, m *member)
 }
 
 var memberFaults = []memberFault{
-	{"killed", func(c *cluster, _ *entryHost, m *member) {
+	{"member process killed", func(c *cluster, _ *entryHost, m *member) {
 		_ = m.listener.Close()
 		c.net.Crash(m.ip)
 	}},
-	{"frozen", func(c *cluster, _ *entryHost, m *member) { c.net.Freeze(m.ip, true) }},
-	{"cut off", func(c *cluster, e *entryHost, m *member) { c.net.Cut(e.ip, m.ip, true) }},
-	{"slow", func(_ *cluster, _ *entryHost, m *member) { m.extraDelay.Store(int64(250 * time.Millisecond)) }},
+	{"member frozen", func(c *cluster, _ *entryHost, m *member) { c.net.Freeze(m.ip, true) }},
+	{"member unreachable from entry host", func(c *cluster, e *entryHost, m *member) { c.net.Cut(e.ip, m.ip, true) }},
+	{"member answers 250 ms late", func(_ *cluster, _ *entryHost, m *member) { m.extraDelay.Store(int64(250 * time.Millisecond)) }},
 }
 
-// warm plays turns of programs of all slots, so that the client knows how long members take.
+// warmUp runs turns of programs in all slots, so that the client knows the call durations of
+// the members.
 func (c *cluster) warmUp(e *entryHost) {
 	for i := range 2 * placement.GlobalSlotCount {
 		p := fmt.Sprintf("warm-%d", i)
@@ -67,14 +68,14 @@
 	c.resetCalls()
 }
 
-// timed returns how long a call takes.
+// measure returns the duration of call.
 func measure(call func()) time.Duration {
 	startedAt := time.Now()
 	call()
 	return time.Since(startedAt)
 }
 
-// A read asks as many replicas as it needs, those of its own data centre first.
+// A read asks only a quorum of the replicas, those in its own data centre first.
 func TestReadAsksNearestQuorum(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
@@ -90,14 +91,14 @@
 			require.Len(t, asked, 3, p)
 			for _, r := range c.slots.Slots[placement.GlobalSlotOf(p)].Replicas {
 				if c.memberByID(r.Member).dataCentre == "a" {
-					require.Contains(t, asked, c.memberByID(r.Member), "the near ones first")
+					require.Contains(t, asked, c.memberByID(r.Member), "replicas of the host's own data centre are asked first")
 				}
 			}
 		}
 	})
 }
 
-// A slot of three replicas, or one that a replica joins, is read from all that are active.
+// A read asks all active replicas if the slot has only three or if a replica is joining.
 func TestReadAsksAllActiveReplicasOfSmallOrJoiningSlot(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c")
@@ -122,8 +123,8 @@
 	})
 }
 
-// A replica that was asked and fails holds a read up for no longer than the hedge, whatever
-// the fault; after that it is asked last.
+// A replica that fails after it was asked delays a read by no more than the hedge delay,
+// whatever the fault; afterwards it is asked last.
 func TestReadSucceedsWithinHedgeDelayOfReplicaFailure(t *testing.T) {
 	for _, fault := range memberFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -137,7 +138,7 @@
 				c.resetCalls()
 				_, err := e.Read(t.Context(), program, "1")
 				require.NoError(t, err)
-				// The one that fails is the one that would send the chain.
+				// The failing replica is the one that would send the chain.
 				chainSource := slices.IndexFunc(c.membersAsked(isRead), func(m *member) bool { return m.isAskedForChain() })
 				failing := c.membersAsked(isRead)[chainSource]
 				fault.inject(c, e, failing)
@@ -148,7 +149,7 @@
 					require.EqualValues(t, 40, history.Usage.TokensExcluding(""))
 				})
 				require.LessOrEqual(t, duration, maxHedgeDelay+roundTripTime)
-				if fault.name == "slow" {
+				if fault.name == "member answers 250 ms late" {
 					return
 				}
 				time.Sleep(time.Second)
@@ -157,22 +158,24 @@
 					_, err := e.Read(t.Context(), program, "1")
 					require.NoError(t, err)
 				})
-				require.LessOrEqual(t, duration, roundTripTime, "known to fail")
+				require.LessOrEqual(t, duration, roundTripTime, "a replica known to fail must not delay the read")
 				require.NotContains(t, c.membersAsked(isRead), failing)
 			})
 		})
 	}
 }
 
-// sentChain reports whether the member was asked for a chain.
+// isAskedForChain reports whether the member has been asked for a chain since the last
+// resetCalls.
 func (m *member) isAskedForChain() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.calls, func(r *historypb.Request) bool { return r.GetRead().GetTurn() != "" })
 }
 
-// While a replica is replaced and two disks of its slot are lost, it may be the only one that
-// has what lay on all three: a read is complete with its answer only.
+// If two disks of a slot are lost while one of its replicas is being replaced, the former
+// member may be the only one that still has the records that all three stored: a read must
+// wait for its answer.
 func TestReadRequiresFormerMemberWhenFewReplicasRemain(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
@@ -201,8 +204,9 @@
 	})
 }
 
-// A program that comes through another data centre than before finds its chain at one replica
-// that both write to: no other is asked for it, but for the nearest.
+// A program whose requests arrive at another data centre than before finds its chain at a
+// replica that both data centres write to: only that replica and the nearest one are asked for
+// the chain.
 func TestChainIsFoundFromAnotherDataCentre(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
--- a/ctl/replicas/retention_test.go
+++ b/ctl/replicas/retention_test.go
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// heardOfBoth returns the members that were sent a turn of the program and a reservation.
+// membersSentTurnAndReservation returns the members that were sent a turn of the program and a reservation.
 func (c *cluster) membersSentTurnAndReservation(program string) (list []*member) {
 	sentTo := func(match func(*historypb.Record) bool) []*member {
 		return c.membersAsked(func(r *historypb.Request) bool {
@@ -28,9 +28,9 @@
 	return list
 }
 
-// A turn begins at the end of the retention and runs for as long as turns may: the one before
-// it is still found when those fail that have it and heard of
-// the new one's begin.
+// A turn starts just before the retention of its program ends and runs for the maximum turn
+// duration. The turn before it must still be found when the members fail that store it and
+// received the new turn's reservation.
 func TestChainOutlivesLongTurn(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
@@ -70,7 +70,8 @@
 	})
 }
 
-// With one disk to lose, all replicas hear of all writes, and nothing is kept for longer.
+// With one tolerated disk failure every write goes to all replicas, so no extra retention is
+// needed.
 func TestNoExtraRetentionWhenAllReplicasReceiveAllWrites(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c")
--- a/ctl/replicas/traffic_test.go
+++ b/ctl/replicas/traffic_test.go
@@ -11,7 +11,8 @@
 	"github.com/pistachioarch/pistachioarch/daemon/quorum"
 )
 
-// player plays turns as an entry host does, with ids and parts as long as a platform's.
+// turnDriver runs turns as an entry host does, with ids and prompt parts as long as those of a
+// deployment.
 type turnDriver struct {
 	t          *testing.T
 	entryHosts []*entryHost
@@ -40,7 +41,7 @@
 		require.Len(d.t, history.Chain, index)
 	}
 	if index > 0 {
-		require.NotEmpty(d.t, history.Runs, "where the program ran is found")
+		require.NotEmpty(d.t, history.Runs, "run records of the program")
 	}
 	records := []*historypb.Record{{Change: &historypb.Record_Settle{Settle: &historypb.Settle{
 		Turn: id(index), Tokens: 30, Ran: &historypb.Ran{Target: "i-57ef422ba4", Born: 1_790_000_000_000, Part: part(index + 1), Prompt: 4000}}}}}
@@ -52,8 +53,8 @@
 	time.Sleep(50 * time.Millisecond)
 }
 
-// play plays programs of some turns from two entry hosts of one data centre and returns the
-// bytes that a turn moved between data centres.
+// measureFarBytes runs programs of several turns through two entry hosts of one data centre and
+// returns the mean number of bytes that a turn transfers between data centres.
 func measureFarBytes(t *testing.T, retained bool, dataCentres ...string) (farBytes int64) {
 	const programs, turns = 64, 5
 	runInBubble(t, func(t *testing.T) {
@@ -78,22 +79,22 @@
 		}
 		const turnCount = programs * turns
 		for _, s := range sums {
-			t.Logf("%-8s a turn: near %.2f calls, %5d bytes; far %.2f calls, %5d bytes", s.Kind,
+			t.Logf("%-8s per turn: near %.2f calls, %5d bytes; far %.2f calls, %5d bytes", s.Kind,
 				float64(s.NearCalls)/turnCount, s.NearBytes/turnCount, float64(s.FarCalls)/turnCount, s.FarBytes/turnCount)
 		}
 		farBytes /= turnCount
-		t.Logf("retained %v: %d bytes a turn between data centres", retained, farBytes)
+		t.Logf("retained %v: %d bytes per turn between data centres", retained, farBytes)
 		c.close()
 	})
 	return farBytes
 }
 
-// Bytes between data centres are paid for. A turn costs a few records and the answers that
-// its budget needs, and a turn that is kept its content once for each disk that needs it.
+// Traffic between data centres is billed. A turn may transfer a few records and the replies
+// that its budget needs; a retained turn also its content, once for each disk that stores it.
 func TestTurnTrafficBetweenDataCentresIsBounded(t *testing.T) {
 	const (
-		maxBytes         = 1125 // bytes of a turn that is not kept
-		maxRetainedBytes = 5000
+		maxBytes         = 1125 // bytes of a turn that is not retained
+		maxRetainedBytes = 5000 // bytes of a retained turn
 	)
 	require.Less(t, measureFarBytes(t, false, tenMembers...), int64(maxBytes))
 	require.Less(t, measureFarBytes(t, true, tenMembers...), int64(maxRetainedBytes))
--- a/ctl/replicas/write_test.go
+++ b/ctl/replicas/write_test.go
@@ -10,8 +10,8 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// records returns what the member was sent of a program, and what of it is a turn or says
-// where one ran.
+// recordCounts returns how many records of the program the member was sent, and how many of
+// them contain a turn or its run record.
 func (m *member) recordCounts(program string) (total, full int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,8 +29,9 @@
 	return total, full
 }
 
-// A reservation goes to a quorum. A turn that is kept goes to a quorum whole; the others are
-// told that it is over, which also keeps what they have for as long as the program lives.
+// A reservation goes to a quorum. A retained turn goes in full to a quorum; the other replicas
+// get only its settlement, which also extends the retention of their records to that of the
+// program.
 func TestWriteGoesToNearestQuorum(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
@@ -51,28 +52,28 @@
 			for _, m := range c.membersAsked(isWrite) {
 				total, full := m.recordCounts(p)
 				fullCount += full
-				require.Equal(t, 1+full/2, total, "a settlement, or both")
+				require.Equal(t, 1+full/2, total, "a settlement, or a settlement and a turn")
 				expires[m.calls[0].GetWrite().Records[0].ExpiresMs] = true
 			}
-			require.Equal(t, 6, fullCount, "a settlement and a turn to each of three")
-			require.Len(t, expires, 1, "all keep the program for the same time")
+			require.Equal(t, 6, fullCount, "three replicas get a settlement with a run record and a turn each")
+			require.Len(t, expires, 1, "all replicas get the same expiry time")
 		}
 	})
 }
 
-// A slot of three replicas, one that a replica joins, and one that a data centre crowds are
-// written to all replicas.
+// Writes go to all replicas of a slot that has only three of them, that a replica is joining,
+// that is crowded by a data centre, that spans or that is guarded.
 func TestWriteGoesToAllReplicasWithoutQuorumFirst(t *testing.T) {
 	cases := map[string]struct {
 		maxFaults, wantReplicas int
 		dataCentres             []string
 		modify                  func(*placement.Slot)
 	}{
-		"few":     {1, 3, []string{"a", "b", "c"}, func(*placement.Slot) {}},
-		"joining": {2, 5, tenMembers, func(s *placement.Slot) { s.Replicas[0].Joining = true }},
-		"crowded": {2, 5, []string{"a", "a", "a", "b", "c"}, func(*placement.Slot) {}},
-		"spans":   {2, 5, []string{"a", "a", "a", "b", "c"}, func(s *placement.Slot) { s.Spanning = true }},
-		"guarded": {2, 5, tenMembers, func(s *placement.Slot) { s.Guarded = true }},
+		"three replicas":  {1, 3, []string{"a", "b", "c"}, func(*placement.Slot) {}},
+		"replica joining": {2, 5, tenMembers, func(s *placement.Slot) { s.Replicas[0].Joining = true }},
+		"crowded slot":    {2, 5, []string{"a", "a", "a", "b", "c"}, func(*placement.Slot) {}},
+		"spanning slot":   {2, 5, []string{"a", "a", "a", "b", "c"}, func(s *placement.Slot) { s.Spanning = true }},
+		"guarded slot":    {2, 5, tenMembers, func(s *placement.Slot) { s.Guarded = true }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// A replica that was sent a write and fails holds it up for no longer than the hedge; the
-// turn is whole on a quorum of others then.
+// A replica that fails after a write was sent to it delays the write by no more than the hedge
+// delay; the turn is then stored in full on a quorum of other replicas.
 func TestWriteSucceedsWithinHedgeDelayOfReplicaFailure(t *testing.T) {
 	for _, fault := range memberFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -123,8 +124,8 @@
 	}
 }
 
-// Any two disks of the three that acknowledged a turn are lost right after it: the turn and
-// the budget are found, by a host that never saw them.
+// Two of the three disks that acknowledged a turn are lost right afterwards, whichever two: the
+// turn and the budget must be found, also by a host that has not handled the program.
 func TestTurnSurvivesLossOfTwoDisksAfterAcknowledgement(t *testing.T) {
 	for survivor := range 3 {
 		runInBubble(t, func(t *testing.T) {
@@ -147,13 +148,13 @@
 				history, err := reader.Read(t.Context(), program, "1", "part")
 				require.NoError(t, err)
 				require.Len(t, history.Chain, 1)
-				require.EqualValues(t, 140, history.Usage.TokensExcluding(""), "the open reservation too")
+				require.EqualValues(t, 140, history.Usage.TokensExcluding(""), "includes the open reservation")
 			}
 		})
 	}
 }
 
-// wipe lets a member lose its disk and its host come back with an empty one.
+// wipe kills a member, removes its disk and restarts its host with an empty one.
 func (c *cluster) wipe(m *member) {
 	_ = m.listener.Close()
 	c.net.Crash(m.ip)
