--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -34,8 +34,8 @@
 	evacuationKind         = "evacuations"
 	engineService          = "engines"
 	plainService           = "orders"
-	watchFor               = 2 * time.Second
-	grace                  = 8 * time.Second
+	watchTimeout           = 2 * time.Second
+	drainGracePeriod       = 8 * time.Second
 	// retention is short, so that clocks that jump could make hosts drop what is needed.
 	retention = 3 * time.Second
 	// budget lets a program of the tests end with room to spare; loopBudget stops one
@@ -45,7 +45,7 @@
 )
 
 // logTo is where the hosts' logs go: nowhere, or to standard output if ROLES_LOG is set.
-var logTo = func() io.Writer {
+var logOutput = func() io.Writer {
 	if os.Getenv("ROLES_LOG") != "" {
 		return os.Stdout
 	}
@@ -54,43 +54,43 @@
 
 // historyHost is one host with a disk.
 type historyHost struct {
-	name, place, dir string
-	disk             disk
-	clock            clock
-	stop             context.CancelFunc
-	server           *history.Server
-	listener         *vnet.Listener
-	ended            chan struct{}
+	name, ip, dir string
+	disk          disk
+	clock         clock
+	stop          context.CancelFunc
+	server        *history.Server
+	listener      *vnet.Listener
+	done          chan struct{}
 }
 
 // entryHost is one host for callers.
 type entryHost struct {
-	name, place string
-	host        *entry.Host
-	past        *quorum.Client
-	stop        context.CancelFunc
+	name, ip      string
+	host          *entry.Host
+	historyClient *quorum.Client
+	stop          context.CancelFunc
 }
 
 // cluster is entry and history hosts with stand-ins in one bubble of virtual time.
 type cluster struct {
-	t       *testing.T
-	net     *vnet.Network
-	store   *standin.Objects
-	engines []*standin.TurnEngine
-	plain   []*standin.TurnEngine
-	serving map[string]*http.Server // targets by id
-	mu      sync.Mutex              // guards entries, which callers read while faults happen
-	entries []*entryHost
-	history []*historyHost
-	retire  *retirements
+	t             *testing.T
+	net           *vnet.Network
+	store         *standin.Objects
+	engines       []*standin.TurnEngine
+	plainTargets  []*standin.TurnEngine
+	targetServers map[string]*http.Server // targets by id
+	mu            sync.Mutex              // guards entries, which callers read while faults happen
+	entryHosts    []*entryHost
+	historyHosts  []*historyHost
+	retirements   *retirements
 	// crowded puts h1 into the data centre of h0.
 	crowded bool
 	// faults is how many disks may be lost at once, 1 unless it is set.
-	faults int
+	maxFaults int
 	// customers are those of the configuration; without any no keys are needed.
 	customers []routing.Customer
 	// keyed bounds the removal of keys on all hosts.
-	keyed bool
+	requiresKeys bool
 	// seeds are the addresses of the history hosts at the start.
 	seeds   []string
 	version uint64
@@ -132,7 +132,7 @@
 
 // newCrowded starts a cluster of three history hosts, two of which are in one data
 // centre.
-func newCrowded(t *testing.T) *cluster { return startCluster(t, 3, true) }
+func newCrowdedCluster(t *testing.T) *cluster { return startCluster(t, 3, true) }
 
 func startCluster(t *testing.T, historyHosts int, crowded bool) *cluster {
 	c := emptyCluster(t)
@@ -142,31 +142,31 @@
 
 func emptyCluster(t *testing.T) *cluster {
 	return &cluster{
-		t: t, net: vnet.New(), store: standin.NewObjects(), serving: map[string]*http.Server{},
-		retire: &retirements{done: map[string]bool{}},
+		t: t, net: vnet.New(), store: standin.NewObjects(), targetServers: map[string]*http.Server{},
+		retirements: &retirements{done: map[string]bool{}},
 	}
 }
 
 func (c *cluster) start(historyHosts int) *cluster {
 	for i := range historyHosts {
-		place := fmt.Sprintf("10.2.0.%d", i)
-		c.startHistory(&historyHost{name: fmt.Sprintf("h%d", i), place: place, dir: c.t.TempDir()})
-		c.seeds = append(c.seeds, place+":1")
+		ip := fmt.Sprintf("10.2.0.%d", i)
+		c.startHistoryHost(&historyHost{name: fmt.Sprintf("h%d", i), ip: ip, dir: c.t.TempDir()})
+		c.seeds = append(c.seeds, ip+":1")
 	}
 	for i := range 3 {
 		c.engines = append(c.engines, c.startTarget(engineService, i))
-		c.plain = append(c.plain, c.startTarget(plainService, i))
+		c.plainTargets = append(c.plainTargets, c.startTarget(plainService, i))
 	}
 	c.configure(10 * time.Second)
 	for i := range 4 {
-		c.startEntry(&entryHost{name: fmt.Sprintf("e%d", i), place: fmt.Sprintf("10.1.0.%d", i)})
+		c.startEntryHost(&entryHost{name: fmt.Sprintf("e%d", i), ip: fmt.Sprintf("10.1.0.%d", i)})
 	}
 	time.Sleep(4 * time.Second)
 	return c
 }
 
 func logger() *log.Logger {
-	return log.NewWithOptions(logTo, log.Options{Formatter: log.JSONFormatter, ReportTimestamp: true, TimeFormat: "15:04:05.000"})
+	return log.NewWithOptions(logOutput, log.Options{Formatter: log.JSONFormatter, ReportTimestamp: true, TimeFormat: "15:04:05.000"})
 }
 
 // dataCentre is where a host is: each has its own, but for h1 of a crowded cluster.
@@ -179,81 +179,81 @@
 
 // cutCentre cuts the data centre dc0 of a crowded cluster off: two history hosts, an entry
 // host and targets, from all others and from the platform. Callers reach both sides.
-func (c *cluster) cutCentre(on bool) {
+func (c *cluster) cutCrowdedDataCentre(cut bool) {
 	inside := []string{"10.2.0.0", "10.2.0.1", "10.1.0.0", "10.3.7.0", "10.3.6.0"}
 	outside := []string{"10.2.0.2", "10.1.0.1", "10.1.0.2", "10.1.0.3", "10.3.7.1", "10.3.6.1", "10.3.7.2", "10.3.6.2"}
 	for _, a := range inside {
 		for _, b := range outside {
-			c.net.Cut(a, b, on)
+			c.net.Cut(a, b, cut)
 		}
-		c.store.Cut(a, on)
+		c.store.Cut(a, cut)
 	}
 }
 
-func (c *cluster) startHistory(h *historyHost) {
+func (c *cluster) startHistoryHost(h *historyHost) {
 	server, err := history.OpenServer(history.Options{Dir: h.dir, Log: logger(), Create: h.disk.create, Now: h.clock.now})
 	require.NoError(c.t, err)
 	h.server = server
-	h.listener = c.net.Listen(h.place + ":1")
+	h.listener = c.net.Listen(h.ip + ":1")
 	ctx, cancel := context.WithCancel(context.Background())
-	h.stop, h.ended = cancel, make(chan struct{})
-	store := c.store.At(h.place)
-	self := placement.Member{ID: server.Member(), Host: h.name, Address: h.place + ":1", DataCentre: c.dataCentre(h.name)}
-	keeper := history.NewKeeper(server, store, self, max(1, c.faults), c.retire, vnet.Dialer{Net: c.net, From: h.place}, logger())
+	h.stop, h.done = cancel, make(chan struct{})
+	store := c.store.At(h.ip)
+	self := placement.Member{ID: server.Member(), Host: h.name, Address: h.ip + ":1", DataCentre: c.dataCentre(h.name)}
+	keeper := history.NewKeeper(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
 	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
 	relays := relay.NewServer(ctx, source, logger(),
-		relay.Kind{Name: configKind, WatchTimeout: c.configWatch(300 * time.Millisecond), ForwardConfirmations: c.keyed}, relay.Kind{Name: targetKind, WatchTimeout: watchFor},
-		relay.Kind{Name: evacuationKind, WatchTimeout: watchFor}, relay.Kind{Name: history.Kind, WatchTimeout: watchFor})
+		relay.Kind{Name: configKind, WatchTimeout: c.configWatchTimeout(300 * time.Millisecond), ForwardConfirmations: c.requiresKeys}, relay.Kind{Name: targetKind, WatchTimeout: watchTimeout},
+		relay.Kind{Name: evacuationKind, WatchTimeout: watchTimeout}, relay.Kind{Name: history.Kind, WatchTimeout: watchTimeout})
 	server.Relay(relays.Handle)
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		keeper.Run(ctx, relays.Reader())
 	}()
 	go server.Sweep(ctx.Done())
 	go func() { _ = rpc.Serve(h.listener, server.Handle) }()
-	for i, old := range c.history {
-		if old.name == h.name {
-			c.history[i] = h
+	for i, existing := range c.historyHosts {
+		if existing.name == h.name {
+			c.historyHosts[i] = h
 			return
 		}
 	}
-	c.history = append(c.history, h)
+	c.historyHosts = append(c.historyHosts, h)
 }
 
 // killHistory ends a history host's process; its disk stays.
-func (c *cluster) killHistory(i int) *historyHost {
-	h := c.history[i]
+func (c *cluster) killHistoryHost(i int) *historyHost {
+	h := c.historyHosts[i]
 	h.stop()
 	_ = h.listener.Close()
-	c.net.Crash(h.place)
-	<-h.ended
+	c.net.Crash(h.ip)
+	<-h.done
 	h.server.Close()
-	c.net.Crash(h.place)
+	c.net.Crash(h.ip)
 	return h
 }
 
-func (c *cluster) restartHistory(h *historyHost) {
-	c.startHistory(&historyHost{name: h.name, place: h.place, dir: h.dir})
+func (c *cluster) restartHistoryHost(h *historyHost) {
+	c.startHistoryHost(&historyHost{name: h.name, ip: h.ip, dir: h.dir})
 }
 
 func (c *cluster) startTarget(service string, i int) *standin.TurnEngine {
 	e := &standin.TurnEngine{ID: fmt.Sprintf("%s-%d", service, i), Places: 8, Events: 5, Step: 20 * time.Millisecond}
-	place := fmt.Sprintf("10.3.%d.%d", len(service), i)
-	c.serving[e.ID] = c.serve(place, e)
-	c.list(e.ID, service, place, i, false)
+	ip := fmt.Sprintf("10.3.%d.%d", len(service), i)
+	c.targetServers[e.ID] = c.serve(ip, e)
+	c.putTarget(e.ID, service, ip, i, false)
 	return e
 }
 
-func (c *cluster) serve(place string, h http.Handler) *http.Server {
+func (c *cluster) serve(ip string, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard).StandardLog()}
-	l := c.net.Listen(place + ":80")
+	l := c.net.Listen(ip + ":80")
 	go func() { _ = s.Serve(l) }()
 	return s
 }
 
 // list writes a target's entry in the platform's list.
-func (c *cluster) list(id, service, place string, i int, draining bool) {
-	text, err := json.Marshal(balance.TargetInfo{ID: id, Service: service, Address: place + ":80", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 8, Draining: draining})
+func (c *cluster) putTarget(id, service, ip string, i int, draining bool) {
+	text, err := json.Marshal(balance.TargetInfo{ID: id, Service: service, Address: ip + ":80", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 8, Draining: draining})
 	require.NoError(c.t, err)
 	c.store.Put(targetKind, id, text)
 }
@@ -285,16 +285,16 @@
 	if err := json.Unmarshal(spec, &s); err != nil {
 		return nil, err
 	}
-	to := func(service string) []routing.WeightedService {
+	onlyService := func(service string) []routing.WeightedService {
 		return []routing.WeightedService{{Service: service, Weight: 1}}
 	}
 	table := routing.NewTable(s.Version, routing.Limits{BodyBytes: 1 << 20},
 		[]*routing.Service{{Name: engineService, Engine: &routing.Engine{Capacity: 8, TokensPerEvent: eventTokens}}, {Name: plainService}},
 		[]*routing.Route{
-			{Name: "turn", Host: "x", Prefix: "/turn/", Kind: routing.Streaming, Services: to(engineService), MaxAttempts: 2, Retained: true, Retention: retention, Timeout: s.Timeout},
-			{Name: "order", Host: "x", Prefix: "/order/", Kind: routing.AtMostOnce, Services: to(plainService), MaxAttempts: 2, Timeout: s.Timeout},
-			{Name: "look", Host: "x", Prefix: "/look/", Services: to(plainService), MaxAttempts: 2, Timeout: s.Timeout},
-			{Name: fmt.Sprintf("v%d", s.Version), Host: "x", Prefix: fmt.Sprintf("/v%d/", s.Version), Services: to(plainService), MaxAttempts: 2},
+			{Name: "turn", Host: "x", Prefix: "/turn/", Kind: routing.Streaming, Services: onlyService(engineService), MaxAttempts: 2, Retained: true, Retention: retention, Timeout: s.Timeout},
+			{Name: "order", Host: "x", Prefix: "/order/", Kind: routing.AtMostOnce, Services: onlyService(plainService), MaxAttempts: 2, Timeout: s.Timeout},
+			{Name: "look", Host: "x", Prefix: "/look/", Services: onlyService(plainService), MaxAttempts: 2, Timeout: s.Timeout},
+			{Name: fmt.Sprintf("v%d", s.Version), Host: "x", Prefix: fmt.Sprintf("/v%d/", s.Version), Services: onlyService(plainService), MaxAttempts: 2},
 		})
 	if len(s.Customers) == 0 {
 		return table, nil
@@ -307,66 +307,66 @@
 	return table.RequireKeys(customers), err
 }
 
-func (c *cluster) startEntry(e *entryHost) {
+func (c *cluster) startEntryHost(e *entryHost) {
 	ctx, cancel := context.WithCancel(context.Background())
-	dialer := vnet.Dialer{Net: c.net, From: e.place}
-	e.past = quorum.New(dialer, c.dataCentre(e.name), logger(), nil)
-	e.past.SetSeeds(c.seeds)
+	dialer := vnet.Dialer{Net: c.net, From: e.ip}
+	e.historyClient = quorum.New(dialer, c.dataCentre(e.name), logger(), nil)
+	e.historyClient.SetSeeds(c.seeds)
 	e.host = entry.New(entry.Options{
-		Headers: ownheaders.Headers{}, History: e.past, Dialer: dialer, DataCentre: c.dataCentre(e.name), ReadyPath: "/ready", Log: logger(),
-		KeyRules: c.keyRules(), QuotaTolerance: tolerance,
+		Headers: ownheaders.Headers{}, History: e.historyClient, Dialer: dialer, DataCentre: c.dataCentre(e.name), ReadyPath: "/ready", Log: logger(),
+		KeyRules: c.keyRules(), QuotaTolerance: quotaTolerance,
 	})
 	e.stop = cancel
-	store := c.store.At(e.place)
+	store := c.store.At(e.ip)
 	source := func() *relay.Source {
-		return relay.NewSource(e.name, store, e.past.AssignedPeers(), logger()).WithStartTimeout(relay.MembersStartTimeout)
+		return relay.NewSource(e.name, store, e.historyClient.AssignedPeers(), logger()).WithStartTimeout(relay.MembersStartTimeout)
 	}
-	slots := relay.NewSource(e.name, store, e.past, logger()).WithStartTimeout(relay.StartTimeout)
+	slots := relay.NewSource(e.name, store, e.historyClient, logger()).WithStartTimeout(relay.StartTimeout)
 	followConfig := objects.Follow
-	if c.keyed {
+	if c.requiresKeys {
 		followConfig = objects.FollowFastRetry
 	}
-	go followConfig(ctx, source(), configKind, c.configWatch(600*time.Millisecond), entry.NewConfigView(e.host, configName, decodeTable))
-	go objects.Follow(ctx, source(), targetKind, watchFor, entry.NewTargetView(e.host, decodeTarget))
-	go objects.Follow(ctx, source(), evacuationKind, watchFor, entry.NewEvacuationView(e.host))
-	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, e.past)
+	go followConfig(ctx, source(), configKind, c.configWatchTimeout(600*time.Millisecond), entry.NewConfigView(e.host, configName, decodeTable))
+	go objects.Follow(ctx, source(), targetKind, watchTimeout, entry.NewTargetView(e.host, decodeTarget))
+	go objects.Follow(ctx, source(), evacuationKind, watchTimeout, entry.NewEvacuationView(e.host))
+	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, e.historyClient)
 	go e.host.Run(ctx)
-	go e.past.Run(ctx)
-	e.host.Serve(c.net.Listen(e.place + ":80"))
+	go e.historyClient.Run(ctx)
+	e.host.Serve(c.net.Listen(e.ip + ":80"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, old := range c.entries {
-		if old.name == e.name {
-			c.entries[i] = e
+	for i, existing := range c.entryHosts {
+		if existing.name == e.name {
+			c.entryHosts[i] = e
 			return
 		}
 	}
-	c.entries = append(c.entries, e)
+	c.entryHosts = append(c.entryHosts, e)
 }
 
 // entryAt returns an entry host by number, around the list.
-func (c *cluster) entryAt(i int) *entryHost {
+func (c *cluster) entryHostAt(i int) *entryHost {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.entries[i%len(c.entries)]
+	return c.entryHosts[i%len(c.entryHosts)]
 }
 
 // killEntry ends an entry host's process.
-func (c *cluster) killEntry(i int) *entryHost {
-	e := c.entryAt(i)
-	c.net.Crash(e.place)
+func (c *cluster) killEntryHost(i int) *entryHost {
+	e := c.entryHostAt(i)
+	c.net.Crash(e.ip)
 	e.host.Close()
 	e.stop()
-	c.net.Crash(e.place)
+	c.net.Crash(e.ip)
 	return e
 }
 
 // rollEntry stops an entry host in good order and starts it again.
-func (c *cluster) rollEntry(i int) {
-	e := c.entryAt(i)
-	e.host.Drain(grace)
-	c.killEntry(i)
-	c.startEntry(&entryHost{name: e.name, place: e.place})
+func (c *cluster) rollEntryHost(i int) {
+	e := c.entryHostAt(i)
+	e.host.Drain(drainGracePeriod)
+	c.killEntryHost(i)
+	c.startEntryHost(&entryHost{name: e.name, ip: e.ip})
 }
 
 // close ends everything, so that the bubble can end.
@@ -374,15 +374,15 @@
 	c.store.SetDown(false)
 	c.net.Heal()
 	c.stops.Wait()
-	for i := range c.entries {
-		c.killEntry(i)
+	for i := range c.entryHosts {
+		c.killEntryHost(i)
 	}
-	for i := range c.history {
-		if c.history[i].listener != nil && c.net.Listening(c.history[i].place+":1") {
-			c.killHistory(i)
+	for i := range c.historyHosts {
+		if c.historyHosts[i].listener != nil && c.net.Listening(c.historyHosts[i].ip+":1") {
+			c.killHistoryHost(i)
 		}
 	}
-	for _, s := range c.serving {
+	for _, s := range c.targetServers {
 		_ = s.Close()
 	}
 }
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -18,52 +18,52 @@
 
 const (
 	// removalBound is the time after which a removed key is used by no host.
-	removalBound = 5 * time.Second
+	maxRemovalDelay = 5 * time.Second
 	// applyBound is the time after which hosts in touch with the platform know a change.
-	applyBound  = 3 * time.Second
-	quotaWindow = 5 * time.Second
+	maxApplyDelay = 3 * time.Second
+	quotaWindow   = 5 * time.Second
 )
 
 // tolerance is by how much quotas may be exceeded.
-var tolerance = quota.Tolerance{Window: quotaWindow, Overage: 0.1, Slack: 20}
+var quotaTolerance = quota.Tolerance{Window: quotaWindow, Overage: 0.1, Slack: 20}
 
-func keyHolder(name string, q routing.Quota) routing.Customer {
+func newCustomer(name string, q routing.Quota) routing.Customer {
 	return routing.Customer{Name: name, Keys: []routing.KeyDigest{routing.DigestKey(name + "-key")}, Quota: q}
 }
 
 // newKeyed starts a cluster whose callers need the keys of customers.
-func newKeyed(t *testing.T, customers ...routing.Customer) *cluster {
+func newClusterWithKeys(t *testing.T, customers ...routing.Customer) *cluster {
 	c := emptyCluster(t)
-	c.customers, c.keyed = customers, true
+	c.customers, c.requiresKeys = customers, true
 	return c.start(4)
 }
 
 // configWatch is how long a watch of the configuration waits: shorter where the removal of
 // keys is bounded.
-func (c *cluster) configWatch(keyed time.Duration) time.Duration {
-	if c.keyed {
-		return keyed
+func (c *cluster) configWatchTimeout(keyedTimeout time.Duration) time.Duration {
+	if c.requiresKeys {
+		return keyedTimeout
 	}
-	return watchFor
+	return watchTimeout
 }
 
 // keyRules are those of a deployment that bounds the removal of keys to removalBound.
 func (c *cluster) keyRules() entry.KeyRules {
-	if !c.keyed {
+	if !c.requiresKeys {
 		return entry.KeyRules{}
 	}
-	return entry.KeyRules{MaxAge: removalBound * 4 / 5, UnknownKeyMaxAge: removalBound * 2 / 5}
+	return entry.KeyRules{MaxAge: maxRemovalDelay * 4 / 5, UnknownKeyMaxAge: maxRemovalDelay * 2 / 5}
 }
 
 // press sends calls of a customer, at so many a second, through all entry hosts in turn.
-func (k *caller) press(customer string, rate int, until <-chan struct{}) {
+func (k *caller) sendLoad(customer string, rate int, stop <-chan struct{}) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-until:
+		case <-stop:
 			return
 		case <-tick.C:
 			calls.Go(func() { k.send("", "/look/", "", n, map[string]string{ownheaders.Key: customer + "-key"}) })
@@ -72,34 +72,34 @@
 }
 
 // runsOf returns what ran for a customer, in order of the time at which its caller sent it.
-func (c *cluster) runsOf(k *caller, customer string) []ranCall {
-	sent := map[string]time.Time{}
-	for _, t := range k.tries {
-		sent[t.ID] = t.Sent
+func (c *cluster) executedCalls(k *caller, customer string) []executedCall {
+	sentAt := map[string]time.Time{}
+	for _, a := range k.attempts {
+		sentAt[a.ID] = a.SentAt
 	}
-	var list []ranCall
-	for _, e := range slices.Concat(c.plain, c.engines) {
+	var list []executedCall
+	for _, e := range slices.Concat(c.plainTargets, c.engines) {
 		for _, r := range e.Runs() {
 			if r.Customer == customer {
-				list = append(list, ranCall{Run: r, sent: sent[r.ID]})
+				list = append(list, executedCall{Run: r, sentAt: sentAt[r.ID]})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b ranCall) int { return a.sent.Compare(b.sent) })
+	slices.SortFunc(list, func(a, b executedCall) int { return a.sentAt.Compare(b.sentAt) })
 	return list
 }
 
-type ranCall struct {
+type executedCall struct {
 	standin.Run
-	sent time.Time
+	sentAt time.Time
 }
 
 // cutHost cuts an entry host off from the platform and from all history hosts; callers and
 // targets reach it.
-func (c *cluster) cutHost(e *entryHost, on bool) {
-	c.store.Cut(e.place, on)
-	for _, h := range c.history {
-		c.net.Cut(e.place, h.place, on)
+func (c *cluster) isolateEntryHost(e *entryHost, cut bool) {
+	c.store.Cut(e.ip, cut)
+	for _, h := range c.historyHosts {
+		c.net.Cut(e.ip, h.ip, cut)
 	}
 }
 
@@ -107,100 +107,100 @@
 type customerFault struct {
 	name   string
 	inject func(c *cluster)
-	mend   func(c *cluster)
+	repair func(c *cluster)
 	// touched reports whether all hosts are in touch with the platform all the while.
-	touched bool
+	staysConnected bool
 }
 
 var customerFaults = []customerFault{
 	{"calm", func(*cluster) {}, func(*cluster) {}, true},
 	{"the platform is down", func(c *cluster) { c.store.SetDown(true) }, func(c *cluster) { c.store.SetDown(false) }, false},
-	{"an entry host is cut off", func(c *cluster) { c.cutHost(c.entries[0], true) }, func(c *cluster) { c.cutHost(c.entries[0], false) }, false},
+	{"an entry host is cut off", func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], true) }, func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], false) }, false},
 	{"the platform turns most hosts away", func(c *cluster) {
-		for _, e := range c.entries {
-			c.store.Cut(e.place, true)
+		for _, e := range c.entryHosts {
+			c.store.Cut(e.ip, true)
 		}
-		for _, h := range c.history[1:] {
-			c.store.Cut(h.place, true)
+		for _, h := range c.historyHosts[1:] {
+			c.store.Cut(h.ip, true)
 		}
 	}, func(c *cluster) {
-		for _, e := range c.entries {
-			c.store.Cut(e.place, false)
+		for _, e := range c.entryHosts {
+			c.store.Cut(e.ip, false)
 		}
-		for _, h := range c.history {
-			c.store.Cut(h.place, false)
+		for _, h := range c.historyHosts {
+			c.store.Cut(h.ip, false)
 		}
 	}, false},
 	{"a history host is killed and starts again", func(c *cluster) {
-		h := c.killHistory(0)
+		h := c.killHistoryHost(0)
 		time.Sleep(500 * time.Millisecond)
-		c.restartHistory(h)
+		c.restartHistoryHost(h)
 	}, func(*cluster) {}, false},
 	{"all history hosts are killed and start again", func(c *cluster) {
-		for i := range c.history {
-			c.killHistory(i)
+		for i := range c.historyHosts {
+			c.killHistoryHost(i)
 		}
-		for _, h := range slices.Clone(c.history) {
-			c.restartHistory(h)
+		for _, h := range slices.Clone(c.historyHosts) {
+			c.restartHistoryHost(h)
 		}
 	}, func(*cluster) {}, false},
 	{"history hosts stop and go on", func(c *cluster) {
-		for _, h := range c.history[:2] {
-			c.net.Freeze(h.place, true)
+		for _, h := range c.historyHosts[:2] {
+			c.net.Freeze(h.ip, true)
 		}
 	}, func(c *cluster) {
-		for _, h := range c.history[:2] {
-			c.net.Freeze(h.place, false)
+		for _, h := range c.historyHosts[:2] {
+			c.net.Freeze(h.ip, false)
 		}
 	}, false},
 }
 
 // customerOutcome is what one of customerFaults left behind.
 type customerOutcome struct {
-	tries []try
+	attempts []attempt
 	// ran is by customer.
-	ran map[string][]ranCall
+	executed map[string][]executedCall
 	// changed is when the operator changed the configuration, mended when the fault has been
 	// over for a while, took how long it all took.
-	changed, mended time.Time
-	took            time.Duration
+	changedAt, repairedAt time.Time
+	duration              time.Duration
 }
 
 // pressed carries a fault out while customers send calls, at so many a second each.
-func (c *cluster) pressed(rates map[string]int, during func(o *customerOutcome)) *customerOutcome {
+func (c *cluster) runUnderLoad(rates map[string]int, scenario func(o *customerOutcome)) *customerOutcome {
 	k := newCaller(c)
 	defer k.client.CloseIdleConnections()
-	over := make(chan struct{})
-	began := time.Now()
+	stopLoad := make(chan struct{})
+	startedAt := time.Now()
 	var work sync.WaitGroup
 	for customer, rate := range rates {
-		work.Go(func() { k.press(customer, rate, over) })
+		work.Go(func() { k.sendLoad(customer, rate, stopLoad) })
 	}
-	o := &customerOutcome{ran: map[string][]ranCall{}}
-	during(o)
-	close(over)
+	o := &customerOutcome{executed: map[string][]executedCall{}}
+	scenario(o)
+	close(stopLoad)
 	work.Wait()
-	o.tries, o.took = k.tries, time.Since(began)
+	o.attempts, o.duration = k.attempts, time.Since(startedAt)
 	for customer := range rates {
-		o.ran[customer] = c.runsOf(k, customer)
+		o.executed[customer] = c.executedCalls(k, customer)
 	}
 	return o
 }
 
 // carryOutRemoval takes the key of customer a away in the middle of a fault.
-func carryOutRemoval(t *testing.T, f customerFault) *customerOutcome {
-	c := newKeyed(t, keyHolder("a", routing.Quota{}), keyHolder("b", routing.Quota{}))
+func runKeyRemoval(t *testing.T, f customerFault) *customerOutcome {
+	c := newClusterWithKeys(t, newCustomer("a", routing.Quota{}), newCustomer("b", routing.Quota{}))
 	defer c.close()
-	return c.pressed(map[string]int{"a": 20, "b": 20}, func(o *customerOutcome) {
+	return c.runUnderLoad(map[string]int{"a": 20, "b": 20}, func(o *customerOutcome) {
 		time.Sleep(2 * time.Second)
 		f.inject(c)
 		c.customers = c.customers[1:]
-		o.changed = time.Now()
+		o.changedAt = time.Now()
 		c.configure(10 * time.Second)
 		time.Sleep(9 * time.Second)
-		f.mend(c)
+		f.repair(c)
 		time.Sleep(3 * time.Second)
-		o.mended = time.Now()
+		o.repairedAt = time.Now()
 		time.Sleep(2 * time.Second)
 	})
 }
@@ -211,21 +211,21 @@
 	calmRate          = 16
 )
 
-func carryOutQuota(t *testing.T, f customerFault) *customerOutcome {
-	c := newKeyed(t, keyHolder("hot", routing.Quota{Rate: hotRate, Burst: hotBurst}), keyHolder("calm", routing.Quota{Rate: calmRate, Burst: calmRate}))
+func runQuotaCase(t *testing.T, f customerFault) *customerOutcome {
+	c := newClusterWithKeys(t, newCustomer("hot", routing.Quota{Rate: hotRate, Burst: hotBurst}), newCustomer("calm", routing.Quota{Rate: calmRate, Burst: calmRate}))
 	defer c.close()
-	return c.pressed(map[string]int{"hot": 8 * hotRate, "calm": calmRate * 5 / 8}, func(*customerOutcome) {
+	return c.runUnderLoad(map[string]int{"hot": 8 * hotRate, "calm": calmRate * 5 / 8}, func(*customerOutcome) {
 		time.Sleep(3 * time.Second)
 		f.inject(c)
 		time.Sleep(6 * time.Second)
-		f.mend(c)
+		f.repair(c)
 		time.Sleep(4 * time.Second)
 	})
 }
 
 // eachFault checks the outcome of each of customerFaults.
-func eachFault(t *testing.T, outcomes map[string]*customerOutcome, check func(t *testing.T, f customerFault, o *customerOutcome)) {
-	all(t)
+func forEachCustomerFault(t *testing.T, outcomes map[string]*customerOutcome, check func(t *testing.T, f customerFault, o *customerOutcome)) {
+	runAllCases(t)
 	for _, f := range customerFaults {
 		if o := outcomes[f.name]; o != nil {
 			t.Run(f.name, func(t *testing.T) { check(t, f, o) })
@@ -235,32 +235,32 @@
 
 // A key that is taken away serves for no call that is sent later than the bound, at any
 // host, and for none later than the shorter bound where all are in touch.
-func TestRemovedKeysServeNobody(t *testing.T) {
-	eachFault(t, removals, func(t *testing.T, f customerFault, o *customerOutcome) {
-		bound := removalBound
-		if f.touched {
-			bound = applyBound
+func TestRemovedKeyIsRejectedWithinBound(t *testing.T) {
+	forEachCustomerFault(t, keyRemovals, func(t *testing.T, f customerFault, o *customerOutcome) {
+		bound := maxRemovalDelay
+		if f.staysConnected {
+			bound = maxApplyDelay
 		}
-		require.NotEmpty(t, o.ran["a"])
-		for _, r := range o.ran["a"] {
-			require.LessOrEqual(t, r.sent.Sub(o.changed), bound, "call %s", r.ID)
+		require.NotEmpty(t, o.executed["a"])
+		for _, r := range o.executed["a"] {
+			require.LessOrEqual(t, r.sentAt.Sub(o.changedAt), bound, "call %s", r.ID)
 		}
-		for _, x := range o.tries {
-			if x.Status == http.StatusUnauthorized {
-				require.Equal(t, "a", x.Customer, "%+v", x)
-				require.True(t, x.Ended.After(o.changed), "%+v", x)
+		for _, a := range o.attempts {
+			if a.Status == http.StatusUnauthorized {
+				require.Equal(t, "a", a.Customer, "%+v", a)
+				require.True(t, a.EndedAt.After(o.changedAt), "%+v", a)
 			}
 		}
 	})
 }
 
 // Customers whose keys stay are served again by all hosts once a fault is over.
-func TestOtherCustomersAreServedAfterAFault(t *testing.T) {
-	eachFault(t, removals, func(t *testing.T, f customerFault, o *customerOutcome) {
+func TestOtherCustomersAreServedAfterFault(t *testing.T) {
+	forEachCustomerFault(t, keyRemovals, func(t *testing.T, f customerFault, o *customerOutcome) {
 		served := 0
-		for _, x := range o.tries {
-			if x.Customer == "b" && x.Sent.After(o.mended) {
-				require.Equal(t, http.StatusOK, x.Status, "%+v", x)
+		for _, a := range o.attempts {
+			if a.Customer == "b" && a.SentAt.After(o.repairedAt) {
+				require.Equal(t, http.StatusOK, a.Status, "%+v", a)
 				served++
 			}
 		}
@@ -269,44 +269,44 @@
 }
 
 // worstWindow is the most calls that are both sent and begun in any window.
-func worstWindow(runs []ranCall) int {
-	most := 0
+func maxCallsInWindow(runs []executedCall) int {
+	maxCalls := 0
 	for i, first := range runs {
 		n := 0
 		for _, r := range runs[i:] {
-			if r.At.Sub(first.sent) <= quotaWindow {
+			if r.At.Sub(first.sentAt) <= quotaWindow {
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCalls = max(maxCalls, n)
 	}
-	return most
+	return maxCalls
 }
 
 // A customer at eight times its quota runs no more than it allows in any window, through
 // all hosts and whatever fails.
-func TestQuotasHoldOverAllHosts(t *testing.T) {
-	eachFault(t, quotaCases, func(t *testing.T, f customerFault, o *customerOutcome) {
-		allowed := (hotRate*quotaWindow.Seconds()+hotBurst)*(1+tolerance.Overage) + tolerance.Slack
-		require.NotEmpty(t, o.ran["hot"])
-		require.LessOrEqual(t, float64(worstWindow(o.ran["hot"])), allowed)
+func TestQuotaHoldsAcrossAllHosts(t *testing.T) {
+	forEachCustomerFault(t, quotaOutcomes, func(t *testing.T, f customerFault, o *customerOutcome) {
+		allowed := (hotRate*quotaWindow.Seconds()+hotBurst)*(1+quotaTolerance.Overage) + quotaTolerance.Slack
+		require.NotEmpty(t, o.executed["hot"])
+		require.LessOrEqual(t, float64(maxCallsInWindow(o.executed["hot"])), allowed)
 	})
 }
 
 // While nothing fails, a customer gets all of its quota, and one that stays below its own
 // is refused nothing.
-func TestQuotasAreGrantedWhole(t *testing.T) {
-	eachFault(t, quotaCases, func(t *testing.T, f customerFault, o *customerOutcome) {
-		if !f.touched {
+func TestFullQuotaIsGrantedWithoutFaults(t *testing.T) {
+	forEachCustomerFault(t, quotaOutcomes, func(t *testing.T, f customerFault, o *customerOutcome) {
+		if !f.staysConnected {
 			t.Skip("parts of a quota are lost while history hosts are out of reach")
 		}
-		require.GreaterOrEqual(t, float64(len(o.ran["hot"])), 0.95*hotRate*o.took.Seconds())
-		for _, x := range o.tries {
+		require.GreaterOrEqual(t, float64(len(o.executed["hot"])), 0.95*hotRate*o.duration.Seconds())
+		for _, a := range o.attempts {
 			want := []int{http.StatusOK}
-			if x.Customer == "hot" {
+			if a.Customer == "hot" {
 				want = append(want, http.StatusTooManyRequests)
 			}
-			require.Contains(t, want, x.Status, "%+v", x)
+			require.Contains(t, want, a.Status, "%+v", a)
 		}
 	})
 }
--- a/ctl/roles/faulty_test.go
+++ b/ctl/roles/disk_clock_test.go
@@ -10,7 +10,7 @@
 
 // disk is the disk of a history host, which can turn slow or full.
 type disk struct {
-	syncTakes atomic.Int64 // nanoseconds
+	syncDelay atomic.Int64 // nanoseconds
 	full      atomic.Bool
 }
 
@@ -39,11 +39,11 @@
 }
 
 func (f *diskFile) Sync() error {
-	time.Sleep(time.Duration(f.disk.syncTakes.Load()))
+	time.Sleep(time.Duration(f.disk.syncDelay.Load()))
 	return f.File.Sync()
 }
 
 // clock is a host's time of day, which can jump.
-type clock struct{ ahead atomic.Int64 }
+type clock struct{ offset atomic.Int64 }
 
-func (c *clock) now() time.Time { return time.Now().Add(time.Duration(c.ahead.Load())) }
+func (c *clock) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
--- /dev/null
+++ b/ctl/roles/invariants_test.go
@@ -0,0 +1,267 @@
+// Package roles proves what must always hold of a system of entry and history
+// hosts. Every test runs over one table of fault cases; each case runs the real
+// code of four entry and four history hosts once, on virtual time. The tests
+// judge by what targets ran and by what callers got.
+package roles
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/pistachioarch/pistachioarch/ctl/standin"
+	"github.com/pistachioarch/pistachioarch/daemon/history"
+)
+
+const (
+	programCount    = 12
+	turnsPerProgram = 8
+	loopingPrograms = 3
+	// leaveWithin is how long a leaving target may still get requests.
+	maxDrainDelay = 2 * time.Second
+	// inForceWithin is how long a configuration may take to be in force.
+	maxConfigDelay = 2 * time.Second
+)
+
+// outcome is what one case left behind.
+type outcome struct {
+	attempts         []attempt
+	failures         []string
+	finishedPrograms int
+	// runs are what engines and plain services ran, by request.
+	runs map[string][]standin.Run
+	// afterLeaving are requests that the leaving target ran too late.
+	runsAfterDrain []standin.Run
+	// versions are what each entry host answered to requests on the newest route.
+	staleEntryHosts []string
+}
+
+var (
+	runOnce  sync.Once
+	outcomes = map[string]*outcome{}
+	// relayOutcomes are those of relayCases.
+	relayOutcomes   = map[string]*relayOutcome{}
+	partitionResult *partitionOutcome
+	// removals, quotaCases and evacuations are those of customerFaults.
+	keyRemovals, quotaOutcomes = map[string]*customerOutcome{}, map[string]*customerOutcome{}
+	evacuationOutcomes         = map[string]*evacuationOutcome{}
+	// idleAtStart are the history hosts of a large cluster that got no slots.
+	membersWithoutSlots []string
+	// crowdStart is the start of many history hosts together.
+	largeStart largeStartOutcome
+	// inOutage is the answer to a turn at an entry host that started without the platform.
+	outageAttempt attempt
+	// onlyCase, from the environment, limits the table to one case.
+	selectedCase = os.Getenv("ROLES_CASE")
+)
+
+func allCases() []faultCase { return slices.Concat(faultCases, fiveReplicaCases) }
+
+// all carries every case out, once for all tests. They share one bubble of virtual
+// time, since yamux keeps timers in a pool of the process.
+func runAllCases(t *testing.T) {
+	runOnce.Do(func() {
+		synctest.Test(t, func(t *testing.T) {
+			// What waits at a relay ends by itself.
+			defer time.Sleep(history.MapWatch)
+			for _, fc := range allCases() {
+				if selectedCase == "" || selectedCase == fc.name {
+					outcomes[fc.name] = runFaultCase(t, fc)
+				}
+			}
+			for _, rc := range relayCases {
+				if selectedCase == "" || selectedCase == rc.name {
+					relayOutcomes[rc.name] = runRelayCase(t, rc.inject)
+				}
+			}
+			for _, f := range customerFaults {
+				if selectedCase == "" || selectedCase == f.name {
+					keyRemovals[f.name] = runKeyRemoval(t, f)
+					quotaOutcomes[f.name] = runQuotaCase(t, f)
+					evacuationOutcomes[f.name] = runEvacuation(t, f)
+				}
+			}
+			if selectedCase == "" {
+				membersWithoutSlots = findMembersWithoutSlots(t)
+				largeStart = startManyHistoryHosts(t)
+				outageAttempt = sendTurnDuringOutage(t)
+				partitionResult = runPartition(t)
+			}
+		})
+	})
+	require.NotZero(t, len(outcomes)+len(relayOutcomes)+len(keyRemovals))
+}
+
+func runFaultCase(t *testing.T, fc faultCase) *outcome {
+	create := newCluster
+	if fc.crowded {
+		create = newCrowdedCluster
+	}
+	if fc.fiveReplicas {
+		create = func(t *testing.T) *cluster { return emptyCluster(t).startFiveReplicas() }
+	}
+	c := create(t)
+	defer c.close()
+	k := newCaller(c)
+	defer k.client.CloseIdleConnections()
+	var work sync.WaitGroup
+	stopTurns := make(chan struct{})
+	for n := range programCount {
+		work.Go(func() { k.runProgram(n, turnsPerProgram, stopTurns) })
+	}
+	time.Sleep(500 * time.Millisecond)
+	for n := range loopingPrograms {
+		work.Go(func() { k.runLoopingProgram(n) })
+	}
+	fc.inject(c)
+	close(stopTurns)
+	work.Wait()
+	o := &outcome{runs: map[string][]standin.Run{}}
+	// After the fault, a target leaves and a configuration changes.
+	c.putTarget(c.engines[2].ID, engineService, "10.3.7.2", 2, true)
+	drainedAt := time.Now()
+	version := c.configure(8 * time.Second)
+	stopLaterTurns := make(chan struct{})
+	for n := range programCount / 2 {
+		work.Go(func() { k.runProgram(100+n, 3, stopLaterTurns) })
+	}
+	o.staleEntryHosts = c.staleEntryHosts(k, version)
+	time.Sleep(maxDrainDelay)
+	close(stopLaterTurns)
+	work.Wait()
+	for _, e := range append(append([]*standin.TurnEngine(nil), c.engines...), c.plainTargets...) {
+		for _, r := range e.Runs() {
+			o.runs[r.ID] = append(o.runs[r.ID], r)
+			if e == c.engines[2] && r.At.Sub(drainedAt) > maxDrainDelay {
+				o.runsAfterDrain = append(o.runsAfterDrain, r)
+			}
+		}
+	}
+	o.attempts, o.failures, o.finishedPrograms = k.attempts, k.failures, k.finishedPrograms
+	return o
+}
+
+// each runs a check over the outcome of every case.
+func forEachCase(t *testing.T, check func(t *testing.T, fc faultCase, o *outcome)) {
+	runAllCases(t)
+	for _, fc := range allCases() {
+		if o := outcomes[fc.name]; o != nil {
+			t.Run(fc.name, func(t *testing.T) { check(t, fc, o) })
+		}
+	}
+}
+
+// wholeTurns are the turns that were answered whole, by id.
+func (o *outcome) completeTurns() map[string]attempt {
+	list := map[string]attempt{}
+	for _, a := range o.attempts {
+		if a.Path == "/turn/" && a.Status == http.StatusOK && a.Complete {
+			list[a.ID] = a
+		}
+	}
+	return list
+}
+
+func TestEveryProgramCompletes(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		assert.Empty(t, o.failures)
+		assert.Equal(t, programCount+programCount/2+loopingPrograms, o.finishedPrograms)
+	})
+}
+
+// A turn's prompt is the program's turns so far, in order, and nothing else.
+func TestAlwaysHistoryIsCompleteAndInOrder(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		for id, a := range o.completeTurns() {
+			run := o.runs[id][0]
+			require.True(t, strings.HasSuffix(run.Body, a.Body))
+			parts := strings.SplitAfter(strings.TrimSuffix(run.Body, a.Body), ";")
+			for i, part := range parts[:len(parts)-1] {
+				// Each earlier input, after the output of the one before.
+				_, input, _ := strings.Cut(part, "\n"+a.Program)
+				if i == 0 {
+					input = strings.TrimPrefix(part, a.Program)
+				} else if newline := strings.LastIndex(part, "\n"); newline >= 0 {
+					input = strings.TrimPrefix(part[newline+1:], a.Program)
+				}
+				require.Equal(t, fmt.Sprintf("-in%d;", i), input, "request %s: %q", id, run.Body)
+			}
+		}
+	})
+}
+
+func TestAlwaysCompleteAnswerReachesItsCaller(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		for id, a := range o.completeTurns() {
+			want := ""
+			for i := 1; i <= 5; i++ {
+				want += fmt.Sprintf("id: %d\ndata: %s.%d\n\n", i, id, i)
+			}
+			require.Equal(t, want, a.Answer)
+		}
+	})
+}
+
+func TestAlwaysNotRunStatusIsTrue(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		for _, a := range o.attempts {
+			switch a.Status {
+			case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusPaymentRequired, http.StatusNotFound:
+				require.Empty(t, o.runs[a.ID], "%s answered %d", a.ID, a.Status)
+			}
+		}
+	})
+}
+
+func TestAlwaysAtMostOnce(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		for id, runs := range o.runs {
+			require.Len(t, runs, 1, "request %s", id)
+		}
+	})
+}
+
+func TestAlwaysBudgetHolds(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		receivedTokens := map[string]int{}
+		for _, a := range o.attempts {
+			receivedTokens[a.Program] += eventTokens * strings.Count(a.Answer, "data: ")
+		}
+		for program, tokens := range receivedTokens {
+			limit := budget
+			if strings.HasPrefix(program, "loop") {
+				limit = loopBudget
+			}
+			require.LessOrEqual(t, tokens, limit+maxTokens, program)
+		}
+	})
+}
+
+func TestAlwaysDrainingTargetGetsNoNewRequests(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, o.runsAfterDrain) })
+}
+
+func TestAlwaysConfigurationIsAppliedInTime(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, o.staleEntryHosts) })
+}
+
+func TestAlwaysPlannedWorkInterruptsNoRequest(t *testing.T) {
+	forEachCase(t, func(t *testing.T, fc faultCase, o *outcome) {
+		if !fc.planned {
+			return
+		}
+		for _, a := range o.attempts {
+			require.False(t, a.Interrupted, "%+v", a)
+			require.NotContains(t, []int{http.StatusBadGateway, http.StatusGatewayTimeout}, a.Status, "%+v", a)
+		}
+	})
+}
