--- a/ctl/roles/caller_test.go
+++ b/ctl/roles/caller_test.go
@@ -18,28 +18,28 @@
 
 const (
 	callerIP = "10.9.0.9"
-	// turnPatience is how long a caller waits for one attempt.
+	// attemptTimeout is the time for which a caller waits for one attempt.
 	attemptTimeout = 5 * time.Second
-	// tries is how often a caller sends a turn in all.
+	// maxAttempts bounds how often a caller sends a turn.
 	maxAttempts = 60
-	// turnPause is the time of a program's own between turns.
+	// turnInterval is the time that a program spends on its own work between turns.
 	turnInterval = 200 * time.Millisecond
-	// loopWidth is how many turns a program that never ends runs at once.
+	// parallelLoopTurns is the number of turns that a looping program runs at once.
 	parallelLoopTurns = 5
 )
 
-// try is one attempt of a caller and what it got.
+// attempt is one request of a caller and its result.
 type attempt struct {
 	ID, Program, Path, Body string
-	// Customer is whose key it shows.
+	// Customer is the customer whose key the request presents.
 	Customer        string
 	EntryHost       string
 	SentAt, EndedAt time.Time
 	Status          int
 	Answer          string
-	// Whole is set if the answer came to its proper end.
+	// Complete is set if the answer was read to its end without an error.
 	Complete bool
-	// Cut is set if the connection broke after the request was sent.
+	// Interrupted is set if the request failed for another reason than a failed dial.
 	Interrupted bool
 }
 
@@ -67,7 +67,7 @@
 	return "r" + strconv.Itoa(k.nextID)
 }
 
-// send makes one attempt at an entry host.
+// send sends one request to an entry host and records the attempt.
 func (k *caller) send(program, path, body string, entryIndex int, headers map[string]string) attempt {
 	e := k.cluster.entryHostAt(entryIndex)
 	a := attempt{Customer: strings.TrimSuffix(headers[ownheaders.Key], "-key"), ID: k.newRequestID(), Program: program, Path: path, Body: body, EntryHost: e.name, SentAt: time.Now()}
@@ -101,9 +101,9 @@
 	return a
 }
 
-// program runs turns with a tool call after each, at least the number given and
-// until the channel is closed; then two turns in parallel from the last one, as
-// sub-agents do. It tries on until each turn was answered.
+// runProgram runs turns with a tool call after each: at least minTurns, and further ones until
+// stop is closed. Then it runs two turns in parallel that continue the last one, as sub-agents
+// do. Each turn is retried until it is answered.
 func (k *caller) runProgram(n, minTurns int, stop <-chan struct{}) {
 	name := fmt.Sprintf("p%d", n)
 	previous := ""
@@ -134,8 +134,7 @@
 	}
 }
 
-// loop starts turns in parallel, through different hosts, until the budget is
-// spent.
+// runLoopingProgram runs turns in parallel, through different hosts, until the budget is spent.
 func (k *caller) runLoopingProgram(n int) {
 	name := fmt.Sprintf("loop%d", n)
 	for range maxAttempts {
@@ -158,8 +157,9 @@
 	k.finishedPrograms++
 }
 
-// turn sends a turn until it is answered whole, and returns its id, or nothing
-// once the budget is spent.
+// runTurn sends a turn until its answer is complete and returns its ID. It returns "" if the
+// budget is spent, and also, after recording a failure, if an earlier turn is not found or
+// after maxAttempts.
 func (k *caller) runTurn(program string, entryIndex int, previous, input string, budget int) string {
 	for i := range maxAttempts {
 		a := k.send(program, "/turn/", input, entryIndex+i, map[string]string{
@@ -172,7 +172,7 @@
 			return ""
 		case a.Status == http.StatusNotFound:
 			k.mu.Lock()
-			k.failures = append(k.failures, fmt.Sprintf("%s: turn %s after %s: 404", program, a.ID, previous))
+			k.failures = append(k.failures, fmt.Sprintf("%s: turn %s with previous turn %s: status 404", program, a.ID, previous))
 			k.mu.Unlock()
 			return ""
 		}
@@ -180,6 +180,6 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.failures = append(k.failures, fmt.Sprintf("%s: no answer to %q after %d tries", program, input, maxAttempts))
+	k.failures = append(k.failures, fmt.Sprintf("%s: no complete answer to %q after %d attempts", program, input, maxAttempts))
 	return ""
 }
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -36,15 +36,17 @@
 	plainService           = "orders"
 	watchTimeout           = 2 * time.Second
 	drainGracePeriod       = 8 * time.Second
-	// retention is short, so that clocks that jump could make hosts drop what is needed.
+	// retention is short enough that history hosts with clock jumps could drop records that are
+	// still needed.
 	retention = 3 * time.Second
-	// budget lets a program of the tests end with room to spare; loopBudget stops one
-	// that never ends, after a few turns.
+	// budget is more than a program of the tests needs; loopBudget stops a looping program after
+	// a few turns.
 	budget, loopBudget     = 20_000, 200
 	maxTokens, eventTokens = 30, 3
 )
 
-// logTo is where the hosts' logs go: nowhere, or to standard output if ROLES_LOG is set.
+// logOutput receives the hosts' logs. They are discarded unless ROLES_LOG is set, which sends
+// them to standard output.
 var logOutput = func() io.Writer {
 	if os.Getenv("ROLES_LOG") != "" {
 		return os.Stdout
@@ -52,7 +54,7 @@
 	return io.Discard
 }()
 
-// historyHost is one host with a disk.
+// historyHost is a history host with its disk and clock.
 type historyHost struct {
 	name, ip, dir string
 	disk          disk
@@ -63,7 +65,7 @@
 	done          chan struct{}
 }
 
-// entryHost is one host for callers.
+// entryHost is an entry host, which serves callers.
 type entryHost struct {
 	name, ip      string
 	host          *entry.Host
@@ -71,33 +73,35 @@
 	stop          context.CancelFunc
 }
 
-// cluster is entry and history hosts with stand-ins in one bubble of virtual time.
+// cluster holds entry and history hosts, with simulated targets and a simulated platform, in
+// one synctest bubble.
 type cluster struct {
 	t             *testing.T
 	net           *vnet.Network
 	store         *standin.Objects
 	engines       []*standin.TurnEngine
 	plainTargets  []*standin.TurnEngine
-	targetServers map[string]*http.Server // targets by id
-	mu            sync.Mutex              // guards entries, which callers read while faults happen
+	targetServers map[string]*http.Server // by target ID
+	mu            sync.Mutex              // guards entryHosts, which callers read while faults are injected
 	entryHosts    []*entryHost
 	historyHosts  []*historyHost
 	retirements   *retirements
-	// crowded puts h1 into the data centre of h0.
+	// crowded places h1 in the data centre of h0.
 	crowded bool
-	// faults is how many disks may be lost at once, 1 unless it is set.
+	// maxFaults is the number of disks that may be lost at once; 0 means 1.
 	maxFaults int
-	// customers are those of the configuration; without any no keys are needed.
+	// customers are the customers in the configuration; if there are none, callers need no keys.
 	customers []routing.Customer
-	// keyed bounds the removal of keys on all hosts.
+	// requiresKeys is set if callers need keys; it bounds the delay of key removals on all hosts
+	// to maxRemovalDelay.
 	requiresKeys bool
-	// seeds are the addresses of the history hosts at the start.
+	// seeds are the addresses of the initial history hosts.
 	seeds   []string
 	version uint64
 	stops   sync.WaitGroup
 }
 
-// retirements is the operators' list of hosts to be emptied.
+// retirements is the operators' list of history hosts to retire.
 type retirements struct {
 	mu    sync.Mutex
 	hosts []string
@@ -125,12 +129,12 @@
 
 func newCluster(t *testing.T) *cluster { return newClusterOf(t, 4) }
 
-// newClusterOf starts a cluster with a number of history hosts.
+// newClusterOf starts a cluster with the given number of history hosts.
 func newClusterOf(t *testing.T, historyHosts int) *cluster {
 	return startCluster(t, historyHosts, false)
 }
 
-// newCrowded starts a cluster of three history hosts, two of which are in one data
+// newCrowdedCluster starts a cluster of three history hosts, two of which are in one data
 // centre.
 func newCrowdedCluster(t *testing.T) *cluster { return startCluster(t, 3, true) }
 
@@ -169,7 +173,8 @@
 	return log.NewWithOptions(logOutput, log.Options{Formatter: log.JSONFormatter, ReportTimestamp: true, TimeFormat: "15:04:05.000"})
 }
 
-// dataCentre is where a host is: each has its own, but for h1 of a crowded cluster.
+// dataCentre returns the data centre of a host. Hosts of different numbers are in different
+// data centres, except that h1 of a crowded cluster is in that of h0.
 func (c *cluster) dataCentre(name string) string {
 	if c.crowded && name == "h1" {
 		name = "h0"
@@ -177,8 +182,9 @@
 	return "dc" + name[1:]
 }
 
-// cutCentre cuts the data centre dc0 of a crowded cluster off: two history hosts, an entry
-// host and targets, from all others and from the platform. Callers reach both sides.
+// cutCrowdedDataCentre separates the data centre dc0 of a crowded cluster, which holds two
+// history hosts, an entry host and targets, from all other hosts and from the platform, or
+// joins them again. Callers reach both sides.
 func (c *cluster) cutCrowdedDataCentre(cut bool) {
 	inside := []string{"10.2.0.0", "10.2.0.1", "10.1.0.0", "10.3.7.0", "10.3.6.0"}
 	outside := []string{"10.2.0.2", "10.1.0.1", "10.1.0.2", "10.1.0.3", "10.3.7.1", "10.3.6.1", "10.3.7.2", "10.3.6.2"}
@@ -220,7 +226,7 @@
 	c.historyHosts = append(c.historyHosts, h)
 }
 
-// killHistory ends a history host's process; its disk stays.
+// killHistoryHost kills the process of a history host; its disk is preserved.
 func (c *cluster) killHistoryHost(i int) *historyHost {
 	h := c.historyHosts[i]
 	h.stop()
@@ -251,7 +257,7 @@
 	return s
 }
 
-// list writes a target's entry in the platform's list.
+// putTarget writes a target's entry to the platform's list of targets.
 func (c *cluster) putTarget(id, service, ip string, i int, draining bool) {
 	text, err := json.Marshal(balance.TargetInfo{ID: id, Service: service, Address: ip + ":80", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 8, Draining: draining})
 	require.NoError(c.t, err)
@@ -264,14 +270,14 @@
 	return l, err
 }
 
-// configSpec is the configuration object of the tests.
+// configSpec is the spec of the configuration object of the tests.
 type configSpec struct {
 	Version   uint64
 	Timeout   time.Duration
 	Customers []routing.Customer
 }
 
-// configure puts the next version of the configuration in the store.
+// configure writes the next version of the configuration to the store and returns its number.
 func (c *cluster) configure(timeout time.Duration) uint64 {
 	c.version++
 	text, err := json.Marshal(configSpec{c.version, timeout, c.customers})
@@ -344,14 +350,14 @@
 	c.entryHosts = append(c.entryHosts, e)
 }
 
-// entryAt returns an entry host by number, around the list.
+// entryHostAt returns the entry host at index i modulo their number.
 func (c *cluster) entryHostAt(i int) *entryHost {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.entryHosts[i%len(c.entryHosts)]
 }
 
-// killEntry ends an entry host's process.
+// killEntryHost kills the process of an entry host.
 func (c *cluster) killEntryHost(i int) *entryHost {
 	e := c.entryHostAt(i)
 	c.net.Crash(e.ip)
@@ -361,7 +367,7 @@
 	return e
 }
 
-// rollEntry stops an entry host in good order and starts it again.
+// rollEntryHost drains and stops an entry host and starts it again.
 func (c *cluster) rollEntryHost(i int) {
 	e := c.entryHostAt(i)
 	e.host.Drain(drainGracePeriod)
@@ -369,7 +375,7 @@
 	c.startEntryHost(&entryHost{name: e.name, ip: e.ip})
 }
 
-// close ends everything, so that the bubble can end.
+// close stops all hosts and targets; otherwise the synctest bubble would not end.
 func (c *cluster) close() {
 	c.store.SetDown(false)
 	c.net.Heal()
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// removalBound is the time after which a removed key is used by no host.
+	// maxRemovalDelay is the time after which no host accepts a removed key.
 	maxRemovalDelay = 5 * time.Second
-	// applyBound is the time after which hosts in touch with the platform know a change.
+	// maxApplyDelay is the time within which hosts connected to the platform apply a change.
 	maxApplyDelay = 3 * time.Second
 	quotaWindow   = 5 * time.Second
 )
 
-// tolerance is by how much quotas may be exceeded.
+// quotaTolerance is the amount by which quotas may be exceeded.
 var quotaTolerance = quota.Tolerance{Window: quotaWindow, Overage: 0.1, Slack: 20}
 
 func newCustomer(name string, q routing.Quota) routing.Customer {
 	return routing.Customer{Name: name, Keys: []routing.KeyDigest{routing.DigestKey(name + "-key")}, Quota: q}
 }
 
-// newKeyed starts a cluster whose callers need the keys of customers.
+// newClusterWithKeys starts a cluster whose callers must present a key of one of the customers.
 func newClusterWithKeys(t *testing.T, customers ...routing.Customer) *cluster {
 	c := emptyCluster(t)
 	c.customers, c.requiresKeys = customers, true
 	return c.start(4)
 }
 
-// configWatch is how long a watch of the configuration waits: shorter where the removal of
-// keys is bounded.
+// configWatchTimeout returns the timeout of a watch of the configuration: keyedTimeout, which
+// is shorter, if the delay of key removals is bounded, watchTimeout otherwise.
 func (c *cluster) configWatchTimeout(keyedTimeout time.Duration) time.Duration {
 	if c.requiresKeys {
 		return keyedTimeout
@@ -47,7 +47,8 @@
 	return watchTimeout
 }
 
-// keyRules are those of a deployment that bounds the removal of keys to removalBound.
+// keyRules returns the key rules of a deployment that bounds the delay of key removals to
+// maxRemovalDelay, or no rules if callers need no keys.
 func (c *cluster) keyRules() entry.KeyRules {
 	if !c.requiresKeys {
 		return entry.KeyRules{}
@@ -55,7 +56,8 @@
 	return entry.KeyRules{MaxAge: maxRemovalDelay * 4 / 5, UnknownKeyMaxAge: maxRemovalDelay * 2 / 5}
 }
 
-// press sends calls of a customer, at so many a second, through all entry hosts in turn.
+// sendLoad sends rate calls of a customer per second, through the entry hosts in turn, until
+// stop is closed.
 func (k *caller) sendLoad(customer string, rate int, stop <-chan struct{}) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -71,7 +73,8 @@
 	}
 }
 
-// runsOf returns what ran for a customer, in order of the time at which its caller sent it.
+// executedCalls returns the calls of a customer that targets ran, ordered by the time at which
+// the caller sent them.
 func (c *cluster) executedCalls(k *caller, customer string) []executedCall {
 	sentAt := map[string]time.Time{}
 	for _, a := range k.attempts {
@@ -89,13 +92,14 @@
 	return list
 }
 
+// executedCall is a call that a target ran, with the time at which its caller sent it.
 type executedCall struct {
 	standin.Run
 	sentAt time.Time
 }
 
-// cutHost cuts an entry host off from the platform and from all history hosts; callers and
-// targets reach it.
+// isolateEntryHost separates an entry host from the platform and from all history hosts, or
+// joins them again. Callers and targets reach it all the time.
 func (c *cluster) isolateEntryHost(e *entryHost, cut bool) {
 	c.store.Cut(e.ip, cut)
 	for _, h := range c.historyHosts {
@@ -103,20 +107,20 @@
 	}
 }
 
-// customerFault is what happens around the change of a configuration, or under a load.
+// customerFault is a fault that is injected around a configuration change or under load.
 type customerFault struct {
 	name   string
 	inject func(c *cluster)
 	repair func(c *cluster)
-	// touched reports whether all hosts are in touch with the platform all the while.
+	// staysConnected reports whether all hosts stay connected to the platform.
 	staysConnected bool
 }
 
 var customerFaults = []customerFault{
-	{"calm", func(*cluster) {}, func(*cluster) {}, true},
-	{"the platform is down", func(c *cluster) { c.store.SetDown(true) }, func(c *cluster) { c.store.SetDown(false) }, false},
-	{"an entry host is cut off", func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], true) }, func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], false) }, false},
-	{"the platform turns most hosts away", func(c *cluster) {
+	{"no fault", func(*cluster) {}, func(*cluster) {}, true},
+	{"platform outage", func(c *cluster) { c.store.SetDown(true) }, func(c *cluster) { c.store.SetDown(false) }, false},
+	{"entry host isolated from platform and history hosts", func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], true) }, func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], false) }, false},
+	{"platform unreachable from all hosts but one history host", func(c *cluster) {
 		for _, e := range c.entryHosts {
 			c.store.Cut(e.ip, true)
 		}
@@ -131,12 +135,12 @@
 			c.store.Cut(h.ip, false)
 		}
 	}, false},
-	{"a history host is killed and starts again", func(c *cluster) {
+	{"one history host killed and restarted", func(c *cluster) {
 		h := c.killHistoryHost(0)
 		time.Sleep(500 * time.Millisecond)
 		c.restartHistoryHost(h)
 	}, func(*cluster) {}, false},
-	{"all history hosts are killed and start again", func(c *cluster) {
+	{"all history hosts killed and restarted", func(c *cluster) {
 		for i := range c.historyHosts {
 			c.killHistoryHost(i)
 		}
@@ -144,7 +148,7 @@
 			c.restartHistoryHost(h)
 		}
 	}, func(*cluster) {}, false},
-	{"history hosts stop and go on", func(c *cluster) {
+	{"two history hosts frozen and resumed", func(c *cluster) {
 		for _, h := range c.historyHosts[:2] {
 			c.net.Freeze(h.ip, true)
 		}
@@ -155,18 +159,18 @@
 	}, false},
 }
 
-// customerOutcome is what one of customerFaults left behind.
+// customerOutcome is the result of running one of customerFaults under load.
 type customerOutcome struct {
 	attempts []attempt
-	// ran is by customer.
+	// executed are the calls that targets ran, by customer.
 	executed map[string][]executedCall
-	// changed is when the operator changed the configuration, mended when the fault has been
-	// over for a while, took how long it all took.
+	// changedAt is the time of the operator's configuration change, repairedAt a time at which
+	// the fault has been over for a while, and duration the time for which load was sent.
 	changedAt, repairedAt time.Time
 	duration              time.Duration
 }
 
-// pressed carries a fault out while customers send calls, at so many a second each.
+// runUnderLoad runs scenario while each customer sends calls at its rate per second.
 func (c *cluster) runUnderLoad(rates map[string]int, scenario func(o *customerOutcome)) *customerOutcome {
 	k := newCaller(c)
 	defer k.client.CloseIdleConnections()
@@ -187,7 +191,7 @@
 	return o
 }
 
-// carryOutRemoval takes the key of customer a away in the middle of a fault.
+// runKeyRemoval removes the key of customer a during a fault.
 func runKeyRemoval(t *testing.T, f customerFault) *customerOutcome {
 	c := newClusterWithKeys(t, newCustomer("a", routing.Quota{}), newCustomer("b", routing.Quota{}))
 	defer c.close()
@@ -205,7 +209,8 @@
 	})
 }
 
-// The quotas of carryOutQuota: one customer sends eight times its own, the other less.
+// Quotas of runQuotaCase: customer hot sends calls at eight times its rate, customer calm at
+// five eighths of its rate.
 const (
 	hotRate, hotBurst = 20, 20
 	calmRate          = 16
@@ -223,7 +228,7 @@
 	})
 }
 
-// eachFault checks the outcome of each of customerFaults.
+// forEachCustomerFault runs check on the outcome of each of customerFaults.
 func forEachCustomerFault(t *testing.T, outcomes map[string]*customerOutcome, check func(t *testing.T, f customerFault, o *customerOutcome)) {
 	runAllCases(t)
 	for _, f := range customerFaults {
@@ -233,8 +238,9 @@
 	}
 }
 
-// A key that is taken away serves for no call that is sent later than the bound, at any
-// host, and for none later than the shorter bound where all are in touch.
+// No host may run a call with a removed key that was sent more than maxRemovalDelay after the
+// removal, or maxApplyDelay if all hosts stay connected to the platform. Calls with a valid key
+// must not be rejected as unauthorized.
 func TestRemovedKeyIsRejectedWithinBound(t *testing.T) {
 	forEachCustomerFault(t, keyRemovals, func(t *testing.T, f customerFault, o *customerOutcome) {
 		bound := maxRemovalDelay
@@ -254,7 +260,7 @@
 	})
 }
 
-// Customers whose keys stay are served again by all hosts once a fault is over.
+// Customers with valid keys must be served again by all hosts once a fault is over.
 func TestOtherCustomersAreServedAfterFault(t *testing.T) {
 	forEachCustomerFault(t, keyRemovals, func(t *testing.T, f customerFault, o *customerOutcome) {
 		served := 0
@@ -268,7 +274,8 @@
 	})
 }
 
-// worstWindow is the most calls that are both sent and begun in any window.
+// maxCallsInWindow returns the largest number of calls that were both sent and started within
+// one quotaWindow.
 func maxCallsInWindow(runs []executedCall) int {
 	maxCalls := 0
 	for i, first := range runs {
@@ -283,8 +290,8 @@
 	return maxCalls
 }
 
-// A customer at eight times its quota runs no more than it allows in any window, through
-// all hosts and whatever fails.
+// A customer that sends at eight times its quota must not run more calls in any window than
+// the quota and its tolerance allow, over all hosts and under every fault.
 func TestQuotaHoldsAcrossAllHosts(t *testing.T) {
 	forEachCustomerFault(t, quotaOutcomes, func(t *testing.T, f customerFault, o *customerOutcome) {
 		allowed := (hotRate*quotaWindow.Seconds()+hotBurst)*(1+quotaTolerance.Overage) + quotaTolerance.Slack
@@ -293,12 +300,12 @@
 	})
 }
 
-// While nothing fails, a customer gets all of its quota, and one that stays below its own
-// is refused nothing.
+// Without a fault, a customer must get at least 95 % of its quota, and no call of a customer
+// below its quota may be refused.
 func TestFullQuotaIsGrantedWithoutFaults(t *testing.T) {
 	forEachCustomerFault(t, quotaOutcomes, func(t *testing.T, f customerFault, o *customerOutcome) {
 		if !f.staysConnected {
-			t.Skip("parts of a quota are lost while history hosts are out of reach")
+			t.Skip("parts of a quota are lost while history hosts are unreachable")
 		}
 		require.GreaterOrEqual(t, float64(len(o.executed["hot"])), 0.95*hotRate*o.duration.Seconds())
 		for _, a := range o.attempts {
--- a/ctl/roles/disk_clock_test.go
+++ b/ctl/roles/disk_clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/pistachioarch/pistachioarch/daemon/wal"
 )
 
-// disk is the disk of a history host, which can turn slow or full.
+// disk is the disk of a history host; faults make it slow or full.
 type disk struct {
 	syncDelay atomic.Int64 // nanoseconds
 	full      atomic.Bool
@@ -43,7 +43,7 @@
 	return f.File.Sync()
 }
 
-// clock is a host's time of day, which can jump.
+// clock is the wall clock of a host, with an offset in nanoseconds that faults change.
 type clock struct{ offset atomic.Int64 }
 
 func (c *clock) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
--- a/ctl/roles/evacuation_test.go
+++ b/ctl/roles/evacuation_test.go
@@ -10,25 +10,27 @@
 )
 
 const (
-	// evacuationBound is the time after which hosts in touch with the platform send nothing to
-	// an evacuated data centre; contact is for how long they must have been in touch.
+	// maxEvacuationDelay is the time after which hosts connected to the platform send nothing to
+	// an evacuated data centre; minContact is the time for which they must have been connected.
 	maxEvacuationDelay = 3 * time.Second
 	minContact         = 4 * time.Second
 )
 
-// evacuationOutcome is what an evacuation in the middle of a fault left behind.
+// evacuationOutcome is the result of an evacuation during a fault.
 type evacuationOutcome struct {
-	// ran is what targets of the evacuated data centre ran.
+	// executed are the calls that plain targets of the evacuated data centre ran.
 	executed []executedCall
-	// asked is when the operator asked, surely when all hosts have been in touch for long
-	// enough since, and back when it was taken back.
+	// requestedAt is the time of the operator's request, effectiveAt the time from which the
+	// evacuation must be effective, as all hosts have been connected for long enough by then,
+	// and revertedAt the time at which the request was withdrawn.
 	requestedAt, effectiveAt, revertedAt time.Time
-	// usable is the targets of the data centre that each entry host may use in the end.
+	// usableTargets is the number of targets in the data centre that each entry host may use
+	// after the withdrawal.
 	usableTargets []int
 }
 
-// carryOutEvacuation evacuates the data centre dc1 in the middle of a fault and takes it back
-// after the fault.
+// runEvacuation evacuates the data centre dc1 during a fault and withdraws the evacuation after
+// the fault.
 func runEvacuation(t *testing.T, f customerFault) *evacuationOutcome {
 	c := newClusterWithKeys(t, newCustomer("a", routing.Quota{}))
 	defer c.close()
@@ -61,7 +63,8 @@
 	return o
 }
 
-// usable is how many targets of a data centre each entry host may use.
+// usableTargets returns, for each entry host, the number of targets in a data centre that it
+// may use.
 func (c *cluster) usableTargets(dataCentre string) []int {
 	var list []int
 	for _, e := range c.entryHosts {
@@ -76,8 +79,9 @@
 	return list
 }
 
-// Nothing reaches a target of an evacuated data centre from hosts in touch with the platform,
-// whatever failed when the operator asked; it serves again once the evacuation is taken back.
+// Hosts connected to the platform must send no requests to targets of an evacuated data centre,
+// whatever the fault at the time of the operator's request. The targets must be usable again
+// once the evacuation is withdrawn.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	runAllCases(t)
 	for _, f := range customerFaults {
@@ -88,13 +92,13 @@
 		t.Run(f.name, func(t *testing.T) {
 			before := 0
 			for _, r := range o.executed {
-				require.False(t, r.At.After(o.effectiveAt) && r.At.Before(o.revertedAt), "call %s ran %s after the evacuation", r.ID, r.At.Sub(o.requestedAt))
+				require.False(t, r.At.After(o.effectiveAt) && r.At.Before(o.revertedAt), "call %s ran %s after the evacuation was requested", r.ID, r.At.Sub(o.requestedAt))
 				if r.At.Before(o.requestedAt) {
 					before++
 				}
 			}
 			require.Positive(t, before)
-			require.Equal(t, []int{2, 2, 2, 2}, o.usableTargets, "taken back")
+			require.Equal(t, []int{2, 2, 2, 2}, o.usableTargets, "all targets must be usable after the withdrawal")
 		})
 	}
 }
--- a/ctl/roles/five_replicas_test.go
+++ b/ctl/roles/five_replicas_test.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// fiveCases run on seven history hosts, two disks of which may be lost at once: a slot has
-// five replicas, and turns are written to and read from three of them at first.
+// fiveReplicaCases run on seven history hosts, two disks of which may be lost at once. A slot
+// has five replicas; turns are written to and read from three of them first.
 var fiveReplicaCases = []faultCase{
-	{name: "five replicas, calm", fiveReplicas: true, planned: true, inject: func(*cluster) { wait(3 * time.Second) }},
+	{name: "five replicas, no fault", fiveReplicas: true, planned: true, inject: func(*cluster) { wait(3 * time.Second) }},
 	{name: "five replicas, two disks lost at once", fiveReplicas: true, inject: func(c *cluster) {
 		c.loseDisks(0, 1)
 		wait(4 * time.Second)
 		c.loseDisks(2, 5)
 		wait(4 * time.Second)
 	}},
-	{name: "five replicas, two history hosts killed and back", fiveReplicas: true, inject: func(c *cluster) {
+	{name: "five replicas, two history hosts killed and restarted", fiveReplicas: true, inject: func(c *cluster) {
 		a, b := c.killHistoryHost(3), c.killHistoryHost(0)
 		wait(2 * time.Second)
 		c.restartHistoryHost(a)
@@ -27,7 +27,7 @@
 		c.net.Heal()
 		wait(time.Second)
 	}},
-	{name: "five replicas, entry hosts cut from two history hosts each", fiveReplicas: true, inject: func(c *cluster) {
+	{name: "five replicas, each entry host partitioned from two history hosts", fiveReplicas: true, inject: func(c *cluster) {
 		for i, e := range c.entryHosts {
 			for j := range 2 {
 				c.net.Cut(e.ip, c.historyHosts[(2*i+j)%len(c.historyHosts)].ip, true)
@@ -37,7 +37,7 @@
 		c.net.Heal()
 		wait(time.Second)
 	}},
-	{name: "five replicas, one retired while two disks are lost", fiveReplicas: true, inject: func(c *cluster) {
+	{name: "five replicas, history host retired while two disks are lost", fiveReplicas: true, inject: func(c *cluster) {
 		c.retirements.mu.Lock()
 		c.retirements.hosts = []string{"h1"}
 		c.retirements.mu.Unlock()
@@ -51,7 +51,7 @@
 	}},
 }
 
-// loseDisks wipes disks at one instant; their hosts come back with empty ones.
+// loseDisks kills history hosts together and restarts them with empty disks.
 func (c *cluster) loseDisks(hosts ...int) {
 	var lost []*historyHost
 	for _, i := range hosts {
@@ -63,7 +63,7 @@
 	}
 }
 
-// startFive starts a cluster that bears the loss of two disks.
+// startFiveReplicas starts a cluster that tolerates the loss of two disks.
 func (c *cluster) startFiveReplicas() *cluster {
 	c.maxFaults = 2
 	return c.start(7)
--- a/ctl/roles/invariants_test.go
+++ b/ctl/roles/invariants_test.go
@@ -1,7 +1,7 @@
-// Package roles proves what must always hold of a system of entry and history
-// hosts. Every test runs over one table of fault cases; each case runs the real
-// code of four entry and four history hosts once, on virtual time. The tests
-// judge by what targets ran and by what callers got.
+// Package roles checks the invariants of a system of entry and history hosts. Every test checks
+// the outcomes of one table of fault cases; each case runs the real code of four entry and four
+// history hosts once, in virtual time. The tests examine the requests that targets ran and the
+// answers that callers received.
 package roles
 
 import (
@@ -26,52 +26,53 @@
 	programCount    = 12
 	turnsPerProgram = 8
 	loopingPrograms = 3
-	// leaveWithin is how long a leaving target may still get requests.
+	// maxDrainDelay is the time for which a draining target may still get requests.
 	maxDrainDelay = 2 * time.Second
-	// inForceWithin is how long a configuration may take to be in force.
+	// maxConfigDelay is the time within which all entry hosts must apply a configuration.
 	maxConfigDelay = 2 * time.Second
 )
 
-// outcome is what one case left behind.
+// outcome is the result of one fault case.
 type outcome struct {
 	attempts         []attempt
 	failures         []string
 	finishedPrograms int
-	// runs are what engines and plain services ran, by request.
+	// runs are the executions at engines and plain targets, by request ID.
 	runs map[string][]standin.Run
-	// afterLeaving are requests that the leaving target ran too late.
+	// runsAfterDrain are the requests that the draining target ran after maxDrainDelay.
 	runsAfterDrain []standin.Run
-	// versions are what each entry host answered to requests on the newest route.
+	// staleEntryHosts are the entry hosts that did not serve the newest route in time, with
+	// the status they returned.
 	staleEntryHosts []string
 }
 
 var (
 	runOnce  sync.Once
 	outcomes = map[string]*outcome{}
-	// relayOutcomes are those of relayCases.
+	// relayOutcomes are the outcomes of relayCases.
 	relayOutcomes   = map[string]*relayOutcome{}
 	partitionResult *partitionOutcome
-	// removals, quotaCases and evacuations are those of customerFaults.
+	// keyRemovals, quotaOutcomes and evacuationOutcomes are the outcomes of customerFaults.
 	keyRemovals, quotaOutcomes = map[string]*customerOutcome{}, map[string]*customerOutcome{}
 	evacuationOutcomes         = map[string]*evacuationOutcome{}
-	// idleAtStart are the history hosts of a large cluster that got no slots.
+	// membersWithoutSlots are the history hosts of a large cluster that got no slots.
 	membersWithoutSlots []string
-	// crowdStart is the start of many history hosts together.
+	// largeStart is the outcome of starting many history hosts together.
 	largeStart largeStartOutcome
-	// inOutage is the answer to a turn at an entry host that started without the platform.
+	// outageAttempt is a turn sent to an entry host that started during a platform outage.
 	outageAttempt attempt
-	// onlyCase, from the environment, limits the table to one case.
+	// selectedCase, from the environment, limits the tables to the cases of this name.
 	selectedCase = os.Getenv("ROLES_CASE")
 )
 
 func allCases() []faultCase { return slices.Concat(faultCases, fiveReplicaCases) }
 
-// all carries every case out, once for all tests. They share one bubble of virtual
-// time, since yamux keeps timers in a pool of the process.
+// runAllCases runs every case, once for all tests. The cases share one synctest bubble, as
+// yamux keeps timers in a process-wide pool and timers of one bubble are unusable in another.
 func runAllCases(t *testing.T) {
 	runOnce.Do(func() {
 		synctest.Test(t, func(t *testing.T) {
-			// What waits at a relay ends by itself.
+			// Watches that wait at a relay end by themselves after history.MapWatch.
 			defer time.Sleep(history.MapWatch)
 			for _, fc := range allCases() {
 				if selectedCase == "" || selectedCase == fc.name {
@@ -126,7 +127,7 @@
 	close(stopTurns)
 	work.Wait()
 	o := &outcome{runs: map[string][]standin.Run{}}
-	// After the fault, a target leaves and a configuration changes.
+	// After the fault, drain a target and change the configuration.
 	c.putTarget(c.engines[2].ID, engineService, "10.3.7.2", 2, true)
 	drainedAt := time.Now()
 	version := c.configure(8 * time.Second)
@@ -150,7 +151,7 @@
 	return o
 }
 
-// each runs a check over the outcome of every case.
+// forEachCase runs check on the outcome of every fault case.
 func forEachCase(t *testing.T, check func(t *testing.T, fc faultCase, o *outcome)) {
 	runAllCases(t)
 	for _, fc := range allCases() {
@@ -160,7 +161,7 @@
 	}
 }
 
-// wholeTurns are the turns that were answered whole, by id.
+// completeTurns returns the turns with a complete answer, by request ID.
 func (o *outcome) completeTurns() map[string]attempt {
 	list := map[string]attempt{}
 	for _, a := range o.attempts {
@@ -178,7 +179,7 @@
 	})
 }
 
-// A turn's prompt is the program's turns so far, in order, and nothing else.
+// A turn's prompt must consist of the program's earlier turns, in order, and nothing else.
 func TestAlwaysHistoryIsCompleteAndInOrder(t *testing.T) {
 	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
 		for id, a := range o.completeTurns() {
@@ -186,7 +187,7 @@
 			require.True(t, strings.HasSuffix(run.Body, a.Body))
 			parts := strings.SplitAfter(strings.TrimSuffix(run.Body, a.Body), ";")
 			for i, part := range parts[:len(parts)-1] {
-				// Each earlier input, after the output of the one before.
+				// Each part is the output of the turn before, followed by an earlier input.
 				_, input, _ := strings.Cut(part, "\n"+a.Program)
 				if i == 0 {
 					input = strings.TrimPrefix(part, a.Program)
--- a/ctl/roles/partition_test.go
+++ b/ctl/roles/partition_test.go
@@ -12,10 +12,11 @@
 	"github.com/pistachioarch/pistachioarch/daemon/history"
 )
 
-// goesOnWithin is how long the hosts that are left may serve no turn after a cut.
+// maxTurnGap is the longest time during a partition in which no turn may complete.
 const maxTurnGap = 1500 * time.Millisecond
 
-// cutOutcome is what a cut of the crowded data centre left behind.
+// partitionOutcome is the result of a partition of the crowded data centre. The copies are the
+// names of the platform copies of records.
 type partitionOutcome struct {
 	longestGap                                time.Duration
 	copiesDuringPartition, copiesAfterHealing []string
@@ -45,19 +46,20 @@
 	return o
 }
 
-// When the data centre with two of three replicas is cut off, the other hosts go on;
-// what they keep at the platform meanwhile is gone once both sides are whole again.
+// When the data centre with two of three replicas is partitioned from the rest, the other hosts
+// must continue to serve turns. The platform copies that they store meanwhile must be removed
+// once the partition has healed and the replicas are complete again.
 func TestRemainingHostsServeTurnsDuringPartition(t *testing.T) {
 	runAllCases(t)
 	if selectedCase != "" {
-		t.Skip("one case of the table was asked for")
+		t.Skip("ROLES_CASE selects a single case")
 	}
-	require.NotEmpty(t, partitionResult.copiesDuringPartition, "a second copy is kept")
+	require.NotEmpty(t, partitionResult.copiesDuringPartition, "platform copies must exist during the partition")
 	require.Empty(t, partitionResult.copiesAfterHealing)
 	require.LessOrEqual(t, partitionResult.longestGap, maxTurnGap)
 }
 
-// longestGap is the longest time between two turns that ended well.
+// longestGap returns the longest time between from and to in which no turn completed.
 func (k *caller) longestGap(from, to time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -13,19 +13,19 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// relayCases are the ways in which the path of a configuration to the entry hosts
-// can be broken while the configuration changes.
+// relayCases are faults on the path of a configuration to the entry hosts; the configuration
+// changes while the fault lasts.
 var relayCases = []struct {
 	name   string
 	inject func(c *cluster)
 }{
-	{"calm", func(*cluster) {}},
-	{"entry hosts cut off from the platform", func(c *cluster) {
+	{"no fault", func(*cluster) {}},
+	{"platform unreachable from entry hosts", func(c *cluster) {
 		for _, e := range c.entryHosts {
 			c.store.Cut(e.ip, true)
 		}
 	}},
-	{"history hosts cut off from the platform", func(c *cluster) {
+	{"platform unreachable from history hosts", func(c *cluster) {
 		for _, h := range c.historyHosts {
 			c.store.Cut(h.ip, true)
 		}
@@ -40,14 +40,14 @@
 			c.killHistoryHost(i)
 		}
 	}},
-	{"the platform forgets its history", func(c *cluster) { c.store.Forget() }},
+	{"platform loses its watch history", func(c *cluster) { c.store.Forget() }},
 }
 
-// relayOutcome is what one case left behind.
+// relayOutcome is the result of one of relayCases.
 type relayOutcome struct {
-	// behind are the entry hosts that did not serve the newest route in time.
+	// staleEntryHosts are the entry hosts that did not serve the newest route in time.
 	staleEntryHosts []string
-	// calls are the platform calls of the entry hosts in a calm minute.
+	// calls is the number of platform calls of all entry hosts during one minute without faults.
 	calls int
 }
 
@@ -67,7 +67,7 @@
 	return o
 }
 
-// entryCalls is the number of platform calls of all entry hosts so far.
+// entryHostPlatformCalls returns the number of platform calls of all entry hosts so far.
 func (c *cluster) entryHostPlatformCalls() int {
 	n := 0
 	for _, e := range c.entryHosts {
@@ -76,8 +76,8 @@
 	return n
 }
 
-// behind waits until a version must be in force and returns the entry hosts at
-// which it is not.
+// staleEntryHosts waits for maxConfigDelay and returns the entry hosts that do not serve the
+// route of the given configuration version, with the status they returned.
 func (c *cluster) staleEntryHosts(k *caller, version uint64) []string {
 	time.Sleep(maxConfigDelay)
 	var list []string
@@ -102,12 +102,12 @@
 	forEachRelayCase(t, func(t *testing.T, o *relayOutcome) { require.Empty(t, o.staleEntryHosts) })
 }
 
-// Entry hosts cost the platform calls at their start only.
+// Entry hosts may call the platform only during their start.
 func TestEntryHostsMakeNoPlatformCallsWhileRelaysWork(t *testing.T) {
 	forEachRelayCase(t, func(t *testing.T, o *relayOutcome) { require.Zero(t, o.calls) })
 }
 
-// idleMembers starts many history hosts at once and returns those without slots.
+// findMembersWithoutSlots starts nine history hosts together and returns the ones without slots.
 func findMembersWithoutSlots(t *testing.T) []string {
 	c := newClusterOf(t, 9)
 	defer c.close()
@@ -120,8 +120,8 @@
 	return idle
 }
 
-// A member without slots while others have twice their share makes those slow to
-// copy when a disk is lost.
+// Every history host must get slots. If one has none while others have twice their share, those
+// are slow to copy their slots after the loss of a disk.
 func TestAllHistoryHostsGetSlotsWhenStartedTogether(t *testing.T) {
 	runAllCases(t)
 	if selectedCase == "" {
@@ -129,7 +129,7 @@
 	}
 }
 
-// turnInOutage restarts an entry host while the platform is down and sends it a turn.
+// sendTurnDuringOutage restarts an entry host while the platform is down and sends it a turn.
 func sendTurnDuringOutage(t *testing.T) attempt {
 	c := newCluster(t)
 	defer c.close()
@@ -144,8 +144,8 @@
 	})
 }
 
-// An entry host that starts while the platform is down learns from history hosts what it
-// needs to serve.
+// An entry host that starts while the platform is down must get all state that it needs to
+// serve a turn from the history hosts.
 func TestEntryHostServesTurnWhenStartedDuringPlatformOutage(t *testing.T) {
 	runAllCases(t)
 	if selectedCase == "" {
@@ -155,19 +155,20 @@
 }
 
 const (
-	// crowdSize is many history hosts.
+	// largeHistoryHostCount is the number of history hosts that are started together.
 	largeHistoryHostCount = 48
-	// callsToStart is the calls to the platform that each may make, in the mean: a list and some
-	// watches of the slot map, two tries to change it and some reads after those.
+	// maxCallsPerHost is the bound on the mean number of platform calls of a starting host: a
+	// list and some watches of the slot map, two attempts to change it and some reads after those.
 	maxCallsPerHost = 20
 )
 
-// crowdOutcome is what the start of many history hosts left behind.
+// largeStartOutcome is the result of starting many history hosts together: the members in the
+// slot map and the number of platform calls.
 type largeStartOutcome struct {
 	members, calls int
 }
 
-// startCrowd starts many history hosts together.
+// startManyHistoryHosts starts largeHistoryHostCount history hosts together.
 func startManyHistoryHosts(t *testing.T) largeStartOutcome {
 	c := newClusterOf(t, largeHistoryHostCount)
 	defer c.close()
@@ -178,12 +179,12 @@
 	return o
 }
 
-// History hosts that start together make few calls to the platform each, as they read what
-// others have read and do not race for the slot map.
+// History hosts that start together must make few platform calls each: they read state that
+// other hosts have read already and do not compete to change the slot map.
 func TestHistoryHostsMakeFewPlatformCallsWhenStartedTogether(t *testing.T) {
 	runAllCases(t)
 	if selectedCase != "" {
-		t.Skip("another case only")
+		t.Skip("ROLES_CASE selects a single case")
 	}
 	require.Equal(t, largeHistoryHostCount, largeStart.members)
 	require.Less(t, largeStart.calls, maxCallsPerHost*largeHistoryHostCount)
