--- a/ctl/replicas/fleet_test.go
+++ b/ctl/replicas/fleet_test.go
@@ -76,9 +76,9 @@
 }
 
 func (m *member) open(f *fleet) {
-	server, err := history.OpenServer(history.Options{Dir: m.dir, Log: log.New(io.Discard)})
+	server, err := history.OpenServer(history.Options{Dir: m.dir, Logger: log.New(io.Discard)})
 	require.NoError(f.t, err)
-	m.id, m.server = server.Member(), server
+	m.id, m.server = server.MemberID(), server
 	m.listener = f.net.Listen(m.place + ":1")
 	go func() { _ = rpc.Serve(m.listener, m.handle) }()
 }
--- a/ctl/roles/always_test.go
+++ b/ctl/roles/always_test.go
@@ -72,7 +72,7 @@
 	once.Do(func() {
 		synctest.Test(t, func(t *testing.T) {
 			// What waits at a relay ends by itself.
-			defer time.Sleep(history.MapWatch)
+			defer time.Sleep(history.MapWatchTimeout)
 			for _, fc := range allCases() {
 				if onlyCase == "" || onlyCase == fc.name {
 					outcomes[fc.name] = carryOut(t, fc)
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -191,20 +191,20 @@
 }
 
 func (c *cluster) startHistory(h *historyHost) {
-	server, err := history.OpenServer(history.Options{Dir: h.dir, Log: logger(), Create: h.disk.create, Now: h.clock.now})
+	server, err := history.OpenServer(history.Options{Dir: h.dir, Logger: logger(), Create: h.disk.create, Now: h.clock.now})
 	require.NoError(c.t, err)
 	h.server = server
 	h.listener = c.net.Listen(h.place + ":1")
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop, h.ended = cancel, make(chan struct{})
 	store := c.store.At(h.place)
-	self := placement.Member{ID: server.Member(), Host: h.name, Address: h.place + ":1", DataCentre: c.dataCentre(h.name)}
-	keeper := history.NewKeeper(server, store, self, max(1, c.faults), c.retire, vnet.Dialer{Net: c.net, From: h.place}, logger())
+	self := placement.Member{ID: server.MemberID(), Host: h.name, Address: h.place + ":1", DataCentre: c.dataCentre(h.name)}
+	keeper := history.NewController(server, store, self, max(1, c.faults), c.retire, vnet.Dialer{Net: c.net, From: h.place}, logger())
 	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
 	relays := relay.NewServer(ctx, source, logger(),
 		relay.Kind{Name: configKind, Wait: c.configWatch(300 * time.Millisecond), Renew: c.keyed}, relay.Kind{Name: targetKind, Wait: watchFor},
-		relay.Kind{Name: evacuationKind, Wait: watchFor}, relay.Kind{Name: history.Kind, Wait: watchFor})
-	server.Relay(relays.Handle)
+		relay.Kind{Name: evacuationKind, Wait: watchFor}, relay.Kind{Name: history.MapKind, Wait: watchFor})
+	server.SetRelayHandler(relays.Handle)
 	go func() {
 		defer close(h.ended)
 		keeper.Run(ctx, relays.Reader())
@@ -329,7 +329,7 @@
 	go followConfig(ctx, source(), configKind, c.configWatch(600*time.Millisecond), entry.NewConfigView(e.host, configName, decodeTable))
 	go objects.Follow(ctx, source(), targetKind, watchFor, entry.NewTargetView(e.host, decodeTarget))
 	go objects.Follow(ctx, source(), evacuationKind, watchFor, entry.NewEvacuationView(e.host))
-	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, e.past)
+	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, e.past)
 	go e.host.Run(ctx)
 	go e.past.Run(ctx)
 	e.host.Serve(c.net.Listen(e.place + ":80"))
--- a/ctl/roles/cut_test.go
+++ b/ctl/roles/cut_test.go
@@ -36,12 +36,12 @@
 	cut := time.Now()
 	time.Sleep(5 * time.Second)
 	healed := time.Now()
-	o := &cutOutcome{keptDuring: c.store.Names(history.KeptKind)}
+	o := &cutOutcome{keptDuring: c.store.Names(history.PlatformCopyKind)}
 	c.cutCentre(false)
 	time.Sleep(3 * time.Second)
 	close(over)
 	work.Wait()
-	o.keptAfter, o.gap = c.store.Names(history.KeptKind), k.longestGap(cut, healed)
+	o.keptAfter, o.gap = c.store.Names(history.PlatformCopyKind), k.longestGap(cut, healed)
 	return o
 }
 
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -55,7 +55,7 @@
 	c := newCluster(t)
 	defer c.close()
 	o := &relayOutcome{}
-	time.Sleep(2 * history.MapWatch)
+	time.Sleep(2 * history.MapWatchTimeout)
 	before := c.entryCalls()
 	time.Sleep(time.Minute)
 	o.calls = c.entryCalls() - before
@@ -113,7 +113,7 @@
 	defer c.close()
 	var idle []string
 	for _, h := range c.history {
-		if !h.server.Map().IsInUse(h.server.Member()) {
+		if !h.server.Map().IsInUse(h.server.MemberID()) {
 			idle = append(idle, h.name)
 		}
 	}
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -70,8 +70,8 @@
 	}
 	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
 	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).Holding(targets.Steps))
-	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, f.past)
-	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.Kind: slots}
+	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, f.past)
+	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.MapKind: slots}
 	if f.set.Evacuation > 0 {
 		evacuations := f.source()
 		go objects.Follow(ctx, evacuations, platform.EvacuationKind, f.set.WatchFor(), entry.NewEvacuationView(host))
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -19,7 +19,7 @@
 
 func runHistory(ctx context.Context, set *settings.Role, o *observer) error {
 	logger := o.logger
-	server, err := history.OpenServer(history.Options{Dir: set.DataFolder, Log: logger, Meter: o.meter})
+	server, err := history.OpenServer(history.Options{Dir: set.DataFolder, Logger: logger, Meter: o.meter})
 	if err != nil {
 		return err
 	}
@@ -29,13 +29,13 @@
 	}
 	store := meter.Store(platform.NewStore(set.PlatformAddress), o.meter)
 	retirements := platform.NewRetirements(store)
-	self := placement.Member{ID: server.Member(), Host: set.Host, Address: set.HistoryListen(), DataCentre: set.DataCentre, Region: set.Regions[set.DataCentre]}
-	keeper := history.NewKeeper(server, store, self, set.FaultHosts, retirements, peerDialer(), logger)
+	self := placement.Member{ID: server.MemberID(), Host: set.Host, Address: set.HistoryListen(), DataCentre: set.DataCentre, Region: set.Regions[set.DataCentre]}
+	keeper := history.NewController(server, store, self, set.FaultHosts, retirements, peerDialer(), logger)
 	o.state = func() any { return keeper.State() }
 	o.serve(ctx, set.MetricsListen())
 	source := func() objects.Reader { return relay.NewSource(set.Host, store, keeper, logger) }
 	relays := relay.NewServer(ctx, source, logger, relayedKinds(set)...)
-	server.Relay(relays.Handle)
+	server.SetRelayHandler(relays.Handle)
 	go objects.Follow(ctx, relays.Reader(), platform.RetirementKind, set.WatchFor(), retirements)
 	go keeper.Run(ctx, relays.Reader())
 	go server.Sweep(ctx.Done())
@@ -61,6 +61,6 @@
 		{Name: platform.TargetKind, Wait: set.WatchFor(), Pace: targetPace, GroupOf: platform.DecodeTargetGroup},
 		{Name: platform.EvacuationKind, Wait: set.WatchFor()},
 		{Name: platform.RetirementKind, Wait: set.WatchFor()},
-		{Name: history.Kind, Wait: set.WatchFor()},
+		{Name: history.MapKind, Wait: set.WatchFor()},
 	}
 }
--- a/daemon/cmd/pistachiod/observe_test.go
+++ b/daemon/cmd/pistachiod/observe_test.go
@@ -55,7 +55,7 @@
 func TestAHistoryHostServesItsMetrics(t *testing.T) {
 	logger := log.New(io.Discard)
 	o := newObserver(logger)
-	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: logger, Meter: o.meter})
+	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: logger, Meter: o.meter})
 	require.NoError(t, err)
 	defer server.Close()
 	text := get(o, metricsPath)
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -216,7 +216,7 @@
 func (s *system) startHistoryIn(regions ...string) {
 	m := placement.New(1)
 	for i, region := range regions {
-		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Log: quietLog(), Elapsed: s.elapsed})
+		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Logger: quietLog(), Elapsed: s.elapsed})
 		require.NoError(s.t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(s.t, err)
@@ -227,7 +227,7 @@
 			_ = l.Close()
 			server.Close() // a settlement on its way would write to the folder while it is removed
 		})
-		m.Admit(placement.Member{ID: server.Member(), Host: strconv.Itoa(i), Address: l.Addr().String(), DataCentre: strconv.Itoa(i), Region: region})
+		m.Admit(placement.Member{ID: server.MemberID(), Host: strconv.Itoa(i), Address: l.Addr().String(), DataCentre: strconv.Itoa(i), Region: region})
 	}
 	m.Assign()
 	s.adopt(m)
--- a/daemon/entry/loads_test.go
+++ b/daemon/entry/loads_test.go
@@ -35,15 +35,15 @@
 	f := &fleet{t: t, members: map[string]*member{}, listens: map[string]net.Listener{}}
 	m := placement.New(1)
 	for range members {
-		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
+		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: quietLog()})
 		require.NoError(t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = l.Close() })
 		x := &member{server: server}
 		go func() { _ = rpc.Serve(l, x.handle) }()
-		f.members[server.Member()], f.listens[server.Member()] = x, l
-		m.Admit(placement.Member{ID: server.Member(), Host: server.Member(), Address: l.Addr().String(), DataCentre: "dc1"})
+		f.members[server.MemberID()], f.listens[server.MemberID()] = x, l
+		m.Admit(placement.Member{ID: server.MemberID(), Host: server.MemberID(), Address: l.Addr().String(), DataCentre: "dc1"})
 	}
 	m.Assign()
 	text, err := json.Marshal(m)
@@ -152,9 +152,9 @@
 	f.exchange()
 	before := f.hosts[1].State().Loads.Board
 	id := f.board()
-	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: quietLog()})
+	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: quietLog()})
 	require.NoError(t, err)
-	again := server.Member()
+	again := server.MemberID()
 	f.members[id].setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
 		req.Member = again // the disk is the same
 		server.Handle(req, answer)
--- a/daemon/entry/rules_test.go
+++ b/daemon/entry/rules_test.go
@@ -191,7 +191,7 @@
 		}
 		for j := range m.Slots[i].Replicas {
 			r := &m.Slots[i].Replicas[j]
-			r.Joining = r.Member == s.members[0].server.Member()
+			r.Joining = r.Member == s.members[0].server.MemberID()
 		}
 	}
 	s.adopt(m)
--- a/daemon/history/admit.go
+++ b/daemon/history/admit.go
@@ -44,7 +44,7 @@
 
 // enter makes this member one of the map's: by itself, or where others are always faster, with
 // the help of the first member, which admits all that ask it at once.
-func (k *Keeper) enter(ctx context.Context, m *placement.Map) {
+func (k *Controller) enter(ctx context.Context, m *placement.Map) {
 	if time.Since(k.applied) < admitPatience {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // apply asks the first member to admit this one.
-func (k *Keeper) apply(ctx context.Context, m *placement.Map) error {
+func (k *Controller) apply(ctx context.Context, m *placement.Map) error {
 	ids := slices.Sorted(maps.Keys(m.Members))
 	if len(ids) == 0 {
 		return failure.New(failure.PeerUnavailable, "no member is known")
@@ -80,7 +80,7 @@
 
 // admit admits those that asked this member. A host that has a member already is left to admit
 // its newer one by itself: what it asked long ago must not displace a member of a later disk.
-func (k *Keeper) admit(ctx context.Context) {
+func (k *Controller) admit(ctx context.Context) {
 	list := k.server.applicants.take()
 	if len(list) == 0 {
 		return
--- a/daemon/history/admit_test.go
+++ b/daemon/history/admit_test.go
@@ -42,12 +42,12 @@
 }
 
 // newMember returns the keeper of a member that knows the map in the store.
-func newMember(t *testing.T, store *mapStore, host, address string) *Keeper {
-	server, err := OpenServer(Options{Dir: t.TempDir(), Log: log.New(io.Discard)})
+func newMember(t *testing.T, store *mapStore, host, address string) *Controller {
+	server, err := OpenServer(Options{Dir: t.TempDir(), Logger: log.New(io.Discard)})
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
-	self := placement.Member{ID: server.Member(), Host: host, Address: address, DataCentre: "dc"}
-	k := NewKeeper(server, store, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
+	self := placement.Member{ID: server.MemberID(), Host: host, Address: address, DataCentre: "dc"}
+	k := NewController(server, store, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
 	if store.spec == nil {
 		m := placement.New(1)
 		m.Admit(self)
@@ -74,7 +74,7 @@
 	address, serve := listen(t)
 	first := newMember(t, store, "h0", address)
 	serve(first.server)
-	var others []*Keeper
+	var others []*Controller
 	for _, host := range []string{"h1", "h2", "h3", "h4"} {
 		others = append(others, newMember(t, store, host, host))
 	}
--- a/daemon/history/guard.go
+++ b/daemon/history/guard.go
@@ -15,7 +15,7 @@
 
 // arrange keeps slots able to go on when a data centre is cut off: crowded ones are
 // made to span, and those whose crowded data centre is silent go on without it.
-func (k *Keeper) arrange(ctx context.Context, m *placement.Map) {
+func (k *Controller) arrange(ctx context.Context, m *placement.Map) {
 	silent := k.peers.silentFor()
 	// A host that was emptied and taken away is silent and of no matter.
 	maps.DeleteFunc(silent, func(id string, _ time.Duration) bool { return !m.IsInUse(id) })
@@ -41,7 +41,7 @@
 // prepare makes a member that joins guarded slots ready for it: its acknowledgement is
 // required from then on, and where no active replica is left, it takes what is kept
 // at the platform. It reports whether the copy may begin.
-func (k *Keeper) prepare(ctx context.Context, m *placement.Map) bool {
+func (k *Controller) prepare(ctx context.Context, m *placement.Map) bool {
 	k.change(ctx, "joining replica required", func(m *placement.Map) bool { return m.RequireAck(k.self.ID) })
 	if !k.orphaned(m) {
 		return true
@@ -59,7 +59,7 @@
 }
 
 // orphaned reports whether this member joins a guarded slot without active replicas.
-func (k *Keeper) orphaned(m *placement.Map) bool {
+func (k *Controller) orphaned(m *placement.Map) bool {
 	for i := range m.Slots {
 		s := &m.Slots[i]
 		r, in := s.Replica(k.self.ID)
@@ -71,7 +71,7 @@
 }
 
 // tidy removes what is kept at the platform once no slot needs it.
-func (k *Keeper) tidy(ctx context.Context, m *placement.Map) {
+func (k *Controller) tidy(ctx context.Context, m *placement.Map) {
 	if m.AnyGuarded() {
 		k.tidied = false
 		return
--- a/daemon/history/join.go
+++ b/daemon/history/join.go
@@ -21,7 +21,7 @@
 
 // join copies the slots in which this member is joining and marks those that are
 // complete as active.
-func (k *Keeper) join(ctx context.Context, m *placement.Map) {
+func (k *Controller) join(ctx context.Context, m *placement.Map) {
 	if m.AnyGuarded() {
 		if !k.prepare(ctx, m) {
 			return
@@ -73,7 +73,7 @@
 // copySlot copies slot i from as many members as surely hold all of it, from each
 // what those before did not have, so that a lost disk is whole again within the few seconds
 // that are allowed for it.
-func (k *Keeper) copySlot(ctx context.Context, m *placement.Map, i int) (records int, err error) {
+func (k *Controller) copySlot(ctx context.Context, m *placement.Map, i int) (records int, err error) {
 	from, need := m.CopySources(i, k.self.ID)
 	for _, id := range from {
 		if need == 0 {
@@ -95,7 +95,7 @@
 
 // copyFrom copies the programs of a slot of which the source has other records than
 // this member.
-func (k *Keeper) copyFrom(ctx context.Context, m *placement.Map, i int, from placement.Member) (int, error) {
+func (k *Controller) copyFrom(ctx context.Context, m *placement.Map, i int, from placement.Member) (int, error) {
 	total, after := 0, ""
 	for {
 		reply, err := k.page(ctx, m, i, from, &historypb.Copy{After: after})
@@ -112,7 +112,7 @@
 }
 
 // differing returns the programs whose digest here is another.
-func (k *Keeper) differing(digests []*historypb.Digest) []string {
+func (k *Controller) differing(digests []*historypb.Digest) []string {
 	var names []string
 	for _, d := range digests {
 		if k.server.digest(d.Program) != d.Digest {
@@ -123,7 +123,7 @@
 }
 
 // fetch copies some programs.
-func (k *Keeper) fetch(ctx context.Context, m *placement.Map, i int, from placement.Member, names []string) (total int, err error) {
+func (k *Controller) fetch(ctx context.Context, m *placement.Map, i int, from placement.Member, names []string) (total int, err error) {
 	for len(names) > 0 {
 		reply, err := k.page(ctx, m, i, from, &historypb.Copy{Programs: names})
 		if err != nil {
@@ -142,7 +142,7 @@
 	return total, nil
 }
 
-func (k *Keeper) page(ctx context.Context, m *placement.Map, i int, from placement.Member, what *historypb.Copy) (*historypb.Reply, error) {
+func (k *Controller) page(ctx context.Context, m *placement.Map, i int, from placement.Member, what *historypb.Copy) (*historypb.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	reply, err := k.peers.pool.Client(from.Address).Call(ctx, &historypb.Request{
@@ -158,7 +158,7 @@
 }
 
 // keep makes copied records durable here.
-func (k *Keeper) keep(records []*historypb.Record) error {
+func (k *Controller) keep(records []*historypb.Record) error {
 	if len(records) == 0 {
 		return nil
 	}
--- a/daemon/history/join_test.go
+++ b/daemon/history/join_test.go
@@ -25,14 +25,14 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = l.Close() })
 		go func() { _ = rpc.Serve(l, s.Handle) }()
-		m.Admit(placement.Member{ID: s.Member(), Host: fmt.Sprint(i), Address: l.Addr().String(), DataCentre: fmt.Sprint(i)})
+		m.Admit(placement.Member{ID: s.MemberID(), Host: fmt.Sprint(i), Address: l.Addr().String(), DataCentre: fmt.Sprint(i)})
 		servers = append(servers, s)
 	}
 	m.Assign()
 	for i := range m.Slots {
 		for j := range m.Slots[i].Replicas {
 			r := &m.Slots[i].Replicas[j]
-			r.Joining = r.Member == servers[n-1].Member()
+			r.Joining = r.Member == servers[n-1].MemberID()
 		}
 	}
 	for _, s := range servers {
@@ -66,8 +66,8 @@
 	hold(servers[1], names[10:]) // twenty in common, ten that the first lacks
 	joiner := servers[2]
 	hold(joiner, names[:5])
-	self := m.Members[joiner.Member()]
-	k := NewKeeper(joiner, nil, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
+	self := m.Members[joiner.MemberID()]
+	k := NewController(joiner, nil, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
 	records, err := k.copySlot(t.Context(), m, slot)
 	require.NoError(t, err)
 	require.Equal(t, 35, records, "forty less the five that it had")
@@ -82,8 +82,8 @@
 func TestACopyNeedsEnoughSources(t *testing.T) {
 	servers, m := members(t, 3)
 	joiner := servers[2]
-	k := NewKeeper(joiner, nil, m.Members[joiner.Member()], 1, nil, &net.Dialer{}, log.New(io.Discard))
-	gone := m.Members[servers[1].Member()]
+	k := NewController(joiner, nil, m.Members[joiner.MemberID()], 1, nil, &net.Dialer{}, log.New(io.Discard))
+	gone := m.Members[servers[1].MemberID()]
 	gone.Address = "127.0.0.1:1"
 	m.Members[gone.ID] = gone
 	_, err := k.copySlot(t.Context(), m, 7)
--- a/daemon/history/keeper.go
+++ b/daemon/history/keeper.go
@@ -15,15 +15,15 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// Kind and MapName are where the slot map lies in the platform's store.
+// MapKind and MapName are where the slot map lies in the platform's store.
 const (
-	Kind    = "history"
+	MapKind = "history"
 	MapName = "slots"
 )
 
-// MapWatch is how long one watch of the slot map waits at a relay, which tells changes at once and
+// MapWatchTimeout is how long one watch of the slot map waits at a relay, which tells changes at once and
 // reads the platform by shorter watches. A member whose map is old is refused and told the new one.
-const MapWatch = 20 * time.Second
+const MapWatchTimeout = 20 * time.Second
 
 const (
 	// keeperEvery paces the keeper: a joining member starts its copy within a
@@ -54,8 +54,8 @@
 	Report(ctx context.Context, host string, done bool) error
 }
 
-// Keeper keeps the slot map right as far as this member is concerned.
-type Keeper struct {
+// Controller keeps the slot map right as far as this member is concerned.
+type Controller struct {
 	server      *Server
 	store       objects.Store
 	self        placement.Member
@@ -78,9 +78,9 @@
 	tidied bool
 }
 
-// NewKeeper returns the keeper of server's member.
-func NewKeeper(server *Server, store objects.Store, self placement.Member, faults int, r Retirements, dialer rpc.Dialer, logger *log.Logger) *Keeper {
-	k := &Keeper{
+// NewController returns the keeper of server's member.
+func NewController(server *Server, store objects.Store, self placement.Member, faults int, r Retirements, dialer rpc.Dialer, logger *log.Logger) *Controller {
+	k := &Controller{
 		server: server, store: store, self: self, faults: faults, retirements: r,
 		peers: newPeers(dialer), logger: logger, started: time.Now(), pause: pauseOf(self.ID), reported: map[string]bool{},
 	}
@@ -96,8 +96,8 @@
 }
 
 // Run follows the map by reader and keeps it until the context ends.
-func (k *Keeper) Run(ctx context.Context, reader objects.Reader) {
-	go objects.Follow(ctx, reader, Kind, MapWatch, k)
+func (k *Controller) Run(ctx context.Context, reader objects.Reader) {
+	go objects.Follow(ctx, reader, MapKind, MapWatchTimeout, k)
 	tick := time.NewTicker(keeperEvery)
 	defer tick.Stop()
 	for {
@@ -111,7 +111,7 @@
 }
 
 // Replaced implements objects.Listener.
-func (k *Keeper) Replaced(s objects.Snapshot) {
+func (k *Controller) Replaced(s objects.Snapshot) {
 	k.mu.Lock()
 	k.known = true
 	k.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // Changed implements objects.Listener.
-func (k *Keeper) Changed(changes objects.Changes) {
+func (k *Controller) Changed(changes objects.Changes) {
 	for _, e := range changes.Events {
 		if !e.Removed {
 			k.take(e.Object)
@@ -130,15 +130,15 @@
 }
 
 // Lost implements objects.Listener.
-func (k *Keeper) Lost(err error) {
-	k.logger.Warn("platform does not answer", "kind", Kind, "error", err.Error())
+func (k *Controller) Lost(err error) {
+	k.logger.Warn("platform does not answer", "kind", MapKind, "error", err.Error())
 }
 
 // refresh reads the map once; a sender knew a newer one.
-func (k *Keeper) refresh() {
+func (k *Controller) refresh() {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
-	o, err := k.store.Get(ctx, Kind, MapName)
+	o, err := k.store.Get(ctx, MapKind, MapName)
 	if err != nil {
 		k.logger.Warn("slot map not read", "error", err.Error())
 		return
@@ -146,7 +146,7 @@
 	k.take(o)
 }
 
-func (k *Keeper) take(o objects.Object) {
+func (k *Controller) take(o objects.Object) {
 	if o.Name != MapName {
 		return
 	}
@@ -165,7 +165,7 @@
 }
 
 // step does what this member has to do next, one thing at a time.
-func (k *Keeper) step(ctx context.Context) {
+func (k *Controller) step(ctx context.Context) {
 	k.mu.Lock()
 	known, revision := k.known, k.revision
 	k.mu.Unlock()
@@ -201,7 +201,7 @@
 
 // gathering is how long this member waits before it assigns slots: the first one for the others,
 // the others for the first one as well, so that many do not race for it.
-func (k *Keeper) gathering(m *placement.Map) time.Duration {
+func (k *Controller) gathering(m *placement.Map) time.Duration {
 	if k.acts(m, k.peers.silentFor()) {
 		return gatherFor
 	}
@@ -216,7 +216,7 @@
 	return true
 }
 
-func (k *Keeper) create(ctx context.Context) {
+func (k *Controller) create(ctx context.Context) {
 	m := placement.New(k.faults)
 	m.Admit(k.self)
 	text, err := json.Marshal(m)
@@ -226,7 +226,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	o, err := k.store.Create(ctx, Kind, MapName, text)
+	o, err := k.store.Create(ctx, MapKind, MapName, text)
 	if failure.Is(err, failure.Conflict) {
 		k.refresh()
 		return
@@ -241,13 +241,13 @@
 // change applies a change to the newest map by conditional update, and again if
 // another member was faster. A lost answer is seen at the next step, in the map
 // itself.
-func (k *Keeper) change(ctx context.Context, what string, apply func(*placement.Map) bool) {
+func (k *Controller) change(ctx context.Context, what string, apply func(*placement.Map) bool) {
 	k.changeWithin(ctx, raceTries, what, apply)
 }
 
 // changeWithin is change with a number of tries; it reports whether other members were faster
 // each time.
-func (k *Keeper) changeWithin(ctx context.Context, tries int, what string, apply func(*placement.Map) bool) (late bool) {
+func (k *Controller) changeWithin(ctx context.Context, tries int, what string, apply func(*placement.Map) bool) (late bool) {
 	for range tries {
 		if !k.tryChange(ctx, what, apply) {
 			return false
@@ -262,7 +262,7 @@
 }
 
 // tryChange reports whether another member was faster.
-func (k *Keeper) tryChange(ctx context.Context, what string, apply func(*placement.Map) bool) (again bool) {
+func (k *Controller) tryChange(ctx context.Context, what string, apply func(*placement.Map) bool) (again bool) {
 	k.mu.Lock()
 	revision := k.revision
 	k.mu.Unlock()
@@ -277,7 +277,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	o, err := k.store.Update(ctx, Kind, MapName, revision, text)
+	o, err := k.store.Update(ctx, MapKind, MapName, revision, text)
 	if err != nil {
 		k.server.meter.Count("slot_map", "not_changed")
 		k.logger.Info("slot map not changed", "change", what, "epoch", m.Epoch, "revision", revision, "error", err.Error())
--- a/daemon/history/kept.go
+++ b/daemon/history/kept.go
@@ -16,9 +16,9 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// KeptKind is where records of guarded slots lie in the platform's store, while one
+// PlatformCopyKind is where records of guarded slots lie in the platform's store, while one
 // disk alone holds them.
-const KeptKind = "history-kept"
+const PlatformCopyKind = "history-kept"
 
 const (
 	// keptBytes bounds the records of one object: with the encoding, well under the
@@ -44,7 +44,7 @@
 type keptWrite struct {
 	records []*historypb.Record
 	size    int
-	done    wal.Done
+	done    wal.DoneFunc
 }
 
 // kept puts records into the platform's store, many writes in one object.
@@ -67,7 +67,7 @@
 }
 
 // write keeps records; done is called once they are in the store.
-func (k *kept) write(records []*historypb.Record, done wal.Done) {
+func (k *kept) write(records []*historypb.Record, done wal.DoneFunc) {
 	w := keptWrite{records: records, done: done}
 	for _, r := range records {
 		w.size += proto.Size(r)
@@ -141,7 +141,7 @@
 func (k *kept) create(name string, spec []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
-	_, err := k.store.Create(ctx, KeptKind, name, spec)
+	_, err := k.store.Create(ctx, PlatformCopyKind, name, spec)
 	if failure.Is(err, failure.Conflict) {
 		return nil
 	}
@@ -159,7 +159,7 @@
 
 // loadKept returns all records that are kept at the platform.
 func loadKept(ctx context.Context, store objects.Store) ([]*historypb.Record, error) {
-	list, err := store.List(ctx, KeptKind)
+	list, err := store.List(ctx, PlatformCopyKind)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 // it reports how many objects. A member with an old map must not remove what is kept
 // under a newer one.
 func dropKept(ctx context.Context, store objects.Store, epoch uint64) (removed int, err error) {
-	list, err := store.List(ctx, KeptKind)
+	list, err := store.List(ctx, PlatformCopyKind)
 	if err != nil {
 		return 0, err
 	}
@@ -199,7 +199,7 @@
 		if spec.Epoch > epoch {
 			continue
 		}
-		if err := store.Delete(ctx, KeptKind, o.Name); err != nil && !failure.Is(err, failure.NotFound) {
+		if err := store.Delete(ctx, PlatformCopyKind, o.Name); err != nil && !failure.Is(err, failure.NotFound) {
 			return removed, err
 		}
 		removed++
--- a/daemon/history/loads.go
+++ b/daemon/history/loads.go
@@ -31,14 +31,14 @@
 
 // LoadsState is what a member knows of the targets' loads, for operators.
 type LoadsState struct {
-	// Board is the start of the board that hosts know it by.
-	Board uint64 `json:"board"`
-	// Reporters is the entry hosts that were heard lately.
-	Reporters int `json:"reporters"`
+	// BoardID is the start of the board that hosts know it by.
+	BoardID uint64 `json:"board"`
+	// ReporterCount is the entry hosts that were heard lately.
+	ReporterCount int `json:"reporters"`
 }
 
 func (s *Server) loadsState() LoadsState {
 	s.loads.mu.Lock()
 	defer s.loads.mu.Unlock()
-	return LoadsState{Board: s.loads.board.ID(), Reporters: s.loads.board.ReporterCount(s.elapsed())}
+	return LoadsState{BoardID: s.loads.board.ID(), ReporterCount: s.loads.board.ReporterCount(s.elapsed())}
 }
--- a/daemon/history/loads_test.go
+++ b/daemon/history/loads_test.go
@@ -19,15 +19,15 @@
 	s := openServer(t, dir)
 	r := loads.NewReporter(1)
 	r.Observe([]loads.Observation{{Key: 7, InFlight: 3}})
-	reply := ask(s, exchangeOf(s.Member(), r.NextReport(0)))
+	reply := ask(s, exchangeOf(s.MemberID(), r.NextReport(0)))
 	require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 	require.True(t, r.HandleReply(loads.DecodeReply(reply.Loads), 0).Accepted)
-	require.Equal(t, 1, s.loadsState().Reporters)
+	require.Equal(t, 1, s.loadsState().ReporterCount)
 	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeOf("other", r.NextReport(0))).Status)
-	before := s.loadsState().Board
+	before := s.loadsState().BoardID
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
-	require.NotEqual(t, before, s.loadsState().Board)
-	require.True(t, ask(s, exchangeOf(s.Member(), r.NextReport(0))).Loads.Restart)
+	require.NotEqual(t, before, s.loadsState().BoardID)
+	require.True(t, ask(s, exchangeOf(s.MemberID(), r.NextReport(0))).Loads.Restart)
 }
--- a/daemon/history/repair.go
+++ b/daemon/history/repair.go
@@ -81,7 +81,7 @@
 // toProbe returns the members that this one asks for a sign of life now: its neighbours, and
 // where it is its turn to act, some of all others in turn, so that it finds those to be
 // replaced. One that was silent is asked until it answers, whoever's neighbour it is then.
-func (k *Keeper) toProbe(m *placement.Map) map[string]bool {
+func (k *Controller) toProbe(m *placement.Map) map[string]bool {
 	ask := m.ProbedByMember(k.self.ID, k.self.DataCentre, k.answers())
 	silent := k.peers.silentFor()
 	for id := range silent {
@@ -105,7 +105,7 @@
 // repair moves slots away from members that are silent or retiring. Of the
 // members that answer, the one with the lowest id acts; the conditional update
 // sorts out two that both think so.
-func (k *Keeper) repair(ctx context.Context, m *placement.Map) {
+func (k *Controller) repair(ctx context.Context, m *placement.Map) {
 	silent := k.peers.silentFor()
 	if !k.acts(m, silent) {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-func (k *Keeper) acts(m *placement.Map, silent map[string]time.Duration) bool {
+func (k *Controller) acts(m *placement.Map, silent map[string]time.Duration) bool {
 	for id := range m.Members {
 		if _, quiet := silent[id]; !quiet && id < k.self.ID {
 			return false
@@ -169,7 +169,7 @@
 }
 
 // retiring returns the members on hosts that are to be emptied.
-func (k *Keeper) retiring(m *placement.Map) []string {
+func (k *Controller) retiring(m *placement.Map) []string {
 	hosts := k.retirements.Retiring()
 	var ids []string
 	for id, x := range m.Members {
@@ -181,7 +181,7 @@
 }
 
 // retire moves the slots of a member away and reports the progress.
-func (k *Keeper) retire(ctx context.Context, m *placement.Map, id string, exclude map[string]bool) {
+func (k *Controller) retire(ctx context.Context, m *placement.Map, id string, exclude map[string]bool) {
 	host := m.Members[id].Host
 	if m.IsInUse(id) {
 		k.report(ctx, host, false)
@@ -191,7 +191,7 @@
 	k.report(ctx, host, true)
 }
 
-func (k *Keeper) report(ctx context.Context, host string, done bool) {
+func (k *Controller) report(ctx context.Context, host string, done bool) {
 	key := host
 	if done {
 		key += " done"
--- a/daemon/history/server.go
+++ b/daemon/history/server.go
@@ -69,12 +69,12 @@
 // Options are what a Server is made of.
 type Options struct {
 	// Dir is the data folder.
-	Dir string
-	Log *log.Logger
+	Dir    string
+	Logger *log.Logger
 	// Meter may be nil.
 	Meter *meter.Meter
 	// Create and Now are wal.CreateFile and time.Now unless tests say otherwise.
-	Create wal.Create
+	Create wal.CreateFunc
 	Now    func() time.Time
 	// Elapsed is the steady time since the process started, unless tests say otherwise.
 	Elapsed func() time.Duration
@@ -92,7 +92,7 @@
 		start := time.Now()
 		o.Elapsed = func() time.Duration { return time.Since(start) }
 	}
-	dir, logger := o.Dir, o.Log
+	dir, logger := o.Dir, o.Logger
 	s := &Server{elapsed: o.Elapsed, quotas: quota.NewBuckets(), dir: dir, logger: logger, meter: o.Meter, now: o.Now, ledger: ledger.New(), refresh: func() {}, relay: noRelay, loads: newLoadBoard()}
 	records := 0
 	var damage []wal.Damage
@@ -127,12 +127,12 @@
 	answer(&historypb.Reply{Status: historypb.Status_STATUS_UNAVAILABLE})
 }
 
-// Relay sets what answers the requests about the platform's objects, before the
+// SetRelayHandler sets what answers the requests about the platform's objects, before the
 // server takes any.
-func (s *Server) Relay(handle rpc.Handler) { s.relay = handle }
+func (s *Server) SetRelayHandler(handle rpc.Handler) { s.relay = handle }
 
-// Member is the identity of the disk.
-func (s *Server) Member() string { return s.member }
+// MemberID is the identity of the disk.
+func (s *Server) MemberID() string { return s.member }
 
 // Map returns the slot map in use, or nil.
 func (s *Server) Map() *placement.Map {
@@ -369,14 +369,14 @@
 		s.logger.Info("programs past their retention dropped", "programs", dropped)
 	}
 	for {
-		programs, expires, ok := s.log.Oldest()
+		programs, expires, ok := s.log.OldestSegment()
 		if !ok || expires > nowMs {
 			return
 		}
 		if !s.carry(programs) {
 			return
 		}
-		if err := s.log.DropOldest(); err != nil {
+		if err := s.log.DropOldestSegment(); err != nil {
 			s.logger.Error("old segment not dropped", "error", err.Error())
 			return
 		}
--- a/daemon/history/server_test.go
+++ b/daemon/history/server_test.go
@@ -17,7 +17,7 @@
 )
 
 func openServer(t *testing.T, dir string) *Server {
-	s, err := OpenServer(Options{Dir: dir, Log: log.New(io.Discard)})
+	s, err := OpenServer(Options{Dir: dir, Logger: log.New(io.Discard)})
 	require.NoError(t, err)
 	return s
 }
@@ -25,7 +25,7 @@
 // alone gives the server a map in which it is the only member.
 func alone(t *testing.T, s *Server) *placement.Map {
 	m := placement.New(1)
-	m.Admit(placement.Member{ID: s.Member(), Host: "h", Address: "a", DataCentre: "dc"})
+	m.Admit(placement.Member{ID: s.MemberID(), Host: "h", Address: "a", DataCentre: "dc"})
 	m.Assign()
 	require.NoError(t, s.Adopt(m))
 	return m
@@ -39,7 +39,7 @@
 
 func writeOf(s *Server, epoch uint64, program, turn string, expires int64) *historypb.Request {
 	slot := placement.GlobalSlotOf(program)
-	return &historypb.Request{Member: s.Member(), Slot: slot, Epoch: epoch, Call: &historypb.Request_Write{Write: &historypb.Write{
+	return &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: epoch, Call: &historypb.Request_Write{Write: &historypb.Write{
 		Records: []*historypb.Record{{Slot: slot, Program: program, ExpiresMs: expires, Change: &historypb.Record_Turn{
 			Turn: &historypb.Turn{Turn: turn, Content: []byte("content of " + turn)},
 		}}},
@@ -47,7 +47,7 @@
 }
 
 func readOf(s *Server, epoch uint64, program, turn string) *historypb.Request {
-	return &historypb.Request{Member: s.Member(), Slot: placement.GlobalSlotOf(program), Epoch: epoch,
+	return &historypb.Request{Member: s.MemberID(), Slot: placement.GlobalSlotOf(program), Epoch: epoch,
 		Call: &historypb.Request_Read{Read: &historypb.Read{Program: program, Turn: turn}}}
 }
 
@@ -56,11 +56,11 @@
 	s := openServer(t, dir)
 	m := alone(t, s)
 	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status)
-	member := s.Member()
+	member := s.MemberID()
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
-	require.Equal(t, member, s.Member())
+	require.Equal(t, member, s.MemberID())
 	require.Equal(t, m.Epoch, s.Map().Epoch, "the map is known without the platform")
 	reply := ask(s, readOf(s, m.Epoch, "p", "1"))
 	require.Len(t, reply.Chain, 1)
@@ -78,7 +78,7 @@
 	reply := ask(s, writeOf(s, m.Epoch-1, "p", "1", 1))
 	require.Equal(t, historypb.Status_STATUS_STALE_EPOCH, reply.Status)
 	require.NotEmpty(t, reply.SlotMap, "the sender learns the newer map")
-	ahead := &historypb.Request{Member: s.Member(), Epoch: m.Epoch + 1, Call: &historypb.Request_Copy{Copy: &historypb.Copy{}}}
+	ahead := &historypb.Request{Member: s.MemberID(), Epoch: m.Epoch + 1, Call: &historypb.Request_Copy{Copy: &historypb.Copy{}}}
 	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, ahead).Status, "a source must know the map that fences it")
 }
 
@@ -123,7 +123,7 @@
 		written++
 	}
 	copyOf := func(c *historypb.Copy) *historypb.Reply {
-		reply := ask(s, &historypb.Request{Member: s.Member(), Slot: slot, Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: c}})
+		reply := ask(s, &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: c}})
 		require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 		return reply
 	}
@@ -187,7 +187,7 @@
 	s := openServer(t, t.TempDir())
 	defer s.Close()
 	m := placement.New(1)
-	for id, dc := range map[string]string{"a1": "a", "a2": "a", s.Member(): "c"} {
+	for id, dc := range map[string]string{"a1": "a", "a2": "a", s.MemberID(): "c"} {
 		m.Admit(placement.Member{ID: id, Host: id, Address: id, DataCentre: dc})
 	}
 	m.Assign()
@@ -196,7 +196,7 @@
 	for i, slot := range m.Slots {
 		copied[i] = slot.ChangedEpoch
 	}
-	require.True(t, m.Activate(s.Member(), copied))
+	require.True(t, m.Activate(s.MemberID(), copied))
 	require.NoError(t, s.Adopt(m.Clone()))
 	require.True(t, m.Demote(map[string]bool{"a1": true, "a2": true}))
 
@@ -204,7 +204,7 @@
 	require.NoError(t, s.Adopt(m))
 	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status, "nothing keeps it yet")
 	store := &fakeStore{items: map[string][]byte{}}
-	s.keepAt(newKept(store, s.Member(), time.Unix(1, 0), s.epoch, log.New(io.Discard)))
+	s.keepAt(newKept(store, s.MemberID(), time.Unix(1, 0), s.epoch, log.New(io.Discard)))
 	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status)
 	require.Len(t, store.items, 1)
 }
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -14,7 +14,7 @@
 	s.meter.Gauge("programs", func() int64 { return int64(s.held().programs) })
 	s.meter.Gauge("turns_bytes", func() int64 { return s.held().bytes })
 	s.meter.Gauge("slot_map_epoch", func() int64 { return int64(s.held().epoch) })
-	s.meter.Gauge("load_reporters", func() int64 { return int64(s.loadsState().Reporters) })
+	s.meter.Gauge("load_reporters", func() int64 { return int64(s.loadsState().ReporterCount) })
 	s.meter.Gauge("slots_joining", func() int64 { return int64(s.held().joining) })
 }
 
@@ -53,7 +53,7 @@
 	SlotsActive  int    `json:"slots_active"`
 	SlotsJoining int    `json:"slots_joining"`
 	Programs     int    `json:"programs"`
-	TurnsBytes   int64  `json:"turns_bytes"`
+	TurnBytes    int64  `json:"turns_bytes"`
 	// PlatformRevision is of the slot map at the platform; 0 if it was not read yet.
 	PlatformRevision uint64        `json:"platform_revision"`
 	Retiring         []string      `json:"retiring"`
@@ -77,10 +77,10 @@
 }
 
 // State returns a dump of the member.
-func (k *Keeper) State() State {
+func (k *Controller) State() State {
 	h := k.server.held()
 	s := State{
-		Quotas: k.server.quotaState(), Loads: k.server.loadsState(), Member: k.self.ID, Epoch: h.epoch, SlotsActive: h.active, SlotsJoining: h.joining, Programs: h.programs, TurnsBytes: h.bytes,
+		Quotas: k.server.quotaState(), Loads: k.server.loadsState(), Member: k.self.ID, Epoch: h.epoch, SlotsActive: h.active, SlotsJoining: h.joining, Programs: h.programs, TurnBytes: h.bytes,
 		Retiring: k.retirements.Retiring(),
 	}
 	k.mu.Lock()
--- a/daemon/history/traffic.go
+++ b/daemon/history/traffic.go
@@ -13,7 +13,7 @@
 
 // trafficOf returns what counts the bytes of calls to another member. An address that no
 // member has counts as far.
-func (k *Keeper) trafficOf(address string) *rpc.Traffic {
+func (k *Controller) trafficOf(address string) *rpc.Traffic {
 	if m := k.server.Map(); m != nil {
 		for _, x := range m.Members {
 			if x.Address == address && x.DataCentre == k.self.DataCentre {
--- a/daemon/history/upstream.go
+++ b/daemon/history/upstream.go
@@ -10,7 +10,7 @@
 )
 
 // answers reports whether a member answers, as far as this one knows.
-func (k *Keeper) answers() func(id string) bool {
+func (k *Controller) answers() func(id string) bool {
 	silent := k.peers.silentFor()
 	return func(id string) bool {
 		_, quiet := silent[id]
@@ -19,7 +19,7 @@
 }
 
 // Relays implements relay.Peers.
-func (k *Keeper) Relays() []string {
+func (k *Controller) Relays() []string {
 	m := k.server.Map()
 	if m == nil {
 		return nil
@@ -28,10 +28,10 @@
 }
 
 // Gathering implements relay.Peers: members ask those before them, with slots or without.
-func (k *Keeper) Gathering() bool { return false }
+func (k *Controller) Gathering() bool { return false }
 
 // Relaying implements relay.Peers. Where none is known to ask, nobody relays for this member.
-func (k *Keeper) Relaying() bool {
+func (k *Controller) Relaying() bool {
 	m := k.server.Map()
 	if m == nil {
 		return true
@@ -40,7 +40,7 @@
 }
 
 // Ask implements relay.Peers.
-func (k *Keeper) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+func (k *Controller) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	m := k.server.Map()
 	if m == nil {
 		return nil, failure.New(failure.PeerUnavailable, "no slot map")
--- a/daemon/history/write.go
+++ b/daemon/history/write.go
@@ -44,7 +44,7 @@
 
 // newBoth returns a function that calls done on its second call, with the first
 // error of the two.
-func newBoth(done wal.Done) wal.Done {
+func newBoth(done wal.DoneFunc) wal.DoneFunc {
 	var mu sync.Mutex
 	var first error
 	calls := 0
@@ -70,7 +70,7 @@
 }
 
 // Store makes records durable, then applies them.
-func (s *Server) Store(records []*historypb.Record, done wal.Done) {
+func (s *Server) Store(records []*historypb.Record, done wal.DoneFunc) {
 	began := time.Now()
 	s.log.Append(records, func(err error) {
 		if err != nil {
--- a/daemon/wal/trim.go
+++ b/daemon/wal/trim.go
@@ -8,9 +8,9 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Oldest returns the programs with records in the oldest segment and when the last
+// OldestSegment returns the programs with records in the oldest segment and when the last
 // of these records expires, if there is a segment besides the one being written.
-func (l *Log) Oldest() (programs []string, expiresMs int64, ok bool) {
+func (l *Log) OldestSegment() (programs []string, expiresMs int64, ok bool) {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
 	if len(l.segments) < 2 {
@@ -23,9 +23,9 @@
 	return programs, s.expiresMs, true
 }
 
-// DropOldest removes the oldest segment. What was live in it must have been
+// DropOldestSegment removes the oldest segment. What was live in it must have been
 // appended anew and be durable.
-func (l *Log) DropOldest() error {
+func (l *Log) DropOldestSegment() error {
 	l.segMu.Lock()
 	if len(l.segments) < 2 {
 		l.segMu.Unlock()
@@ -41,8 +41,8 @@
 	return SyncDir(l.dir)
 }
 
-// Bytes is the size of all segments.
-func (l *Log) Bytes() int64 {
+// TotalBytes is the size of all segments.
+func (l *Log) TotalBytes() int64 {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
 	total := int64(0)
--- a/daemon/wal/wal.go
+++ b/daemon/wal/wal.go
@@ -46,26 +46,26 @@
 	Sync() error
 }
 
-// Create makes a new segment file. Tests put in disks that are slow or full.
-type Create func(name string) (File, error)
+// CreateFunc makes a new segment file. Tests put in disks that are slow or full.
+type CreateFunc func(name string) (File, error)
 
 // CreateFile is Create on the real disk.
 func CreateFile(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-// Done is told once whether a group of records is durable.
-type Done func(err error)
+// DoneFunc is told once whether a group of records is durable.
+type DoneFunc func(err error)
 
 type group struct {
 	records []*historypb.Record
-	done    Done
+	done    DoneFunc
 }
 
 // Log is an open write-ahead log. Safe for concurrent use.
 type Log struct {
 	dir    string
-	create Create
+	create CreateFunc
 
 	mu     sync.Mutex
 	wake   *sync.Cond
@@ -97,7 +97,7 @@
 }
 
 // Open replays the log in dir into apply and returns it ready for appends.
-func Open(dir string, create Create, apply func(*historypb.Record)) (*Log, []Damage, error) {
+func Open(dir string, create CreateFunc, apply func(*historypb.Record)) (*Log, []Damage, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, failure.Wrap(err, failure.Corrupt, "data folder")
 	}
@@ -198,7 +198,7 @@
 }
 
 // Append queues records and returns at once; done is called from the writer.
-func (l *Log) Append(records []*historypb.Record, done Done) {
+func (l *Log) Append(records []*historypb.Record, done DoneFunc) {
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
