--- a/daemon/wal/bench_test.go
+++ b/daemon/wal/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/pistachioarch/pistachioarch/core/historypb"
 )
 
-// BenchmarkAppend is one durable record after the other, and many at once.
+// BenchmarkAppend appends durable records from one writer and from many at once.
 func BenchmarkAppend(b *testing.B) {
 	for name, writers := range map[string]int{"writers=1": 1, "writers=64": 64} {
 		b.Run(name, func(b *testing.B) {
--- a/daemon/wal/trim.go
+++ b/daemon/wal/trim.go
@@ -8,8 +8,9 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// OldestSegment returns the programs with records in the oldest segment and when the last
-// of these records expires, if there is a segment besides the one being written.
+// OldestSegment returns the programs with records in the oldest segment and when the last of
+// these records expires, in Unix milliseconds. ok is false if only the segment being written
+// exists.
 func (l *Log) OldestSegment() (programs []string, expiresMs int64, ok bool) {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
@@ -23,8 +24,8 @@
 	return programs, s.expiresMs, true
 }
 
-// DropOldestSegment removes the oldest segment. What was live in it must have been
-// appended anew and be durable.
+// DropOldestSegment removes the oldest segment unless it is the one being written. The caller
+// must have appended its live records again and waited until they are durable.
 func (l *Log) DropOldestSegment() error {
 	l.segMu.Lock()
 	if len(l.segments) < 2 {
@@ -34,14 +35,14 @@
 	s := l.segments[0]
 	l.segments = l.segments[1:]
 	l.segMu.Unlock()
-	name := filepath.Join(l.dir, fmt.Sprintf("%016d%s", s.number, suffix))
+	name := filepath.Join(l.dir, fmt.Sprintf("%016d%s", s.number, segmentSuffix))
 	if err := os.Remove(name); err != nil {
 		return failure.Wrap(err, failure.Suspended, "remove segment")
 	}
 	return SyncDir(l.dir)
 }
 
-// TotalBytes is the size of all segments.
+// TotalBytes returns the size of all segments.
 func (l *Log) TotalBytes() int64 {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
--- a/daemon/wal/wal_test.go
+++ b/daemon/wal/wal_test.go
@@ -12,13 +12,14 @@
 	"github.com/pistachioarch/pistachioarch/core/historypb"
 )
 
+// record returns a record with a turn of size bytes.
 func record(program string, size int) *historypb.Record {
 	return &historypb.Record{Program: program, ExpiresMs: 7, Change: &historypb.Record_Turn{
 		Turn: &historypb.Turn{Turn: "t-" + program, Content: make([]byte, size)},
 	}}
 }
 
-// open opens the log and returns the programs replayed, in order.
+// open opens the log and returns the programs of the replayed records, in order.
 func open(t *testing.T, dir string) (*Log, []string, []Damage) {
 	t.Helper()
 	var replayed []string
@@ -27,6 +28,7 @@
 	return l, replayed, damage
 }
 
+// appendWait appends records and waits until they are durable or the append failed.
 func appendWait(l *Log, records ...*historypb.Record) error {
 	done := make(chan error, 1)
 	l.Append(records, func(err error) { done <- err })
@@ -40,7 +42,7 @@
 	return names
 }
 
-func TestReplayGivesWhatWasDurable(t *testing.T) {
+func TestReplayReturnsDurableRecords(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := open(t, dir)
 	for i := range 20 {
@@ -58,7 +60,7 @@
 	}()).Kind)
 }
 
-func TestTornTailIsReportedAndTheRestServes(t *testing.T) {
+func TestTornTailIsReportedAndEarlierRecordsAreReplayed(t *testing.T) {
 	for _, cut := range []int{1, 7, 60} {
 		dir := t.TempDir()
 		l, _, _ := open(t, dir)
@@ -77,11 +79,11 @@
 		l.Close()
 		l, replayed, _ = open(t, dir)
 		l.Close()
-		require.Equal(t, []string{"kept", "after"}, replayed, "what follows a torn tail lies in a new segment")
+		require.Equal(t, []string{"kept", "after"}, replayed, "records after a torn tail are in a new segment")
 	}
 }
 
-func TestFlippedBitEndsItsSegmentOnly(t *testing.T) {
+func TestFlippedBitEndsReplayOfItsSegment(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := open(t, dir)
 	require.NoError(t, appendWait(l, record("a", 50)))
@@ -98,11 +100,11 @@
 	require.Len(t, damage, 1)
 }
 
-func TestFailedWritePoisonsItsSegment(t *testing.T) {
+func TestFailedWriteStartsNewSegment(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := open(t, dir)
 	require.NoError(t, appendWait(l, record("a", 10)))
-	// The next write fails as on a disk that refuses it.
+	// Makes the next write fail, as on a disk with errors.
 	require.NoError(t, l.file.Close())
 	err := appendWait(l, record("refused", 10))
 	require.Equal(t, failure.Suspended, failure.From(err).Kind)
@@ -114,10 +116,10 @@
 	require.Equal(t, []string{"a", "b"}, replayed)
 }
 
-func TestOldSegmentsAreDroppedAfterTheirLiveRecordsWereCarried(t *testing.T) {
+func TestDroppedSegmentKeepsReappendedRecords(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := open(t, dir)
-	require.NoError(t, appendWait(l, record("old", segmentBytes)))
+	require.NoError(t, appendWait(l, record("old", rotationBytes)))
 	require.NoError(t, appendWait(l, record("new", 10)))
 	programs, expires, ok := l.OldestSegment()
 	require.True(t, ok)
@@ -125,7 +127,7 @@
 	require.EqualValues(t, 7, expires)
 	require.NoError(t, appendWait(l, record("old", 20)))
 	require.NoError(t, l.DropOldestSegment())
-	require.Less(t, l.TotalBytes(), int64(segmentBytes))
+	require.Less(t, l.TotalBytes(), int64(rotationBytes))
 	_, _, ok = l.OldestSegment()
 	require.False(t, ok, "the segment being written stays")
 	l.Close()
@@ -147,11 +149,11 @@
 	f.Add(content)
 	f.Add([]byte{0, 0, 0, 1, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, content []byte) {
-		path := filepath.Join(t.TempDir(), "x"+suffix)
+		path := filepath.Join(t.TempDir(), "x"+segmentSuffix)
 		require.NoError(t, os.WriteFile(path, content, 0o644))
 		seg := &segment{programs: map[string]bool{}}
 		_, err := replay(path, seg, func(*historypb.Record) {})
-		require.NoError(t, err, "damage is no error")
+		require.NoError(t, err, "damage is not an error")
 		require.LessOrEqual(t, seg.size, int64(len(content)))
 	})
 }
