--- a/daemon/history/admit.go
+++ b/daemon/history/admit.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// admitTries is how often a member tries to admit itself before it asks another one to:
-	// of many that start together one gets ahead of all others at a time, and each try costs
-	// the platform two calls.
-	admitTries = 1
-	// admitPatience is how long it waits for that: some steps of the other member.
-	admitPatience = time.Second
+	// maxAdmitAttempts bounds the attempts of a member to admit itself before it asks another
+	// member to: of many members that start together, one updates the map ahead of all others
+	// each time, and each attempt costs the platform two calls.
+	maxAdmitAttempts = 1
+	// admissionTimeout is the time that a member then waits to be admitted: several reconcile
+	// intervals of the other member.
+	admissionTimeout = time.Second
 )
 
-// applicants are the hosts that asked to be admitted. Safe for concurrent use.
-type applicants struct {
-	mu   sync.Mutex
-	list []placement.Member
+// admissionQueue holds the hosts that asked to be admitted. Safe for concurrent use.
+type admissionQueue struct {
+	mu      sync.Mutex
+	members []placement.Member
 }
 
-func (a *applicants) add(x *historypb.Admit) {
+func (a *admissionQueue) add(request *historypb.Admit) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.list = append(a.list, placement.Member{ID: x.Id, Host: x.Host, Address: x.Address, DataCentre: x.DataCentre, Region: x.Region})
+	a.members = append(a.members, placement.Member{ID: request.Id, Host: request.Host, Address: request.Address, DataCentre: request.DataCentre, Region: request.Region})
 }
 
-// take returns the applicants and forgets them: who is not admitted asks again.
-func (a *applicants) take() []placement.Member {
+// drain empties the queue and returns its members. A member that is not admitted asks again.
+func (a *admissionQueue) drain() []placement.Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	list := a.list
-	a.list = nil
-	return list
+	members := a.members
+	a.members = nil
+	return members
 }
 
-// enter makes this member one of the map's: by itself, or where others are always faster, with
-// the help of the first member, which admits all that ask it at once.
-func (k *Controller) enter(ctx context.Context, m *placement.Map) {
-	if time.Since(k.applied) < admitPatience {
+// admitSelf adds this member to the map: by itself, or if other members update the map first each
+// time, through the member with the lowest ID, which admits all that ask it at once.
+func (c *Controller) admitSelf(ctx context.Context, m *placement.Map) {
+	if time.Since(c.admissionRequestedAt) < admissionTimeout {
 		return
 	}
-	late := k.changeWithin(ctx, admitTries, "member admitted", func(m *placement.Map) bool { return m.Admit(k.self) })
-	if !late {
+	conflicted := c.updateMapWithin(ctx, maxAdmitAttempts, "member admitted", func(m *placement.Map) bool { return m.Admit(c.self) })
+	if !conflicted {
 		return
 	}
-	if err := k.apply(ctx, m); err != nil {
-		k.logger.Warn("not admitted by another member", "error", err.Error())
+	if err := c.requestAdmission(ctx, m); err != nil {
+		c.logger.Warn("admission request failed", "error", err.Error())
 		return
 	}
-	k.applied = time.Now()
+	c.admissionRequestedAt = time.Now()
 }
 
-// apply asks the first member to admit this one.
-func (k *Controller) apply(ctx context.Context, m *placement.Map) error {
+// requestAdmission asks the member with the lowest ID to admit this one.
+func (c *Controller) requestAdmission(ctx context.Context, m *placement.Map) error {
 	ids := slices.Sorted(maps.Keys(m.Members))
 	if len(ids) == 0 {
-		return failure.New(failure.PeerUnavailable, "no member is known")
+		return failure.New(failure.PeerUnavailable, "slot map has no members")
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	reply, err := k.peers.pool.Client(m.Members[ids[0]].Address).Call(ctx, &historypb.Request{
+	reply, err := c.peers.pool.Client(m.Members[ids[0]].Address).Call(ctx, &historypb.Request{
 		Member: ids[0], Call: &historypb.Request_Admit{Admit: &historypb.Admit{
-			Id: k.self.ID, Host: k.self.Host, Address: k.self.Address, DataCentre: k.self.DataCentre, Region: k.self.Region,
+			Id: c.self.ID, Host: c.self.Host, Address: c.self.Address, DataCentre: c.self.DataCentre, Region: c.self.Region,
 		}},
 	})
 	if err == nil && reply.Status != historypb.Status_STATUS_OK {
@@ -78,17 +79,18 @@
 	return err
 }
 
-// admit admits those that asked this member. A host that has a member already is left to admit
-// its newer one by itself: what it asked long ago must not displace a member of a later disk.
-func (k *Controller) admit(ctx context.Context) {
-	list := k.server.applicants.take()
-	if len(list) == 0 {
+// admitQueued admits the hosts in the queue, except those that have a member in the map already:
+// such a host admits its newer member itself, so that a delayed request of an earlier disk does
+// not displace the member of a later one.
+func (c *Controller) admitQueued(ctx context.Context) {
+	members := c.server.admissions.drain()
+	if len(members) == 0 {
 		return
 	}
-	k.change(ctx, "members admitted", func(m *placement.Map) bool {
+	c.updateMap(ctx, "members admitted", func(m *placement.Map) bool {
 		changed := false
-		for _, x := range list {
-			changed = !m.HasMemberOnHost(x.Host) && m.Admit(x) || changed
+		for _, member := range members {
+			changed = !m.HasMemberOnHost(member.Host) && m.Admit(member) || changed
 		}
 		return changed
 	})
--- a/daemon/history/doc.go
+++ b/daemon/history/doc.go
@@ -1,11 +1,11 @@
-// Package history is the role of a history host: it keeps turns and budgets of
-// programs on its disk and answers entry hosts.
+// Package history implements the history host: it stores turns and budgets of programs on its
+// disk and answers entry hosts.
 //
 //	entry host -> rpc -> Server -> wal (synced) -> ledger -> reply
 //	                      ^
-//	platform object <-> Keeper (slot map, joining, retirement)
+//	platform object <-> Controller (slot map, joining, retirement)
 //
-// The server decides nothing about placement: it holds what the slot map gives
-// it and refuses writers whose map is older than a slot's last change. The keeper
-// changes the map when members come and go.
+// The server makes no placement decisions: it holds the slots that the slot map assigns to it and
+// rejects writers whose map is older than the slot's last change. The controller updates the map
+// when members join or leave.
 package history
--- a/daemon/history/guard.go
+++ b/daemon/history/guard.go
@@ -8,61 +8,63 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// lostAfter is how long a member must be silent before slots go on without it: two
-// probes, so that a process that pauses is not left out for nothing. With the wait for the
-// first probe, the part of the hosts that is left of a cut goes on after 1.1 s or less.
-const lostAfter = 300 * time.Millisecond
+// demotionTimeout is how long members must be silent before slots continue without them: two
+// probes, so that a process that pauses briefly is not left out needlessly. With the wait for the
+// first probe, the hosts that remain after a network partition continue within 1.1 s.
+const demotionTimeout = 300 * time.Millisecond
 
-// arrange keeps slots able to go on when a data centre is cut off: crowded ones are
-// made to span, and those whose crowded data centre is silent go on without it.
-func (k *Controller) arrange(ctx context.Context, m *placement.Map) {
-	silent := k.peers.silentFor()
-	// A host that was emptied and taken away is silent and of no matter.
-	maps.DeleteFunc(silent, func(id string, _ time.Duration) bool { return !m.IsInUse(id) })
-	if len(silent) == 0 {
-		if k.acts(m, k.peers.silentFor()) {
-			k.change(ctx, "crowded slots span", func(m *placement.Map) bool { return m.SpanCrowdedSlots() })
+// adjustCrowdedSlots keeps slots available when a data centre is cut off. If all members answer,
+// the coordinator makes crowded slots spanning. Otherwise the replicas of a crowded data centre
+// that is silent are demoted, and the need for silent outside replicas ends.
+func (c *Controller) adjustCrowdedSlots(ctx context.Context, m *placement.Map) {
+	silentFor := c.peers.silenceDurations()
+	// Ignores members without slots: a host that was emptied and taken away stays silent.
+	maps.DeleteFunc(silentFor, func(id string, _ time.Duration) bool { return !m.IsInUse(id) })
+	if len(silentFor) == 0 {
+		if c.isCoordinator(m, c.peers.silenceDurations()) {
+			c.updateMap(ctx, "crowded slots span", func(m *placement.Map) bool { return m.SpanCrowdedSlots() })
 		}
 		return
 	}
-	lost := map[string]bool{}
-	for id, since := range silent {
-		if since >= lostAfter {
-			lost[id] = true
+	silentMembers := map[string]bool{}
+	for id, duration := range silentFor {
+		if duration >= demotionTimeout {
+			silentMembers[id] = true
 		}
 	}
-	if len(lost) == 0 {
+	if len(silentMembers) == 0 {
 		return
 	}
-	k.change(ctx, "replicas of a silent data centre left out", func(m *placement.Map) bool { return m.Demote(lost) })
-	k.change(ctx, "slots go on without those outside", func(m *placement.Map) bool { return m.UnspanSlots(lost) })
+	c.updateMap(ctx, "replicas of a silent data centre left out", func(m *placement.Map) bool { return m.Demote(silentMembers) })
+	c.updateMap(ctx, "slots go on without those outside", func(m *placement.Map) bool { return m.UnspanSlots(silentMembers) })
 }
 
-// prepare makes a member that joins guarded slots ready for it: its acknowledgement is
-// required from then on, and where no active replica is left, it takes what is kept
-// at the platform. It reports whether the copy may begin.
-func (k *Controller) prepare(ctx context.Context, m *placement.Map) bool {
-	k.change(ctx, "joining replica required", func(m *placement.Map) bool { return m.RequireAck(k.self.ID) })
-	if !k.orphaned(m) {
+// prepareGuardedCopy prepares the copy of guarded slots that this member joins: it makes the
+// acknowledgement of this member required, and loads the platform copies if a slot has no active
+// replica left. It reports whether the copy may start.
+func (c *Controller) prepareGuardedCopy(ctx context.Context, m *placement.Map) bool {
+	c.updateMap(ctx, "joining replica required", func(m *placement.Map) bool { return m.RequireAck(c.self.ID) })
+	if !c.joinsSlotWithoutActiveReplica(m) {
 		return true
 	}
-	records, err := loadKept(ctx, k.store)
+	records, err := loadPlatformCopies(ctx, c.store)
 	if err == nil {
-		err = k.keep(records)
+		err = c.storeRecords(records)
 	}
 	if err != nil {
-		k.logger.Warn("kept records not loaded", "error", err.Error())
+		c.logger.Warn("kept records not loaded", "error", err.Error())
 		return false
 	}
-	k.logger.Info("kept records loaded", "records", len(records))
+	c.logger.Info("kept records loaded", "records", len(records))
 	return true
 }
 
-// orphaned reports whether this member joins a guarded slot without active replicas.
-func (k *Controller) orphaned(m *placement.Map) bool {
+// joinsSlotWithoutActiveReplica reports whether this member joins a guarded slot that has no
+// active replica.
+func (c *Controller) joinsSlotWithoutActiveReplica(m *placement.Map) bool {
 	for i := range m.Slots {
 		s := &m.Slots[i]
-		r, in := s.Replica(k.self.ID)
+		r, in := s.Replica(c.self.ID)
 		if in && r.Joining && s.Guarded && s.ActiveCount() == 0 {
 			return true
 		}
@@ -70,26 +72,27 @@
 	return false
 }
 
-// tidy removes what is kept at the platform once no slot needs it.
-func (k *Controller) tidy(ctx context.Context, m *placement.Map) {
+// removePlatformCopies removes the platform copies once no slot is guarded. Members that have
+// created copies and the coordinator do so.
+func (c *Controller) removePlatformCopies(ctx context.Context, m *placement.Map) {
 	if m.AnyGuarded() {
-		k.tidied = false
+		c.platformCopiesRemoved = false
 		return
 	}
-	if k.kept != nil && k.kept.untidy() {
-		k.tidied = false // by this member, also if another one acts
-	} else if k.tidied || !k.acts(m, k.peers.silentFor()) {
+	if c.platformCopies != nil && c.platformCopies.takeCreated() {
+		c.platformCopiesRemoved = false // this member removes its copies even if it is not the coordinator
+	} else if c.platformCopiesRemoved || !c.isCoordinator(m, c.peers.silenceDurations()) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	n, err := dropKept(ctx, k.store, m.Epoch)
+	n, err := deletePlatformCopies(ctx, c.store, m.Epoch)
 	if err != nil {
-		k.logger.Warn("kept records not removed", "error", err.Error())
+		c.logger.Warn("kept records not removed", "error", err.Error())
 		return
 	}
-	k.tidied = true
+	c.platformCopiesRemoved = true
 	if n > 0 {
-		k.logger.Info("kept records removed", "objects", n)
+		c.logger.Info("kept records removed", "objects", n)
 	}
 }
--- a/daemon/history/identity.go
+++ b/daemon/history/identity.go
@@ -15,47 +15,48 @@
 	"github.com/pistachioarch/pistachioarch/daemon/wal"
 )
 
+// Files in the data directory, and the length of a random member ID.
 const (
 	memberFile = "member"
 	mapFile    = "slots.json"
 	idBytes    = 8
 )
 
-// loadMember returns the identity of the disk, making one on an empty disk.
+// loadMember returns the member ID stored on the disk, or stores a new one on an empty disk.
 func loadMember(dir string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(dir, memberFile))
 	if err == nil && len(text) > 0 {
 		return strings.TrimSpace(string(text)), nil
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return "", failure.Wrap(err, failure.Corrupt, "member file")
+		return "", failure.Wrap(err, failure.Corrupt, "read member file")
 	}
 	raw := make([]byte, idBytes)
 	if _, err := rand.Read(raw); err != nil {
-		return "", failure.Wrap(err, failure.Internal, "random member id")
+		return "", failure.Wrap(err, failure.Internal, "generate member ID")
 	}
 	id := hex.EncodeToString(raw)
 	return id, writeFile(dir, memberFile, []byte(id))
 }
 
-// loadMap returns the last slot map that this disk has seen, or nil.
+// loadMap returns the last slot map stored on this disk, or nil.
 func loadMap(dir string) (*placement.Map, error) {
 	text, err := os.ReadFile(filepath.Join(dir, mapFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "slot map file")
+		return nil, failure.Wrap(err, failure.Corrupt, "read slot map file")
 	}
 	m := &placement.Map{}
 	if err := json.Unmarshal(text, m); err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "slot map file")
+		return nil, failure.Wrap(err, failure.Corrupt, "decode slot map file")
 	}
 	return m, nil
 }
 
-// writeFile replaces a file so that after a loss of power the old or the new
-// content is there.
+// writeFile replaces a file atomically: after a power loss it has either the old or the new
+// content.
 func writeFile(dir, name string, content []byte) error {
 	temp := filepath.Join(dir, name+".new")
 	f, err := os.Create(temp)
--- a/daemon/history/join.go
+++ b/daemon/history/join.go
@@ -14,122 +14,124 @@
 const (
 	// pageTimeout bounds the wait for one page of a copy.
 	pageTimeout = 2 * time.Second
-	// copiesAtOnce is how many slots are copied at a time: enough that the wait for a
-	// page and for the disk is not what bounds a copy.
-	copiesAtOnce = 4
+	// maxConcurrentCopies bounds the slots that are copied at a time: enough that the copy is not
+	// limited by the latency of pages and of the disk.
+	maxConcurrentCopies = 4
 )
 
-// join copies the slots in which this member is joining and marks those that are
-// complete as active.
-func (k *Controller) join(ctx context.Context, m *placement.Map) {
+// copyJoiningSlots copies the slots whose replica on this member is joining or syncing, and marks
+// the complete ones as active.
+func (c *Controller) copyJoiningSlots(ctx context.Context, m *placement.Map) {
 	if m.AnyGuarded() {
-		if !k.prepare(ctx, m) {
+		if !c.prepareGuardedCopy(ctx, m) {
 			return
 		}
-		m = k.server.Map()
+		m = c.server.Map()
 	}
-	c := &copies{copied: map[int]uint64{}}
-	started := time.Now()
-	places := make(chan struct{}, copiesAtOnce)
-	var all sync.WaitGroup
+	progress := &copyProgress{epochs: map[int]uint64{}}
+	startedAt := time.Now()
+	concurrency := make(chan struct{}, maxConcurrentCopies)
+	var copying sync.WaitGroup
 	for i := range m.Slots {
-		r, in := m.Slots[i].Replica(k.self.ID)
+		r, in := m.Slots[i].Replica(c.self.ID)
 		if !in || !r.NeedsCopy() {
 			continue
 		}
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
-			n, err := k.copySlot(ctx, m, i)
+		concurrency <- struct{}{}
+		copying.Go(func() {
+			defer func() { <-concurrency }()
+			n, err := c.copySlot(ctx, m, i)
 			if err != nil {
-				k.logger.Warn("slot not copied", "slot", i, "epoch", m.Epoch, "error", err.Error())
+				c.logger.Warn("slot not copied", "slot", i, "epoch", m.Epoch, "error", err.Error())
 				return
 			}
-			c.add(i, m.Slots[i].ChangedEpoch, n)
+			progress.add(i, m.Slots[i].ChangedEpoch, n)
 		})
 	}
-	all.Wait()
-	if len(c.copied) == 0 {
+	copying.Wait()
+	if len(progress.epochs) == 0 {
 		return
 	}
-	k.logger.Info("slots copied", "slots", len(c.copied), "records", c.records, "took_ms", time.Since(started).Milliseconds())
-	k.change(ctx, "slots active", func(m *placement.Map) bool { return m.Activate(k.self.ID, c.copied) })
+	c.logger.Info("slots copied", "slots", len(progress.epochs), "records", progress.records, "took_ms", time.Since(startedAt).Milliseconds())
+	c.updateMap(ctx, "slots active", func(m *placement.Map) bool { return m.Activate(c.self.ID, progress.epochs) })
 }
 
-// copies collects what was copied: slots, with the epoch of their last change.
-type copies struct {
+// copyProgress collects the copied slots, each with the epoch of its last change, and the number
+// of records. Safe for concurrent use.
+type copyProgress struct {
 	mu      sync.Mutex
-	copied  map[int]uint64
+	epochs  map[int]uint64
 	records int
 }
 
-func (c *copies) add(slot int, epoch uint64, records int) {
+func (c *copyProgress) add(slot int, epoch uint64, records int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.copied[slot] = epoch
+	c.epochs[slot] = epoch
 	c.records += records
 }
 
-// copySlot copies slot i from as many members as surely hold all of it, from each
-// what those before did not have, so that a lost disk is whole again within the few seconds
-// that are allowed for it.
-func (k *Controller) copySlot(ctx context.Context, m *placement.Map, i int) (records int, err error) {
-	from, need := m.CopySources(i, k.self.ID)
-	for _, id := range from {
-		if need == 0 {
+// copySlot copies a slot from as many members as surely hold all of it together, and from each of
+// them only what the earlier ones lacked, so that a lost disk is restored within the few seconds
+// allowed for it.
+func (c *Controller) copySlot(ctx context.Context, m *placement.Map, slot int) (records int, err error) {
+	sources, missing := m.CopySources(slot, c.self.ID)
+	for _, id := range sources {
+		if missing == 0 {
 			break
 		}
-		n, copyErr := k.copyFrom(ctx, m, i, m.Members[id])
+		n, copyErr := c.copyFromSource(ctx, m, slot, m.Members[id])
 		records += n
 		if copyErr != nil {
 			err = copyErr
 			continue
 		}
-		need--
+		missing--
 	}
-	if need > 0 {
-		return 0, failure.Wrap(err, failure.PeerUnavailable, "%d sources missing", need)
+	if missing > 0 {
+		return 0, failure.Wrap(err, failure.PeerUnavailable, "copy lacks %d sources", missing)
 	}
 	return records, nil
 }
 
-// copyFrom copies the programs of a slot of which the source has other records than
-// this member.
-func (k *Controller) copyFrom(ctx context.Context, m *placement.Map, i int, from placement.Member) (int, error) {
-	total, after := 0, ""
+// copyFromSource copies the programs of a slot for which the source has other records than this
+// member. It returns the number of copied records.
+func (c *Controller) copyFromSource(ctx context.Context, m *placement.Map, slot int, source placement.Member) (int, error) {
+	total, afterProgram := 0, ""
 	for {
-		reply, err := k.page(ctx, m, i, from, &historypb.Copy{After: after})
+		reply, err := c.requestPage(ctx, m, slot, source, &historypb.Copy{After: afterProgram})
 		if err != nil {
 			return total, err
 		}
-		n, err := k.fetch(ctx, m, i, from, k.differing(reply.Digests))
+		n, err := c.copyPrograms(ctx, m, slot, source, c.differingPrograms(reply.Digests))
 		total += n
 		if err != nil || !reply.More {
 			return total, err
 		}
-		after = reply.Digests[len(reply.Digests)-1].Program
+		afterProgram = reply.Digests[len(reply.Digests)-1].Program
 	}
 }
 
-// differing returns the programs whose digest here is another.
-func (k *Controller) differing(digests []*historypb.Digest) []string {
-	var names []string
+// differingPrograms returns the programs whose digest differs from that on this member.
+func (c *Controller) differingPrograms(digests []*historypb.Digest) []string {
+	var programs []string
 	for _, d := range digests {
-		if k.server.digest(d.Program) != d.Digest {
-			names = append(names, d.Program)
+		if c.server.digest(d.Program) != d.Digest {
+			programs = append(programs, d.Program)
 		}
 	}
-	return names
+	return programs
 }
 
-// fetch copies some programs.
-func (k *Controller) fetch(ctx context.Context, m *placement.Map, i int, from placement.Member, names []string) (total int, err error) {
-	for len(names) > 0 {
-		reply, err := k.page(ctx, m, i, from, &historypb.Copy{Programs: names})
+// copyPrograms copies all records of programs from source, page by page, and returns their
+// number.
+func (c *Controller) copyPrograms(ctx context.Context, m *placement.Map, slot int, source placement.Member, programs []string) (total int, err error) {
+	for len(programs) > 0 {
+		reply, err := c.requestPage(ctx, m, slot, source, &historypb.Copy{Programs: programs})
 		if err != nil {
 			return total, err
 		}
-		if err := k.keep(reply.Records); err != nil {
+		if err := c.storeRecords(reply.Records); err != nil {
 			return total, err
 		}
 		total += len(reply.Records)
@@ -137,32 +139,33 @@
 			return total, nil
 		}
 		last := reply.Records[len(reply.Records)-1].Program
-		names = names[slices.Index(names, last)+1:]
+		programs = programs[slices.Index(programs, last)+1:]
 	}
 	return total, nil
 }
 
-func (k *Controller) page(ctx context.Context, m *placement.Map, i int, from placement.Member, what *historypb.Copy) (*historypb.Reply, error) {
+// requestPage requests one page of digests or records from source.
+func (c *Controller) requestPage(ctx context.Context, m *placement.Map, slot int, source placement.Member, request *historypb.Copy) (*historypb.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	reply, err := k.peers.pool.Client(from.Address).Call(ctx, &historypb.Request{
-		Member: from.ID, Slot: uint32(i), Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: what},
+	reply, err := c.peers.pool.Client(source.Address).Call(ctx, &historypb.Request{
+		Member: source.ID, Slot: uint32(slot), Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: request},
 	})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Status != historypb.Status_STATUS_OK {
-		return nil, failure.New(failure.PeerUnavailable, "member %s: %s", from.ID, reply.Status)
+		return nil, failure.New(failure.PeerUnavailable, "member %s: %s", source.ID, reply.Status)
 	}
 	return reply, nil
 }
 
-// keep makes copied records durable here.
-func (k *Controller) keep(records []*historypb.Record) error {
+// storeRecords makes copied records durable on this member.
+func (c *Controller) storeRecords(records []*historypb.Record) error {
 	if len(records) == 0 {
 		return nil
 	}
 	done := make(chan error, 1)
-	k.server.Store(records, func(err error) { done <- err })
+	c.server.Store(records, func(err error) { done <- err })
 	return <-done
 }
--- a/daemon/history/join_test.go
+++ b/daemon/history/join_test.go
@@ -14,8 +14,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// members starts n history hosts on loopback; the last of them is joining all slots.
-func members(t *testing.T, n int) ([]*Server, *placement.Map) {
+// startMembers starts n history hosts on loopback; the replicas of the last one are all joining.
+func startMembers(t *testing.T, n int) ([]*Server, *placement.Map) {
 	var servers []*Server
 	m := placement.New(1)
 	for i := range n {
@@ -41,8 +41,8 @@
 	return servers, m
 }
 
-// programsOf returns n names of one slot.
-func programsOf(slot uint32, n int) []string {
+// programsInSlot returns n names of programs in one slot.
+func programsInSlot(slot uint32, n int) []string {
 	var names []string
 	for i := 0; len(names) < n; i++ {
 		if name := fmt.Sprintf("p%d", i); placement.GlobalSlotOf(name) == slot {
@@ -52,40 +52,40 @@
 	return names
 }
 
-func TestACopyTakesFromEachSourceOnlyWhatIsMissing(t *testing.T) {
-	servers, m := members(t, 3)
+func TestCopyTransfersOnlyMissingRecords(t *testing.T) {
+	servers, m := startMembers(t, 3)
 	const slot = 7
-	names := programsOf(slot, 40)
-	hold := func(s *Server, names []string) {
+	names := programsInSlot(slot, 40)
+	store := func(s *Server, names []string) {
 		for _, p := range names {
-			req := writeOf(s, m.Epoch, p, "t"+p, 1<<60)
+			req := writeRequest(s, m.Epoch, p, "t"+p, 1<<60)
 			require.Equal(t, historypb.Status_STATUS_OK, ask(s, req).Status)
 		}
 	}
-	hold(servers[0], names[:30])
-	hold(servers[1], names[10:]) // twenty in common, ten that the first lacks
+	store(servers[0], names[:30])
+	store(servers[1], names[10:]) // 20 shared with the first source, 10 that it lacks
 	joiner := servers[2]
-	hold(joiner, names[:5])
+	store(joiner, names[:5])
 	self := m.Members[joiner.MemberID()]
-	k := NewController(joiner, nil, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
-	records, err := k.copySlot(t.Context(), m, slot)
+	c := NewController(joiner, nil, self, 1, nil, &net.Dialer{}, log.New(io.Discard))
+	records, err := c.copySlot(t.Context(), m, slot)
 	require.NoError(t, err)
-	require.Equal(t, 35, records, "forty less the five that it had")
+	require.Equal(t, 35, records, "40 programs less the 5 that the joiner has")
 	for _, p := range names {
-		require.Len(t, ask(joiner, readOf(joiner, m.Epoch, p, "t"+p)).Chain, 1, p)
+		require.Len(t, ask(joiner, readRequest(joiner, m.Epoch, p, "t"+p)).Chain, 1, p)
 	}
-	records, err = k.copySlot(t.Context(), m, slot)
+	records, err = c.copySlot(t.Context(), m, slot)
 	require.NoError(t, err)
-	require.Zero(t, records, "a second try copies nothing again")
+	require.Zero(t, records, "a second copy transfers nothing")
 }
 
-func TestACopyNeedsEnoughSources(t *testing.T) {
-	servers, m := members(t, 3)
+func TestCopyFailsWithTooFewSources(t *testing.T) {
+	servers, m := startMembers(t, 3)
 	joiner := servers[2]
-	k := NewController(joiner, nil, m.Members[joiner.MemberID()], 1, nil, &net.Dialer{}, log.New(io.Discard))
-	gone := m.Members[servers[1].MemberID()]
-	gone.Address = "127.0.0.1:1"
-	m.Members[gone.ID] = gone
-	_, err := k.copySlot(t.Context(), m, 7)
-	require.ErrorContains(t, err, "1 sources missing")
+	c := NewController(joiner, nil, m.Members[joiner.MemberID()], 1, nil, &net.Dialer{}, log.New(io.Discard))
+	unreachable := m.Members[servers[1].MemberID()]
+	unreachable.Address = "127.0.0.1:1"
+	m.Members[unreachable.ID] = unreachable
+	_, err := c.copySlot(t.Context(), m, 7)
+	require.ErrorContains(t, err, "copy lacks 1 sources")
 }
--- a/daemon/history/loads.go
+++ b/daemon/history/loads.go
@@ -8,37 +8,38 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-// loadBoard is what the hosts that report to this member know together of the targets. It is
-// in memory only: hosts say everything again to a member that has started anew.
+// loadBoard merges the loads of targets that hosts report to this member. It is kept in memory
+// only: after a restart of the member, hosts report all loads again.
 type loadBoard struct {
 	mu    sync.Mutex
 	board *loads.Board
 }
 
-func newLoadBoard() *loadBoard { return &loadBoard{board: loads.NewBoard(drawID())} }
+func newLoadBoard() *loadBoard { return &loadBoard{board: loads.NewBoard(newBoardID())} }
 
-// drawID draws an id other than zero.
-func drawID() uint64 { return rand.Uint64() | 1 }
+// newBoardID returns a random ID other than zero.
+func newBoardID() uint64 { return rand.Uint64() | 1 }
 
-// exchangeLoads merges what a host sees of the targets and tells it what the others see.
+// exchangeLoads merges the host report of an entry host and replies with the loads that the other
+// hosts reported.
 func (s *Server) exchangeLoads(m *historypb.ExchangeLoads) *historypb.Reply {
 	s.meter.Count("load_reports")
-	s.loads.mu.Lock()
-	defer s.loads.mu.Unlock()
-	reply := s.loads.board.Exchange(loads.DecodeHostReport(m), s.elapsed())
+	s.loadBoard.mu.Lock()
+	defer s.loadBoard.mu.Unlock()
+	reply := s.loadBoard.board.Exchange(loads.DecodeHostReport(m), s.elapsed())
 	return &historypb.Reply{Status: historypb.Status_STATUS_OK, Loads: loads.EncodeReply(reply)}
 }
 
-// LoadsState is what a member knows of the targets' loads, for operators.
+// LoadsState is a dump of the load board for operators.
 type LoadsState struct {
-	// BoardID is the start of the board that hosts know it by.
+	// BoardID identifies the board instance to hosts; it changes when the member restarts.
 	BoardID uint64 `json:"board"`
-	// ReporterCount is the entry hosts that were heard lately.
+	// ReporterCount is the number of entry hosts that reported recently.
 	ReporterCount int `json:"reporters"`
 }
 
 func (s *Server) loadsState() LoadsState {
-	s.loads.mu.Lock()
-	defer s.loads.mu.Unlock()
-	return LoadsState{BoardID: s.loads.board.ID(), ReporterCount: s.loads.board.ReporterCount(s.elapsed())}
+	s.loadBoard.mu.Lock()
+	defer s.loadBoard.mu.Unlock()
+	return LoadsState{BoardID: s.loadBoard.board.ID(), ReporterCount: s.loadBoard.board.ReporterCount(s.elapsed())}
 }
--- a/daemon/history/loads_test.go
+++ b/daemon/history/loads_test.go
@@ -9,25 +9,26 @@
 	"github.com/pistachioarch/pistachioarch/core/loads"
 )
 
-func exchangeOf(member string, m loads.HostReport) *historypb.Request {
+func exchangeRequest(member string, m loads.HostReport) *historypb.Request {
 	return &historypb.Request{Member: member, Call: &historypb.Request_ExchangeLoads{ExchangeLoads: loads.EncodeHostReport(m)}}
 }
 
-// Loads concern no slot: they are exchanged without a map, and nothing of them is on disk.
-func TestLoadsAreExchangedWithoutAMap(t *testing.T) {
+// Loads belong to no slot: they are exchanged without a slot map, and none of them are stored on
+// disk.
+func TestLoadsAreExchangedWithoutSlotMap(t *testing.T) {
 	dir := t.TempDir()
 	s := openServer(t, dir)
 	r := loads.NewReporter(1)
 	r.Observe([]loads.Observation{{Key: 7, InFlight: 3}})
-	reply := ask(s, exchangeOf(s.MemberID(), r.NextReport(0)))
+	reply := ask(s, exchangeRequest(s.MemberID(), r.NextReport(0)))
 	require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 	require.True(t, r.HandleReply(loads.DecodeReply(reply.Loads), 0).Accepted)
 	require.Equal(t, 1, s.loadsState().ReporterCount)
-	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeOf("other", r.NextReport(0))).Status)
+	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeRequest("other", r.NextReport(0))).Status)
 	before := s.loadsState().BoardID
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
 	require.NotEqual(t, before, s.loadsState().BoardID)
-	require.True(t, ask(s, exchangeOf(s.MemberID(), r.NextReport(0))).Loads.Restart)
+	require.True(t, ask(s, exchangeRequest(s.MemberID(), r.NextReport(0))).Loads.Restart)
 }
--- a/daemon/history/kept_test.go
+++ b/daemon/history/platform_copy_test.go
@@ -18,7 +18,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// fakeStore is a store that can fail, and lose answers.
+// fakeStore is an in-memory store. All creations fail while down is set; with loseFirst the first
+// one succeeds but its reply is lost.
 type fakeStore struct {
 	objects.Store
 	mu        sync.Mutex
@@ -40,7 +41,7 @@
 	}
 	s.items[name] = spec
 	if s.loseFirst && s.creates == 1 {
-		return objects.Object{}, failure.New(failure.PlatformUnavailable, "answer lost")
+		return objects.Object{}, failure.New(failure.PlatformUnavailable, "reply lost")
 	}
 	return objects.Object{Name: name, Spec: spec}, nil
 }
@@ -58,11 +59,11 @@
 	return nil
 }
 
-// keepAll keeps n writes at once and returns their errors.
-func keepAll(k *kept, n int) []error {
+// writeAll queues n writes at once and returns their errors.
+func writeAll(w *platformCopyWriter, n int) []error {
 	errs := make(chan error, n)
 	for i := range n {
-		k.write([]*historypb.Record{{Program: fmt.Sprint(i)}}, func(err error) { errs <- err })
+		w.write([]*historypb.Record{{Program: fmt.Sprint(i)}}, func(err error) { errs <- err })
 	}
 	list := make([]error, 0, n)
 	for range n {
@@ -71,58 +72,58 @@
 	return list
 }
 
-func newTestKept(s *fakeStore, epoch *uint64) *kept {
-	return newKept(s, "m", time.Unix(1, 0), func() uint64 { return *epoch }, log.New(io.Discard))
+func newTestWriter(s *fakeStore, epoch *uint64) *platformCopyWriter {
+	return newPlatformCopyWriter(s, "m", time.Unix(1, 0), func() uint64 { return *epoch }, log.New(io.Discard))
 }
 
-func TestKeptRecordsComeBackAndGoByEpoch(t *testing.T) {
+func TestPlatformCopiesAreLoadedAndDeletedByEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, epoch := &fakeStore{items: map[string][]byte{}}, uint64(8)
-		k := newTestKept(s, &epoch)
-		for _, err := range keepAll(k, 20) {
+		w := newTestWriter(s, &epoch)
+		for _, err := range writeAll(w, 20) {
 			require.NoError(t, err)
 		}
-		require.Less(t, s.creates, 20, "many writes in one object")
-		records, err := loadKept(t.Context(), s)
+		require.Less(t, s.creates, 20, "several writes share an object")
+		records, err := loadPlatformCopies(t.Context(), s)
 		require.NoError(t, err)
 		require.Len(t, records, 20)
-		n, err := dropKept(t.Context(), s, 7)
+		n, err := deletePlatformCopies(t.Context(), s, 7)
 		require.NoError(t, err)
-		require.Zero(t, n, "an old map says nothing of what is kept under a newer one")
-		n, err = dropKept(t.Context(), s, 8)
+		require.Zero(t, n, "an old map must not delete copies of a newer epoch")
+		n, err = deletePlatformCopies(t.Context(), s, 8)
 		require.NoError(t, err)
 		require.Equal(t, s.creates, n)
 		require.Empty(t, s.items)
-		time.Sleep(time.Second) // the flush under way ends
+		time.Sleep(time.Second) // lets the flush end
 	})
 }
 
-func TestALostAnswerIsNoFailureToKeep(t *testing.T) {
+func TestLostReplyIsNotAWriteFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, epoch := &fakeStore{items: map[string][]byte{}, loseFirst: true}, uint64(1)
-		require.Equal(t, []error{nil}, keepAll(newTestKept(s, &epoch), 1))
+		require.Equal(t, []error{nil}, writeAll(newTestWriter(s, &epoch), 1))
 		require.Len(t, s.items, 1)
 		time.Sleep(time.Second)
 	})
 }
 
-func TestWhatIsNotKeptIsNotAcknowledged(t *testing.T) {
+func TestFailedPlatformCopyIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, epoch := &fakeStore{items: map[string][]byte{}, down: true}, uint64(1)
-		for _, err := range keepAll(newTestKept(s, &epoch), 3) {
+		for _, err := range writeAll(newTestWriter(s, &epoch), 3) {
 			require.True(t, failure.Is(err, failure.PlatformUnavailable))
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-func TestBothMustSucceed(t *testing.T) {
+func TestAfterBothFailsIfEitherFails(t *testing.T) {
 	for name, c := range map[string]struct{ first, second error }{
 		"both": {}, "the first fails": {first: io.EOF}, "the second fails": {second: io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls, result := 0, error(nil)
-			both := newBoth(func(err error) { calls, result = calls+1, err })
+			both := afterBoth(func(err error) { calls, result = calls+1, err })
 			both(c.first)
 			require.Zero(t, calls)
 			both(c.second)
@@ -132,14 +133,14 @@
 	}
 }
 
-// A host that was emptied and taken away does not count as silent for ever: slots
-// would never be made to span again.
-func TestMembersThatAreGoneAreForgottenAsSilent(t *testing.T) {
+// A member that has left the map must not stay silent forever: crowded slots would never become
+// spanning again.
+func TestSilentMembersThatLeftTheMapAreForgotten(t *testing.T) {
 	p := newPeers(nil)
-	p.note("gone", false)
-	require.Contains(t, p.silentFor(), "gone")
+	p.recordProbe("gone", false)
+	require.Contains(t, p.silenceDurations(), "gone")
 	m := placement.New(1)
 	m.Admit(placement.Member{ID: "self", Host: "self"})
 	p.probe(t.Context(), m, nil)
-	require.Empty(t, p.silentFor())
+	require.Empty(t, p.silenceDurations())
 }
--- a/daemon/history/server.go
+++ b/daemon/history/server.go
@@ -19,68 +19,70 @@
 )
 
 const (
-	// pageBytes bounds one page of a copy, so that a page delays other replies on
-	// its connection by a few milliseconds at 130 Mbit/s.
-	pageBytes = 64 << 10
-	// pageDigests bounds one page of digests, to about half of that.
-	pageDigests = 1024
-	// sweepEvery is how often programs past their retention are dropped.
-	sweepEvery = 5 * time.Second
+	// maxPageBytes bounds one page of a copy, so that it delays other replies on its connection
+	// by only a few milliseconds at 130 Mbit/s.
+	maxPageBytes = 64 << 10
+	// maxPageDigests bounds one page of digests, to about half of maxPageBytes.
+	maxPageDigests = 1024
+	// sweepInterval is the time between two sweeps of expired programs and old segments.
+	sweepInterval = 5 * time.Second
 )
 
 // Server answers entry hosts and joining members. Safe for concurrent use.
 type Server struct {
-	member string
-	dir    string
-	log    *wal.Log
-	logger *log.Logger
-	meter  *meter.Meter
-	now    func() time.Time // the time of day, which may jump
-
-	// adopting is held while a map goes to disk and then into use, so that the disk
-	// never holds an older one than what was fenced.
-	adopting sync.Mutex
-
-	// elapsed is the steady time since the process started.
+	memberID string
+	dir      string
+	log      *wal.Log
+	logger   *log.Logger
+	meter    *meter.Meter
+	now      func() time.Time // wall clock, which may jump
+
+	// adoptMu is held from writing a map to disk until it is in use, so that the disk never holds
+	// an older map than the one that rejected writers.
+	adoptMu sync.Mutex
+
+	// elapsed is the monotonic time since the process started.
 	elapsed func() time.Duration
 
 	mu     sync.Mutex
 	ledger *ledger.Ledger
 	quotas *quota.Buckets
-	// heldSince is since when the member keeps each slot, as elapsed.
-	heldSince [placement.GlobalSlotCount]time.Duration
-	slots     *placement.Map
-	mapBytes  []byte
-	// refresh is called when a sender knows a newer map.
+	// slotHeldSince is the time, as of elapsed, since which the member has held each slot.
+	slotHeldSince [placement.GlobalSlotCount]time.Duration
+	slotMap       *placement.Map
+	slotMapJSON   []byte
+	// refresh reads the newest map; it is called when a sender has a newer one.
 	refresh func()
-	// refreshing is true while refresh runs.
+	// refreshing is true while refreshMapOnce waits for a newer map or reads it.
 	refreshing bool
-	// kept keeps records of guarded slots at the platform; nil until there is a keeper.
-	kept *kept
-	// relay answers what entry hosts ask of the platform.
-	relay rpc.Handler
-	loads *loadBoard
-	// applicants are the hosts that asked to be admitted to the slot map.
-	applicants applicants
-	// traffic counts the bytes of all calls that are answered.
+	// platformCopies stores records of guarded slots at the platform; nil until the controller
+	// sets it.
+	platformCopies *platformCopyWriter
+	// relayHandler answers requests for the platform's objects.
+	relayHandler rpc.Handler
+	loadBoard    *loadBoard
+	// admissions holds the hosts that asked to be admitted to the slot map.
+	admissions admissionQueue
+	// traffic counts the bytes of all calls that the server answers.
 	traffic rpc.Traffic
 }
 
-// Options are what a Server is made of.
+// Options configure a Server. Dir and Logger are required.
 type Options struct {
-	// Dir is the data folder.
+	// Dir is the data directory.
 	Dir    string
 	Logger *log.Logger
 	// Meter may be nil.
 	Meter *meter.Meter
-	// Create and Now are wal.CreateFile and time.Now unless tests say otherwise.
+	// Create and Now default to wal.CreateFile and time.Now.
 	Create wal.CreateFunc
 	Now    func() time.Time
-	// Elapsed is the steady time since the process started, unless tests say otherwise.
+	// Elapsed is the monotonic time since the process started; the default starts at OpenServer.
 	Elapsed func() time.Duration
 }
 
-// OpenServer replays the journal.
+// OpenServer replays the journal in the data directory and returns a server with the records, the
+// member ID and the slot map found there.
 func OpenServer(o Options) (*Server, error) {
 	if o.Create == nil {
 		o.Create = wal.CreateFile
@@ -93,7 +95,10 @@
 		o.Elapsed = func() time.Duration { return time.Since(start) }
 	}
 	dir, logger := o.Dir, o.Logger
-	s := &Server{elapsed: o.Elapsed, quotas: quota.NewBuckets(), dir: dir, logger: logger, meter: o.Meter, now: o.Now, ledger: ledger.New(), refresh: func() {}, relay: noRelay, loads: newLoadBoard()}
+	s := &Server{
+		elapsed: o.Elapsed, quotas: quota.NewBuckets(), dir: dir, logger: logger, meter: o.Meter, now: o.Now,
+		ledger: ledger.New(), refresh: func() {}, relayHandler: rejectPlatformRequest, loadBoard: newLoadBoard(),
+	}
 	records := 0
 	var damage []wal.Damage
 	var err error
@@ -107,41 +112,41 @@
 	for _, d := range damage {
 		logger.Warn("journal segment ends in a damaged record", "file", d.File, "offset", d.Offset)
 	}
-	if s.member, err = loadMember(dir); err != nil {
+	if s.memberID, err = loadMember(dir); err != nil {
 		return nil, err
 	}
-	slots, err := loadMap(dir)
+	slotMap, err := loadMap(dir)
 	if err != nil {
 		return nil, err
 	}
-	if slots != nil {
-		s.setMap(slots)
+	if slotMap != nil {
+		s.useMap(slotMap)
 	}
-	s.gauges()
-	logger.Info("journal replayed", "member", s.member, "records", records, "programs", s.ledger.ProgramCount())
+	s.registerGauges()
+	logger.Info("journal replayed", "member", s.memberID, "records", records, "programs", s.ledger.ProgramCount())
 	return s, nil
 }
 
-// noRelay refuses what is asked of the platform.
-func noRelay(_ *historypb.Request, answer func(*historypb.Reply)) {
+// rejectPlatformRequest rejects requests for the platform's objects.
+func rejectPlatformRequest(_ *historypb.Request, answer func(*historypb.Reply)) {
 	answer(&historypb.Reply{Status: historypb.Status_STATUS_UNAVAILABLE})
 }
 
-// SetRelayHandler sets what answers the requests about the platform's objects, before the
-// server takes any.
-func (s *Server) SetRelayHandler(handle rpc.Handler) { s.relay = handle }
+// SetRelayHandler sets the handler of requests for the platform's objects. It must be called
+// before the server receives requests.
+func (s *Server) SetRelayHandler(handle rpc.Handler) { s.relayHandler = handle }
 
-// MemberID is the identity of the disk.
-func (s *Server) MemberID() string { return s.member }
+// MemberID returns the member ID stored on the disk.
+func (s *Server) MemberID() string { return s.memberID }
 
 // Map returns the slot map in use, or nil.
 func (s *Server) Map() *placement.Map {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.slots
+	return s.slotMap
 }
 
-// epoch is that of the slot map in use, 0 without one.
+// epoch returns the epoch of the slot map in use, or 0 without one.
 func (s *Server) epoch() uint64 {
 	if m := s.Map(); m != nil {
 		return m.Epoch
@@ -149,12 +154,13 @@
 	return 0
 }
 
-// Adopt takes a newer slot map, on disk first: what a copy fenced stays fenced
-// over a restart without the platform.
+// Adopt uses a slot map if it is newer than the one in use. It stores the map on disk first, so
+// that writers that were rejected before a copy stay rejected after a restart without the
+// platform.
 func (s *Server) Adopt(m *placement.Map) error {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
-	if old := s.Map(); old != nil && old.Epoch >= m.Epoch {
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
+	if current := s.Map(); current != nil && current.Epoch >= m.Epoch {
 		return nil
 	}
 	text, err := json.Marshal(m)
@@ -164,12 +170,13 @@
 	if err := writeFile(s.dir, mapFile, text); err != nil {
 		return err
 	}
-	s.setMap(m)
+	s.useMap(m)
 	s.logger.Info("slot map adopted", "epoch", m.Epoch, "members", len(m.Members))
 	return nil
 }
 
-func (s *Server) setMap(m *placement.Map) {
+// useMap makes a map the one in use if it is newer.
+func (s *Server) useMap(m *placement.Map) {
 	text, err := json.Marshal(m)
 	if err != nil {
 		s.logger.Error("slot map cannot be encoded", "error", err.Error())
@@ -177,15 +184,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slots == nil || m.Epoch > s.slots.Epoch {
-		s.noteSlots(s.slots, m)
-		s.slots, s.mapBytes = m, text
+	if s.slotMap == nil || m.Epoch > s.slotMap.Epoch {
+		s.updateSlotHeldSince(s.slotMap, m)
+		s.slotMap, s.slotMapJSON = m, text
 	}
 }
 
-// Handle answers one request; it is an rpc.Handler.
+// Handle answers one request. It implements rpc.Handler.
 func (s *Server) Handle(req *historypb.Request, answer func(*historypb.Reply)) {
-	if reply := s.refuse(req); reply != nil {
+	if reply := s.checkRequest(req); reply != nil {
 		s.meter.Count("requests", "refused", strings.ToLower(strings.TrimPrefix(reply.Status.String(), "STATUS_")))
 		answer(reply)
 		return
@@ -196,58 +203,58 @@
 	case *historypb.Request_Read:
 		answer(s.read(call.Read))
 	case *historypb.Request_Take:
-		answer(s.take(req.Slot, call.Take))
+		answer(s.grantToken(req.Slot, call.Take))
 	case *historypb.Request_ExchangeLoads:
 		answer(s.exchangeLoads(call.ExchangeLoads))
 	case *historypb.Request_Copy:
 		s.copy(req.Slot, call.Copy, answer)
 	case *historypb.Request_ListObjects, *historypb.Request_WatchObjects:
-		s.relay(req, answer)
+		s.relayHandler(req, answer)
 	case *historypb.Request_Admit:
-		s.applicants.add(call.Admit)
+		s.admissions.add(call.Admit)
 		answer(&historypb.Reply{Status: historypb.Status_STATUS_OK})
 	default:
 		answer(&historypb.Reply{Status: historypb.Status_STATUS_OK})
 	}
 }
 
-// refuse returns the reply to a request that must not be served, or nil.
-func (s *Server) refuse(req *historypb.Request) *historypb.Reply {
-	if req.Member != s.member && !(req.Member == "" && aboutPlatform(req)) {
+// checkRequest returns the reply to a request that must be rejected, or nil.
+func (s *Server) checkRequest(req *historypb.Request) *historypb.Reply {
+	if req.Member != s.memberID && !(req.Member == "" && concernsPlatform(req)) {
 		return &historypb.Reply{Status: historypb.Status_STATUS_WRONG_MEMBER}
 	}
-	if slotless(req) {
+	if isSlotless(req) {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slots == nil || int(req.Slot) >= len(s.slots.Slots) {
+	if s.slotMap == nil || int(req.Slot) >= len(s.slotMap.Slots) {
 		return &historypb.Reply{Status: historypb.Status_STATUS_UNAVAILABLE}
 	}
-	if req.Epoch > s.slots.Epoch {
-		s.learnNewerMap(req.Epoch)
-		if s.behind(req) {
+	if req.Epoch > s.slotMap.Epoch {
+		s.refreshMapOnce(req.Epoch)
+		if s.requiresNewestMap(req) {
 			return &historypb.Reply{Status: historypb.Status_STATUS_UNAVAILABLE}
 		}
 	}
-	if req.Epoch < s.fence(req) {
-		return &historypb.Reply{Status: historypb.Status_STATUS_STALE_EPOCH, SlotMap: s.mapBytes}
+	if req.Epoch < s.minEpoch(req) {
+		return &historypb.Reply{Status: historypb.Status_STATUS_STALE_EPOCH, SlotMap: s.slotMapJSON}
 	}
 	return nil
 }
 
-// slotless reports whether a request concerns no slot.
-func slotless(req *historypb.Request) bool {
+// isSlotless reports whether a request concerns no slot.
+func isSlotless(req *historypb.Request) bool {
 	switch req.Call.(type) {
 	case *historypb.Request_Ping, *historypb.Request_ExchangeLoads, *historypb.Request_Admit:
 		return true
 	}
-	return aboutPlatform(req)
+	return concernsPlatform(req)
 }
 
-// aboutPlatform reports whether a request is about the platform's objects. Hosts that have
-// just started send such requests to addresses whose member they do not know yet.
-func aboutPlatform(req *historypb.Request) bool {
+// concernsPlatform reports whether a request is for the platform's objects. Hosts that have just
+// started send such requests to addresses whose member ID they do not know yet.
+func concernsPlatform(req *historypb.Request) bool {
 	switch req.Call.(type) {
 	case *historypb.Request_ListObjects, *historypb.Request_WatchObjects:
 		return true
@@ -255,20 +262,21 @@
 	return false
 }
 
-// newerMapPatience is how long a newer map that a sender knows may take to come by the
-// relays, which need two round trips between data centres more than the sender's did.
-const newerMapPatience = 40 * time.Millisecond
+// mapRefreshDelay is the time allowed for a newer map to arrive through the relays after a sender
+// has shown that it exists; they need two more round trips between data centres than the sender
+// did.
+const mapRefreshDelay = 40 * time.Millisecond
 
-// learnNewerMap reads the newest map unless it comes by itself, once at a time: while the
-// platform is slow, each request with a newer map would else make a call of its own (541 in
-// a second with 24 history hosts). The caller holds mu.
-func (s *Server) learnNewerMap(epoch uint64) {
+// refreshMapOnce reads the newest map unless it arrives by itself. Only one read is in progress
+// at a time: otherwise each request with a newer map would make a call of its own while the
+// platform is slow (541 in a second with 24 history hosts). The caller holds mu.
+func (s *Server) refreshMapOnce(epoch uint64) {
 	if s.refreshing {
 		return
 	}
 	s.refreshing = true
 	go func() {
-		time.Sleep(newerMapPatience)
+		time.Sleep(mapRefreshDelay)
 		if m := s.Map(); m == nil || m.Epoch < epoch {
 			s.refresh()
 		}
@@ -278,27 +286,28 @@
 	}()
 }
 
-// behind reports whether a request made with a newer map must wait until this member
-// knows it: only a member that refuses older writers may be copied from, and only one
-// that knows that a slot is guarded keeps its records at the platform.
-func (s *Server) behind(req *historypb.Request) bool {
+// requiresNewestMap reports whether a request made with a newer map must be rejected until this
+// member has that map: only a member that rejects older writers may be the source of a copy, and
+// only a member that knows that a slot is guarded stores its records at the platform.
+func (s *Server) requiresNewestMap(req *historypb.Request) bool {
 	switch req.Call.(type) {
 	case *historypb.Request_Copy:
 		return true
 	case *historypb.Request_Write:
-		return s.slots.MayBeGuarded(int(req.Slot))
+		return s.slotMap.MayBeGuarded(int(req.Slot))
 	}
 	return false
 }
 
-// fence is the oldest epoch whose map is right about what the request touches.
-func (s *Server) fence(req *historypb.Request) uint64 {
+// minEpoch returns the oldest epoch whose map is valid for what the request touches.
+func (s *Server) minEpoch(req *historypb.Request) uint64 {
 	if req.GetRead().GetAnySlot() {
-		return s.slots.Epoch
+		return s.slotMap.Epoch
 	}
-	return s.slots.Slots[req.Slot].ChangedEpoch
+	return s.slotMap.Slots[req.Slot].ChangedEpoch
 }
 
+// read returns the spending, the turns and the runs of a program.
 func (s *Server) read(r *historypb.Read) *historypb.Reply {
 	s.meter.Count("reads")
 	s.mu.Lock()
@@ -311,8 +320,8 @@
 	}
 }
 
-// copy returns a page of a slot. The first page waits for the writes that were
-// under way when older writers began to be refused.
+// copy answers with a page of a slot. The first page waits for the writes that were in progress
+// when writers with older maps began to be rejected.
 func (s *Server) copy(slot uint32, c *historypb.Copy, answer func(*historypb.Reply)) {
 	if c.After != "" || len(c.Programs) > 0 {
 		answer(s.copyPage(slot, c))
@@ -327,28 +336,29 @@
 	})
 }
 
+// copyPage returns the records of the requested programs, or without any the digests of the slot.
 func (s *Server) copyPage(slot uint32, c *historypb.Copy) *historypb.Reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &historypb.Reply{Status: historypb.Status_STATUS_OK}
 	if len(c.Programs) > 0 {
-		reply.Records, reply.More = s.ledger.RecordPage(c.Programs, pageBytes)
+		reply.Records, reply.More = s.ledger.RecordPage(c.Programs, maxPageBytes)
 	} else {
-		reply.Digests, reply.More = s.ledger.DigestPage(slot, c.After, pageDigests)
+		reply.Digests, reply.More = s.ledger.DigestPage(slot, c.After, maxPageDigests)
 	}
 	return reply
 }
 
-// digest sums up what this member has of a program.
+// digest returns the digest of this member's records of a program.
 func (s *Server) digest(program string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Digest(program)
 }
 
-// Sweep drops programs whose time is over and old segments, until stop.
+// Sweep removes expired programs and old log segments periodically until stop is closed.
 func (s *Server) Sweep(stop <-chan struct{}) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -360,20 +370,23 @@
 	}
 }
 
+// sweep removes programs that have expired at nowMs, Unix milliseconds, and the oldest segments
+// as long as all their records have expired. Records that are still live, since the retention of
+// their program was extended, are appended to the log again first.
 func (s *Server) sweep(nowMs int64) {
 	s.mu.Lock()
 	dropped := s.ledger.Expire(nowMs)
 	s.quotas.DropFull(s.elapsed())
 	s.mu.Unlock()
 	if dropped > 0 {
-		s.logger.Info("programs past their retention dropped", "programs", dropped)
+		s.logger.Info("expired programs removed", "programs", dropped)
 	}
 	for {
 		programs, expires, ok := s.log.OldestSegment()
 		if !ok || expires > nowMs {
 			return
 		}
-		if !s.carry(programs) {
+		if !s.reappend(programs) {
 			return
 		}
 		if err := s.log.DropOldestSegment(); err != nil {
@@ -383,8 +396,9 @@
 	}
 }
 
-// carry appends anew what is still live of the programs.
-func (s *Server) carry(programs []string) bool {
+// reappend appends the live records of programs to the log again and reports whether they are
+// durable.
+func (s *Server) reappend(programs []string) bool {
 	var records []*historypb.Record
 	s.mu.Lock()
 	for _, name := range programs {
@@ -396,5 +410,5 @@
 	return <-done == nil
 }
 
-// Close writes out what is queued.
+// Close waits until queued records are written, then closes the log.
 func (s *Server) Close() { s.log.Close() }
--- a/daemon/history/server_test.go
+++ b/daemon/history/server_test.go
@@ -22,8 +22,9 @@
 	return s
 }
 
-// alone gives the server a map in which it is the only member.
-func alone(t *testing.T, s *Server) *placement.Map {
+// adoptSingleMemberMap makes the server adopt a map in which it is the only member, and returns
+// that map.
+func adoptSingleMemberMap(t *testing.T, s *Server) *placement.Map {
 	m := placement.New(1)
 	m.Admit(placement.Member{ID: s.MemberID(), Host: "h", Address: "a", DataCentre: "dc"})
 	m.Assign()
@@ -31,13 +32,14 @@
 	return m
 }
 
+// ask passes a request to the server and waits for the reply.
 func ask(s *Server, req *historypb.Request) *historypb.Reply {
 	answer := make(chan *historypb.Reply, 1)
 	s.Handle(req, func(r *historypb.Reply) { answer <- r })
 	return <-answer
 }
 
-func writeOf(s *Server, epoch uint64, program, turn string, expires int64) *historypb.Request {
+func writeRequest(s *Server, epoch uint64, program, turn string, expires int64) *historypb.Request {
 	slot := placement.GlobalSlotOf(program)
 	return &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: epoch, Call: &historypb.Request_Write{Write: &historypb.Write{
 		Records: []*historypb.Record{{Slot: slot, Program: program, ExpiresMs: expires, Change: &historypb.Record_Turn{
@@ -46,47 +48,48 @@
 	}}}
 }
 
-func readOf(s *Server, epoch uint64, program, turn string) *historypb.Request {
+func readRequest(s *Server, epoch uint64, program, turn string) *historypb.Request {
 	return &historypb.Request{Member: s.MemberID(), Slot: placement.GlobalSlotOf(program), Epoch: epoch,
 		Call: &historypb.Request_Read{Read: &historypb.Read{Program: program, Turn: turn}}}
 }
 
-func TestWhatWasAcknowledgedIsThereAfterARestart(t *testing.T) {
+func TestAcknowledgedRecordsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := openServer(t, dir)
-	m := alone(t, s)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status)
+	m := adoptSingleMemberMap(t, s)
+	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
 	member := s.MemberID()
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
 	require.Equal(t, member, s.MemberID())
-	require.Equal(t, m.Epoch, s.Map().Epoch, "the map is known without the platform")
-	reply := ask(s, readOf(s, m.Epoch, "p", "1"))
+	require.Equal(t, m.Epoch, s.Map().Epoch, "the map is read from disk, without the platform")
+	reply := ask(s, readRequest(s, m.Epoch, "p", "1"))
 	require.Len(t, reply.Chain, 1)
 	require.Equal(t, "content of 1", string(reply.Chain[0].Content))
 }
 
-func TestRequestsForOthersAndOldMapsAreRefused(t *testing.T) {
+func TestRequestsForOtherMembersOrWithOldMapsAreRejected(t *testing.T) {
 	s := openServer(t, t.TempDir())
 	defer s.Close()
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeOf(s, 9, "p", "1", 1)).Status, "no map yet")
-	m := alone(t, s)
-	other := writeOf(s, m.Epoch, "p", "1", 1)
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, 9, "p", "1", 1)).Status, "no map yet")
+	m := adoptSingleMemberMap(t, s)
+	other := writeRequest(s, m.Epoch, "p", "1", 1)
 	other.Member = "other"
 	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, other).Status)
-	reply := ask(s, writeOf(s, m.Epoch-1, "p", "1", 1))
+	reply := ask(s, writeRequest(s, m.Epoch-1, "p", "1", 1))
 	require.Equal(t, historypb.Status_STATUS_STALE_EPOCH, reply.Status)
-	require.NotEmpty(t, reply.SlotMap, "the sender learns the newer map")
+	require.NotEmpty(t, reply.SlotMap, "the reply contains the newer map")
 	ahead := &historypb.Request{Member: s.MemberID(), Epoch: m.Epoch + 1, Call: &historypb.Request_Copy{Copy: &historypb.Copy{}}}
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, ahead).Status, "a source must know the map that fences it")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, ahead).Status, "a source of a copy must have the map by which it rejects writers")
 }
 
-// Many senders know a newer map while the platform answers slowly: the map is read once.
+// Many senders have a newer map while the platform answers slowly: the map must be read only once
+// at a time.
 func TestNewerMapIsReadOnceAtATime(t *testing.T) {
 	s := openServer(t, t.TempDir())
 	defer s.Close()
-	m := alone(t, s)
+	m := adoptSingleMemberMap(t, s)
 	var reads atomic.Int32
 	answered := make(chan struct{})
 	s.refresh = func() {
@@ -94,7 +97,7 @@
 		<-answered
 	}
 	for range 20 {
-		ask(s, readOf(s, m.Epoch+1, "p", ""))
+		ask(s, readRequest(s, m.Epoch+1, "p", ""))
 	}
 	close(answered)
 	require.Eventually(t, func() bool {
@@ -103,71 +106,71 @@
 		return !s.refreshing
 	}, time.Second, time.Millisecond)
 	require.EqualValues(t, 1, reads.Load())
-	ask(s, readOf(s, m.Epoch+1, "p", ""))
-	require.Eventually(t, func() bool { return reads.Load() == 2 }, time.Second, time.Millisecond, "the next request asks again")
+	ask(s, readRequest(s, m.Epoch+1, "p", ""))
+	require.Eventually(t, func() bool { return reads.Load() == 2 }, time.Second, time.Millisecond, "the next request causes another read")
 }
 
-func TestCopyGivesASlotInPages(t *testing.T) {
+func TestCopyReturnsSlotInPages(t *testing.T) {
 	s := openServer(t, t.TempDir())
 	defer s.Close()
-	m := alone(t, s)
+	m := adoptSingleMemberMap(t, s)
 	slot, written := placement.GlobalSlotOf("p0"), 0
 	for i := 0; written < 30; i++ {
 		p := fmt.Sprintf("p%d", i)
 		if placement.GlobalSlotOf(p) != slot {
 			continue
 		}
-		req := writeOf(s, m.Epoch, p, "t"+p, 1<<60)
-		req.GetWrite().Records[0].GetTurn().Content = make([]byte, pageBytes/4)
+		req := writeRequest(s, m.Epoch, p, "t"+p, 1<<60)
+		req.GetWrite().Records[0].GetTurn().Content = make([]byte, maxPageBytes/4)
 		require.Equal(t, historypb.Status_STATUS_OK, ask(s, req).Status)
 		written++
 	}
-	copyOf := func(c *historypb.Copy) *historypb.Reply {
+	copySlot := func(c *historypb.Copy) *historypb.Reply {
 		reply := ask(s, &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: c}})
 		require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 		return reply
 	}
 	var names []string
-	for _, d := range copyOf(&historypb.Copy{}).Digests {
+	for _, d := range copySlot(&historypb.Copy{}).Digests {
 		names = append(names, d.Program)
 	}
 	require.Len(t, names, written)
 	pages, records := 0, 0
 	for more := true; more; pages++ {
-		reply := copyOf(&historypb.Copy{Programs: names[records:]})
-		records += len(reply.Records) // one a program
+		reply := copySlot(&historypb.Copy{Programs: names[records:]})
+		records += len(reply.Records) // one per program
 		more = reply.More
 	}
 	require.Equal(t, written, records)
 	require.Greater(t, pages, 5)
 }
 
-func TestSweepDropsWhatExpiredAndCarriesWhatLives(t *testing.T) {
+func TestSweepRemovesExpiredAndKeepsLiveRecords(t *testing.T) {
 	dir := t.TempDir()
 	s := openServer(t, dir)
-	m := alone(t, s)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "old", "1", 1000)).Status)
-	big := writeOf(s, m.Epoch, "kept", "2", 1000)
+	m := adoptSingleMemberMap(t, s)
+	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "old", "1", 1000)).Status)
+	big := writeRequest(s, m.Epoch, "kept", "2", 1000)
 	big.GetWrite().Records[0].GetTurn().Content = make([]byte, 5<<20) // fills the segment
 	require.Equal(t, historypb.Status_STATUS_OK, ask(s, big).Status)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "kept", "3", 9000)).Status)
+	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "kept", "3", 9000)).Status)
 	s.sweep(2000)
-	require.Empty(t, ask(s, readOf(s, m.Epoch, "old", "1")).Chain)
+	require.Empty(t, ask(s, readRequest(s, m.Epoch, "old", "1")).Chain)
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
-	require.Empty(t, ask(s, readOf(s, m.Epoch, "old", "1")).Chain)
-	require.Len(t, ask(s, readOf(s, m.Epoch, "kept", "2")).Chain, 1, "carried into the new segment")
-	require.Len(t, ask(s, readOf(s, m.Epoch, "kept", "3")).Chain, 1)
+	require.Empty(t, ask(s, readRequest(s, m.Epoch, "old", "1")).Chain)
+	require.Len(t, ask(s, readRequest(s, m.Epoch, "kept", "2")).Chain, 1, "appended to the new segment again")
+	require.Len(t, ask(s, readRequest(s, m.Epoch, "kept", "3")).Chain, 1)
 }
 
-// Maps are adopted from the watch and from the keeper's own changes at once; disk
-// and memory keep the newest.
-func TestMapsAdoptedAtOnceLeaveTheNewestOnDisk(t *testing.T) {
+// The watch and the controller's own updates adopt maps concurrently: disk and memory must end
+// with the newest one.
+func TestConcurrentAdoptionLeavesNewestMapOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	s := openServer(t, dir)
 	defer s.Close()
-	m := alone(t, s)
+	m := adoptSingleMemberMap(t, s)
 	var all sync.WaitGroup
 	for i := range 50 {
 		next := m.Clone()
@@ -181,9 +184,9 @@
 	require.Equal(t, m.Epoch+49, onDisk.Epoch)
 }
 
-// A slot whose newest records this disk alone would have is written to the platform's
-// store as well, before the write is acknowledged.
-func TestGuardedSlotIsKeptAtThePlatformToo(t *testing.T) {
+// A write to a guarded slot whose newest records only this disk would hold is stored at the
+// platform as well before it is acknowledged.
+func TestGuardedSlotIsStoredAtPlatformToo(t *testing.T) {
 	s := openServer(t, t.TempDir())
 	defer s.Close()
 	m := placement.New(1)
@@ -200,11 +203,11 @@
 	require.NoError(t, s.Adopt(m.Clone()))
 	require.True(t, m.Demote(map[string]bool{"a1": true, "a2": true}))
 
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status, "made with a map that it does not know")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "made with a map that the member does not have")
 	require.NoError(t, s.Adopt(m))
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status, "nothing keeps it yet")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "no platform copies yet")
 	store := &fakeStore{items: map[string][]byte{}}
-	s.keepAt(newKept(store, s.MemberID(), time.Unix(1, 0), s.epoch, log.New(io.Discard)))
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeOf(s, m.Epoch, "p", "1", 1<<60)).Status)
+	s.setPlatformCopyWriter(newPlatformCopyWriter(store, s.MemberID(), time.Unix(1, 0), s.epoch, log.New(io.Discard)))
+	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
 	require.Len(t, store.items, 1)
 }
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -8,34 +8,35 @@
 	"github.com/pistachioarch/pistachioarch/core/quota"
 )
 
-// gauges serves what the member holds.
-func (s *Server) gauges() {
+// registerGauges registers the gauges of what the member holds.
+func (s *Server) registerGauges() {
 	s.traffic.Register(s.meter, "served")
-	s.meter.Gauge("programs", func() int64 { return int64(s.held().programs) })
-	s.meter.Gauge("turns_bytes", func() int64 { return s.held().bytes })
-	s.meter.Gauge("slot_map_epoch", func() int64 { return int64(s.held().epoch) })
+	s.meter.Gauge("programs", func() int64 { return int64(s.contents().programs) })
+	s.meter.Gauge("turns_bytes", func() int64 { return s.contents().bytes })
+	s.meter.Gauge("slot_map_epoch", func() int64 { return int64(s.contents().epoch) })
 	s.meter.Gauge("load_reporters", func() int64 { return int64(s.loadsState().ReporterCount) })
-	s.meter.Gauge("slots_joining", func() int64 { return int64(s.held().joining) })
+	s.meter.Gauge("slots_joining", func() int64 { return int64(s.contents().joining) })
 }
 
-// holding is what a member holds.
-type holding struct {
+// contents counts what a member holds: programs, bytes of turns, and slots by the state of the
+// replica.
+type contents struct {
 	programs        int
 	bytes           int64
 	epoch           uint64
 	active, joining int
 }
 
-func (s *Server) held() holding {
+func (s *Server) contents() contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := holding{programs: s.ledger.ProgramCount(), bytes: s.ledger.TurnBytes()}
-	if s.slots == nil {
+	h := contents{programs: s.ledger.ProgramCount(), bytes: s.ledger.TurnBytes()}
+	if s.slotMap == nil {
 		return h
 	}
-	h.epoch = s.slots.Epoch
-	for i := range s.slots.Slots {
-		r, in := s.slots.Slots[i].Replica(s.member)
+	h.epoch = s.slotMap.Epoch
+	for i := range s.slotMap.Slots {
+		r, in := s.slotMap.Slots[i].Replica(s.memberID)
 		switch {
 		case in && r.Joining:
 			h.joining++
@@ -54,7 +55,8 @@
 	SlotsJoining int    `json:"slots_joining"`
 	Programs     int    `json:"programs"`
 	TurnBytes    int64  `json:"turns_bytes"`
-	// PlatformRevision is of the slot map at the platform; 0 if it was not read yet.
+	// PlatformRevision is the revision of the slot map object at the platform; 0 if it has not
+	// been read yet.
 	PlatformRevision uint64        `json:"platform_revision"`
 	Retiring         []string      `json:"retiring"`
 	Members          []MemberState `json:"members"`
@@ -63,36 +65,36 @@
 	Loads  LoadsState    `json:"loads"`
 }
 
-// MemberState is a member as this one sees it.
+// MemberState is the state of a member as seen by this one.
 type MemberState struct {
 	placement.Member
-	// SilentMs is since when it does not answer; 0 if it does.
+	// SilentMs is the time in milliseconds since the first failed probe; 0 if the member answers.
 	SilentMs int64 `json:"silent_ms"`
 }
 
-func (s *Server) quotaState() []quota.State {
+func (s *Server) quotaStates() []quota.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.quotas.State(s.elapsed())
 }
 
 // State returns a dump of the member.
-func (k *Controller) State() State {
-	h := k.server.held()
+func (c *Controller) State() State {
+	h := c.server.contents()
 	s := State{
-		Quotas: k.server.quotaState(), Loads: k.server.loadsState(), Member: k.self.ID, Epoch: h.epoch, SlotsActive: h.active, SlotsJoining: h.joining, Programs: h.programs, TurnBytes: h.bytes,
-		Retiring: k.retirements.Retiring(),
+		Quotas: c.server.quotaStates(), Loads: c.server.loadsState(), Member: c.self.ID, Epoch: h.epoch, SlotsActive: h.active, SlotsJoining: h.joining, Programs: h.programs, TurnBytes: h.bytes,
+		Retiring: c.retirements.Retiring(),
 	}
-	k.mu.Lock()
-	s.PlatformRevision = k.revision
-	k.mu.Unlock()
-	m := k.server.Map()
+	c.mu.Lock()
+	s.PlatformRevision = c.mapRevision
+	c.mu.Unlock()
+	m := c.server.Map()
 	if m == nil {
 		return s
 	}
-	silent := k.peers.silentFor()
-	for id, x := range m.Members {
-		s.Members = append(s.Members, MemberState{Member: x, SilentMs: silent[id].Milliseconds()})
+	silent := c.peers.silenceDurations()
+	for id, member := range m.Members {
+		s.Members = append(s.Members, MemberState{Member: member, SilentMs: silent[id].Milliseconds()})
 	}
 	slices.SortFunc(s.Members, func(a, b MemberState) int { return strings.Compare(a.Host, b.Host) })
 	return s
--- a/daemon/history/traffic.go
+++ b/daemon/history/traffic.go
@@ -6,20 +6,20 @@
 	"github.com/pistachioarch/pistachioarch/wire/rpc"
 )
 
-// Serve answers what comes on a listener until that is closed.
+// Serve answers the requests on the connections of a listener until it is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	return rpc.ServeCounted(listener, s.Handle, &s.traffic)
 }
 
-// trafficOf returns what counts the bytes of calls to another member. An address that no
-// member has counts as far.
-func (k *Controller) trafficOf(address string) *rpc.Traffic {
-	if m := k.server.Map(); m != nil {
-		for _, x := range m.Members {
-			if x.Address == address && x.DataCentre == k.self.DataCentre {
-				return &k.peers.near
+// trafficOf returns the byte counter of calls to a member's address. An address without a member
+// counts as far.
+func (c *Controller) trafficOf(address string) *rpc.Traffic {
+	if m := c.server.Map(); m != nil {
+		for _, member := range m.Members {
+			if member.Address == address && member.DataCentre == c.self.DataCentre {
+				return &c.peers.near
 			}
 		}
 	}
-	return &k.peers.far
+	return &c.peers.far
 }
--- a/daemon/history/upstream.go
+++ b/daemon/history/upstream.go
@@ -9,45 +9,47 @@
 	"github.com/pistachioarch/pistachioarch/daemon/relay"
 )
 
-// answers reports whether a member answers, as far as this one knows.
-func (k *Controller) answers() func(id string) bool {
-	silent := k.peers.silentFor()
+// memberAnswers returns a function that reports whether a member answers, as far as this one
+// knows.
+func (c *Controller) memberAnswers() func(id string) bool {
+	silent := c.peers.silenceDurations()
 	return func(id string) bool {
-		_, quiet := silent[id]
-		return !quiet
+		_, isSilent := silent[id]
+		return !isSilent
 	}
 }
 
-// Relays implements relay.Peers.
-func (k *Controller) Relays() []string {
-	m := k.server.Map()
+// Relays implements relay.Peers. It returns the upstream of this member.
+func (c *Controller) Relays() []string {
+	m := c.server.Map()
 	if m == nil {
 		return nil
 	}
-	return m.Upstream(k.self.ID, k.self.DataCentre, k.answers())
+	return m.Upstream(c.self.ID, c.self.DataCentre, c.memberAnswers())
 }
 
-// Gathering implements relay.Peers: members ask those before them, with slots or without.
-func (k *Controller) Gathering() bool { return false }
+// Gathering implements relay.Peers. It is always false, since a member follows its upstream
+// whether slots are assigned or not.
+func (c *Controller) Gathering() bool { return false }
 
-// Relaying implements relay.Peers. Where none is known to ask, nobody relays for this member.
-func (k *Controller) Relaying() bool {
-	m := k.server.Map()
+// Relaying implements relay.Peers. A member without a map or an upstream relays by itself.
+func (c *Controller) Relaying() bool {
+	m := c.server.Map()
 	if m == nil {
 		return true
 	}
-	return m.IsRelay(k.self.ID, k.self.DataCentre, k.answers()) || len(k.Relays()) == 0
+	return m.IsRelay(c.self.ID, c.self.DataCentre, c.memberAnswers()) || len(c.Relays()) == 0
 }
 
 // Ask implements relay.Peers.
-func (k *Controller) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
-	m := k.server.Map()
+func (c *Controller) Ask(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
+	m := c.server.Map()
 	if m == nil {
 		return nil, failure.New(failure.PeerUnavailable, "no slot map")
 	}
-	to, in := m.Members[member]
+	target, in := m.Members[member]
 	if !in {
-		return nil, failure.New(failure.PeerUnavailable, "member %s is gone", member)
+		return nil, failure.New(failure.PeerUnavailable, "member %s is not in the slot map", member)
 	}
-	return relay.Ask(ctx, k.peers.pool.Client(to.Address), member, req, wait)
+	return relay.Ask(ctx, c.peers.pool.Client(target.Address), member, req, wait)
 }
--- a/daemon/history/write.go
+++ b/daemon/history/write.go
@@ -9,8 +9,8 @@
 	"github.com/pistachioarch/pistachioarch/daemon/wal"
 )
 
-// write makes records durable and acknowledges them: on this disk, and at the platform
-// too where this disk would have the only copy.
+// write makes records durable and acknowledges them: on this disk, and also at the platform if
+// this disk would hold the only copy.
 func (s *Server) write(slot uint32, w *historypb.Write, answer func(*historypb.Reply)) {
 	acknowledge := func(err error) {
 		if err != nil {
@@ -19,32 +19,32 @@
 		}
 		answer(&historypb.Reply{Status: historypb.Status_STATUS_OK})
 	}
-	keep, alone := s.keeper(slot)
-	if !alone {
+	platformCopies, needsPlatformCopy := s.platformCopiesOf(slot)
+	if !needsPlatformCopy {
 		s.Store(w.Records, acknowledge)
 		return
 	}
-	if keep == nil {
-		acknowledge(failure.New(failure.PlatformUnavailable, "nothing keeps records of guarded slots yet"))
+	if platformCopies == nil {
+		acknowledge(failure.New(failure.PlatformUnavailable, "platform copies of guarded slots not available yet"))
 		return
 	}
-	both := newBoth(acknowledge)
-	keep.write(w.Records, both)
+	both := afterBoth(acknowledge)
+	platformCopies.write(w.Records, both)
 	s.Store(w.Records, both)
 }
 
-// keeper returns what keeps the records of a slot at the platform; alone is true if the
-// slot needs that, since this disk would have the only copy.
-func (s *Server) keeper(slot uint32) (keep *kept, alone bool) {
+// platformCopiesOf returns the writer of platform copies, nil if there is none yet, and whether
+// writes to a slot need it because this disk would hold the only copy.
+func (s *Server) platformCopiesOf(slot uint32) (writer *platformCopyWriter, needed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, in := s.slots.Slots[slot].Replica(s.member)
-	return s.kept, in && !r.Joining && s.slots.NeedsPlatformCopy(int(slot))
+	r, in := s.slotMap.Slots[slot].Replica(s.memberID)
+	return s.platformCopies, in && !r.Joining && s.slotMap.NeedsPlatformCopy(int(slot))
 }
 
-// newBoth returns a function that calls done on its second call, with the first
-// error of the two.
-func newBoth(done wal.DoneFunc) wal.DoneFunc {
+// afterBoth returns a function that calls done on its second call, with the first error of the
+// two calls.
+func afterBoth(done wal.DoneFunc) wal.DoneFunc {
 	var mu sync.Mutex
 	var first error
 	calls := 0
@@ -62,16 +62,16 @@
 	}
 }
 
-// keepAt sets what keeps records of guarded slots.
-func (s *Server) keepAt(k *kept) {
+// setPlatformCopyWriter sets the writer of platform copies.
+func (s *Server) setPlatformCopyWriter(writer *platformCopyWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = k
+	s.platformCopies = writer
 }
 
-// Store makes records durable, then applies them.
+// Store makes records durable, then applies them to the ledger and calls done.
 func (s *Server) Store(records []*historypb.Record, done wal.DoneFunc) {
-	began := time.Now()
+	startedAt := time.Now()
 	s.log.Append(records, func(err error) {
 		if err != nil {
 			s.meter.Count("journal_writes", "failed")
@@ -79,7 +79,7 @@
 			done(err)
 			return
 		}
-		s.meter.Observe("journal_write", time.Since(began))
+		s.meter.Observe("journal_write", time.Since(startedAt))
 		s.meter.Add(int64(len(records)), "records", "written")
 		s.mu.Lock()
 		for _, r := range records {
