--- a/ctl/replicas/cluster_test.go
+++ b/ctl/replicas/cluster_test.go
@@ -78,9 +78,9 @@
 }
 
 func (m *member) start(c *cluster) {
-	server, err := history.OpenServer(history.Options{Dir: m.dir, Log: log.New(io.Discard)})
+	server, err := history.OpenServer(history.Options{Dir: m.dir, Logger: log.New(io.Discard)})
 	require.NoError(c.t, err)
-	m.id, m.server = server.Member(), server
+	m.id, m.server = server.MemberID(), server
 	m.listener = c.net.Listen(m.ip + ":1")
 	go func() { _ = rpc.Serve(m.listener, m.handle) }()
 }
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -197,20 +197,20 @@
 }
 
 func (c *cluster) startHistoryHost(h *historyHost) {
-	server, err := history.OpenServer(history.Options{Dir: h.dir, Log: logger(), Create: h.disk.create, Now: h.clock.now})
+	server, err := history.OpenServer(history.Options{Dir: h.dir, Logger: logger(), Create: h.disk.create, Now: h.clock.now})
 	require.NoError(c.t, err)
 	h.server = server
 	h.listener = c.net.Listen(h.ip + ":1")
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop, h.done = cancel, make(chan struct{})
 	store := c.store.At(h.ip)
-	self := placement.Member{ID: server.Member(), Host: h.name, Address: h.ip + ":1", DataCentre: c.dataCentre(h.name)}
-	keeper := history.NewKeeper(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
+	self := placement.Member{ID: server.MemberID(), Host: h.name, Address: h.ip + ":1", DataCentre: c.dataCentre(h.name)}
+	keeper := history.NewController(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
 	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
 	relays := relay.NewServer(ctx, source, logger(),
 		relay.Kind{Name: configKind, WatchTimeout: c.configWatchTimeout(300 * time.Millisecond), ForwardConfirmations: c.requiresKeys}, relay.Kind{Name: targetKind, WatchTimeout: watchTimeout},
-		relay.Kind{Name: evacuationKind, WatchTimeout: watchTimeout}, relay.Kind{Name: history.Kind, WatchTimeout: watchTimeout})
-	server.Relay(relays.Handle)
+		relay.Kind{Name: evacuationKind, WatchTimeout: watchTimeout}, relay.Kind{Name: history.MapKind, WatchTimeout: watchTimeout})
+	server.SetRelayHandler(relays.Handle)
 	go func() {
 		defer close(h.done)
 		keeper.Run(ctx, relays.Reader())
@@ -335,7 +335,7 @@
 	go followConfig(ctx, source(), configKind, c.configWatchTimeout(600*time.Millisecond), entry.NewConfigView(e.host, configName, decodeTable))
 	go objects.Follow(ctx, source(), targetKind, watchTimeout, entry.NewTargetView(e.host, decodeTarget))
 	go objects.Follow(ctx, source(), evacuationKind, watchTimeout, entry.NewEvacuationView(e.host))
-	go objects.Follow(ctx, slots, history.Kind, history.MapWatch, e.historyClient)
+	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, e.historyClient)
 	go e.host.Run(ctx)
 	go e.historyClient.Run(ctx)
 	e.host.Serve(c.net.Listen(e.ip + ":80"))
--- a/ctl/roles/invariants_test.go
+++ b/ctl/roles/invariants_test.go
@@ -73,7 +73,7 @@
 	runOnce.Do(func() {
 		synctest.Test(t, func(t *testing.T) {
 			// Watches that wait at a relay end by themselves after history.MapWatch.
-			defer time.Sleep(history.MapWatch)
+			defer time.Sleep(history.MapWatchTimeout)
 			for _, fc := range allCases() {
 				if selectedCase == "" || selectedCase == fc.name {
 					outcomes[fc.name] = runFaultCase(t, fc)
--- a/ctl/roles/partition_test.go
+++ b/ctl/roles/partition_test.go
@@ -37,12 +37,12 @@
 	cutAt := time.Now()
 	time.Sleep(5 * time.Second)
 	healed := time.Now()
-	o := &partitionOutcome{copiesDuringPartition: c.store.Names(history.KeptKind)}
+	o := &partitionOutcome{copiesDuringPartition: c.store.Names(history.PlatformCopyKind)}
 	c.cutCrowdedDataCentre(false)
 	time.Sleep(3 * time.Second)
 	close(stopTurns)
 	work.Wait()
-	o.copiesAfterHealing, o.longestGap = c.store.Names(history.KeptKind), k.longestGap(cutAt, healed)
+	o.copiesAfterHealing, o.longestGap = c.store.Names(history.PlatformCopyKind), k.longestGap(cutAt, healed)
 	return o
 }
 
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -55,7 +55,7 @@
 	c := newCluster(t)
 	defer c.close()
 	o := &relayOutcome{}
-	time.Sleep(2 * history.MapWatch)
+	time.Sleep(2 * history.MapWatchTimeout)
 	before := c.entryHostPlatformCalls()
 	time.Sleep(time.Minute)
 	o.calls = c.entryHostPlatformCalls() - before
@@ -113,7 +113,7 @@
 	defer c.close()
 	var idle []string
 	for _, h := range c.historyHosts {
-		if !h.server.Map().IsInUse(h.server.Member()) {
+		if !h.server.Map().IsInUse(h.server.MemberID()) {
 			idle = append(idle, h.name)
 		}
 	}
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -222,7 +222,7 @@
 func (s *testSystem) startHistoryInRegions(regions ...string) {
 	m := placement.New(1)
 	for i, region := range regions {
-		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Log: discardLog(), Elapsed: s.elapsed})
+		server, err := history.OpenServer(history.Options{Dir: s.t.TempDir(), Logger: discardLog(), Elapsed: s.elapsed})
 		require.NoError(s.t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(s.t, err)
@@ -233,7 +233,7 @@
 			_ = l.Close()
 			server.Close() // otherwise a pending settlement would write to the folder while it is removed
 		})
-		m.Admit(placement.Member{ID: server.Member(), Host: strconv.Itoa(i), Address: l.Addr().String(), DataCentre: strconv.Itoa(i), Region: region})
+		m.Admit(placement.Member{ID: server.MemberID(), Host: strconv.Itoa(i), Address: l.Addr().String(), DataCentre: strconv.Itoa(i), Region: region})
 	}
 	m.Assign()
 	s.adopt(m)
--- a/daemon/entry/load_exchange_test.go
+++ b/daemon/entry/load_exchange_test.go
@@ -35,15 +35,15 @@
 	f := &fleet{t: t, members: map[string]*member{}, listeners: map[string]net.Listener{}}
 	m := placement.New(1)
 	for range members {
-		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: discardLog()})
+		server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: discardLog()})
 		require.NoError(t, err)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = l.Close() })
 		x := &member{server: server}
 		go func() { _ = rpc.Serve(l, x.handle) }()
-		f.members[server.Member()], f.listeners[server.Member()] = x, l
-		m.Admit(placement.Member{ID: server.Member(), Host: server.Member(), Address: l.Addr().String(), DataCentre: "dc1"})
+		f.members[server.MemberID()], f.listeners[server.MemberID()] = x, l
+		m.Admit(placement.Member{ID: server.MemberID(), Host: server.MemberID(), Address: l.Addr().String(), DataCentre: "dc1"})
 	}
 	m.Assign()
 	text, err := json.Marshal(m)
@@ -155,9 +155,9 @@
 	f.exchangeRounds()
 	boardIDBefore := f.hosts[1].State().LoadExchange.BoardID
 	id := f.boardMember()
-	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Log: discardLog()})
+	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: discardLog()})
 	require.NoError(t, err)
-	newMember := server.Member()
+	newMember := server.MemberID()
 	f.members[id].setHandler(func(req *historypb.Request, answer func(*historypb.Reply)) {
 		req.Member = newMember // stands for a restart on the same disk
 		server.Handle(req, answer)
--- a/daemon/wal/trim.go
+++ b/daemon/wal/trim.go
@@ -8,9 +8,10 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Oldest returns the programs with records in the oldest segment and when the last
-// of these records expires, if there is a segment besides the one being written.
-func (l *Log) Oldest() (programs []string, expiresMs int64, ok bool) {
+// OldestSegment returns the programs with records in the oldest segment and when the last of
+// these records expires, in Unix milliseconds. ok is false if only the segment being written
+// exists.
+func (l *Log) OldestSegment() (programs []string, expiresMs int64, ok bool) {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
 	if len(l.segments) < 2 {
@@ -23,9 +24,9 @@
 	return programs, s.expiresMs, true
 }
 
-// DropOldest removes the oldest segment. What was live in it must have been
-// appended anew and be durable.
-func (l *Log) DropOldest() error {
+// DropOldestSegment removes the oldest segment unless it is the one being written. The caller
+// must have appended its live records again and waited until they are durable.
+func (l *Log) DropOldestSegment() error {
 	l.segMu.Lock()
 	if len(l.segments) < 2 {
 		l.segMu.Unlock()
@@ -34,15 +35,15 @@
 	s := l.segments[0]
 	l.segments = l.segments[1:]
 	l.segMu.Unlock()
-	name := filepath.Join(l.dir, fmt.Sprintf("%016d%s", s.number, suffix))
+	name := filepath.Join(l.dir, fmt.Sprintf("%016d%s", s.number, segmentSuffix))
 	if err := os.Remove(name); err != nil {
 		return failure.Wrap(err, failure.Suspended, "remove segment")
 	}
 	return SyncDir(l.dir)
 }
 
-// Bytes is the size of all segments.
-func (l *Log) Bytes() int64 {
+// TotalBytes returns the size of all segments.
+func (l *Log) TotalBytes() int64 {
 	l.segMu.Lock()
 	defer l.segMu.Unlock()
 	total := int64(0)
