--- a/ctl/command/play.go
+++ b/ctl/command/play.go
@@ -31,10 +31,10 @@
 	if c.Hosts > 0 {
 		f.Hosts = c.Hosts
 	}
-	p.Scale(c.Load)
+	p.ScaleBursts(c.Load)
 	policies := player.Policies()
 	if c.Policy != "all" {
-		one, err := player.PolicyNamed(c.Policy)
+		one, err := player.FindPolicy(c.Policy)
 		if err != nil {
 			return err
 		}
@@ -69,8 +69,8 @@
 	var rows []string
 	for _, r := range results {
 		rows = append(rows, row(r.Pattern, r.Policy, r.Seed, r.Programs, r.InTime, r.Late, r.Failed, r.TurnedAway,
-			fmt.Sprintf("%.3f", r.Worth()), fmt.Sprintf("%.3f", r.Worst()), spread(r.Classes), spread(r.Centres), fmt.Sprintf("%.2f", r.LeastSubject()),
-			triple(r.First), triple(r.Stretch), r.ReadAgain, r.Connections, r.Recovery().Round(time.Second)))
+			fmt.Sprintf("%.3f", r.Score()), fmt.Sprintf("%.3f", r.WorstScore()), spread(r.Classes), spread(r.Centres), fmt.Sprintf("%.2f", r.LowestSubjectScore()),
+			triple(r.First), triple(r.Stretch), r.ReadAgain, r.Connections, r.RecoveryTime().Round(time.Second)))
 	}
 	return c.app.print(results, "PATTERN\tPOLICY\tSEED\tPROGRAMS\tIN TIME\tLATE\tFAILED\tTURNED AWAY\tWORTH\tWORST 2 S\tCLASS\tCENTRE\tSUBJECT\tFIRST MS\tTIME/AIM %\tREAD AGAIN\tCONNECTIONS\tWELL AGAIN AFTER", rows)
 }
@@ -82,7 +82,7 @@
 func spread(groups map[string]*player.Window) string {
 	low, high := 1.0, 0.0
 	for _, x := range groups {
-		low, high = min(low, x.Worth()), max(high, x.Worth())
+		low, high = min(low, x.Score()), max(high, x.Score())
 	}
 	return fmt.Sprintf("%.2f-%.2f", low, high)
 }
--- a/ctl/player/callers.go
+++ b/ctl/player/callers.go
@@ -49,7 +49,7 @@
 	rate, most := c.rates()
 	gap := time.Duration(c.arrivals.ExpFloat64() / most * float64(time.Second))
 	c.w.After(gap, func() {
-		if c.w.Now() > seconds(c.w.pattern.Seconds) {
+		if c.w.Now() > seconds(c.w.pattern.ArrivalSeconds) {
 			return
 		}
 		rate, _ = c.rates()
@@ -75,14 +75,14 @@
 				continue
 			}
 			if now >= ph.From && now < ph.To {
-				r *= ph.X
+				r *= ph.Value
 			}
 		}
 		rate = append(rate, r)
 	}
 	for _, ph := range c.w.pattern.Phases {
 		if ph.Kind == PhaseBurst {
-			factor *= max(1, ph.X)
+			factor *= max(1, ph.Value)
 		}
 	}
 	return rate, c.w.fleet.ProgramsPerS * factor
@@ -130,25 +130,25 @@
 	w := c.w
 	c.n++
 	rng := rand.New(rand.NewPCG(c.seed, uint64(c.n)<<32))
-	p := &program{c: c, id: c.n, rng: rng, class: cl, centre: w.fleet.Centres[rng.IntN(len(w.fleet.Centres))], begun: w.Now(), ran: map[string]string{}}
+	p := &program{c: c, id: c.n, rng: rng, class: cl, centre: w.fleet.DataCentres[rng.IntN(len(w.fleet.DataCentres))], begun: w.Now(), ran: map[string]string{}}
 	p.centre = c.leaning(p, p.centre)
 	p.subject = c.subject(cl, rng)
-	turns := 1 + int(rng.ExpFloat64()*(cl.Turns-1)+0.5)
-	if ph := c.phase(PhaseEndless); ph != nil && rng.Float64() < ph.Share {
+	turns := 1 + int(rng.ExpFloat64()*(cl.MeanTurns-1)+0.5)
+	if ph := c.phase(PhaseEndlessPrograms); ph != nil && rng.Float64() < ph.Share {
 		p.endless, turns = true, endlessTurns
 	}
-	if ph := c.phase(PhaseGiveUp); ph != nil && rng.Float64() < ph.Share {
-		p.leaves = w.Now() + simclock.Milliseconds(ph.X)
+	if ph := c.phase(PhaseCallersLeave); ph != nil && rng.Float64() < ph.Share {
+		p.leaves = w.Now() + simclock.Milliseconds(ph.Value)
 	}
 	plan := p.plan(turns)
-	p.aim = simclock.Milliseconds(cl.AimFactor*plan.idleMs(w.fleet) + cl.ObjectiveMs)
+	p.aim = simclock.Milliseconds(cl.ObjectiveFactor*plan.idleMs(w.fleet) + cl.ObjectiveAllowanceMs)
 	w.result.began(p)
 	p.line(plan, nil, func(ok bool) { p.end(ok) })
 }
 
 // subject draws what the program is about; low numbers are asked for more often.
 func (c *callers) subject(cl *Class, rng *rand.Rand) int {
-	if ph := c.phase(PhaseHot); ph != nil && rng.Float64() < ph.Share {
+	if ph := c.phase(PhaseHotSubject); ph != nil && rng.Float64() < ph.Share {
 		return 0
 	}
 	const skew = 1.5
@@ -187,16 +187,16 @@
 	w, cl := p.c.w, p.class
 	pl := &plan{}
 	for i := range min(turns, planned) {
-		s := step{input: p.draw(cl.Input), output: p.draw(cl.Output)}
+		s := step{input: p.draw(cl.MeanInputTokens), output: p.draw(cl.MeanOutputTokens)}
 		if i+1 < turns {
 			for range 1 + p.rng.IntN(toolsMost) {
 				t := w.fleet.Tools[p.rng.IntN(len(w.fleet.Tools))]
-				s.tools = append(s.tools, toolCall{t, min(simclock.Milliseconds(t.WorkMs*p.rng.ExpFloat64()), simclock.Milliseconds(t.MostMs))})
+				s.tools = append(s.tools, toolCall{t, min(simclock.Milliseconds(t.MeanWorkMs*p.rng.ExpFloat64()), simclock.Milliseconds(t.MaxWorkMs))})
 			}
-			if p.rng.Float64() < cl.SubAgents {
+			if p.rng.Float64() < cl.SubAgentShare {
 				s.beside = &plan{}
 				for range cl.SubTurns {
-					s.beside.steps = append(s.beside.steps, step{input: p.draw(cl.Input), output: p.draw(cl.Output)})
+					s.beside.steps = append(s.beside.steps, step{input: p.draw(cl.MeanInputTokens), output: p.draw(cl.MeanOutputTokens)})
 				}
 			}
 		}
@@ -215,7 +215,7 @@
 func (pl *plan) idleMs(f *Fleet) float64 {
 	total := 0.0
 	for _, s := range pl.steps {
-		total += wayMs + float64(s.input)/f.Engines.ReadPerMs + float64(s.output)*f.Engines.StepMs
+		total += wayMs + float64(s.input)/f.Engines.PrefillTokensPerMs + float64(s.output)*f.Engines.StepMs
 		slowest := 0.0
 		for _, t := range s.tools {
 			slowest = max(slowest, float64(t.work.Milliseconds()))
@@ -285,7 +285,7 @@
 // turn sends one turn, and again as a caller would.
 func (p *program) turn(s step, history []request.Part, part request.Part, done func(bool)) {
 	w, cl := p.c.w, p.class
-	parts := append([]request.Part{{ID: fmt.Sprintf("%s/%d", cl.Name, p.subject), Tokens: cl.SharedTokens}}, history...)
+	parts := append([]request.Part{{ID: fmt.Sprintf("%s/%d", cl.Name, p.subject), Tokens: cl.SharedPrefixTokens}}, history...)
 	parts = append(parts, part)
 	prompt := 0
 	for _, x := range parts {
@@ -312,11 +312,11 @@
 			w.After(retryLater, failed)
 			return
 		}
-		client := simclock.Milliseconds(w.fleet.ClientMs)
+		client := simclock.Milliseconds(w.fleet.ClientDelayMs)
 		own := request.Part{ID: part.ID, Tokens: part.Tokens + s.output}
 		t := &turn{
 			h: h, parts: parts, prompt: prompt, tokens: s.output, own: own, underWay: len(history) > 0,
-			draw: w.rng.Float64(), deadline: deadline, began: began, retained: cl.Retained, attempts: cl.Attempts, class: cl,
+			draw: w.rng.Float64(), deadline: deadline, began: began, retained: cl.Retained, attempts: cl.MaxAttempts, class: cl,
 			program: p,
 		}
 		t.reply = func(o outcome) {
@@ -334,7 +334,7 @@
 		}
 		w.After(client, t.serve)
 	}
-	send = func() { attempt(w.Now()+simclock.Milliseconds(cl.DeadlineMs), cl.Retries) }
+	send = func() { attempt(w.Now()+simclock.Milliseconds(cl.DeadlineMs), cl.MaxRetries) }
 	send()
 }
 
@@ -342,7 +342,7 @@
 func (p *program) tool(tc toolCall, done func(bool)) {
 	w := p.c.w
 	deadline := w.Now() + simclock.Milliseconds(tc.tool.DeadlineMs)
-	client := simclock.Milliseconds(w.fleet.ClientMs)
+	client := simclock.Milliseconds(w.fleet.ClientDelayMs)
 	retries := 1
 	var attempt func()
 	attempt = func() {
--- a/ctl/player/engine.go
+++ b/ctl/player/engine.go
@@ -47,13 +47,13 @@
 }
 
 func newEngine(w *world, s EngineSettings, i int, id, centre string, rng *rand.Rand) *engine {
-	speed := speedOf(s.Speeds, i) * (1 + s.SpeedSpread*(2*rng.Float64()-1))
-	return &engine{w: w, s: s, id: id, centre: centre, speed: speed, noise: newNoise(w, i), memory: newMemory(s.Memory)}
+	speed := speedOf(s.Slowdowns, i) * (1 + s.SlowdownSpread*(2*rng.Float64()-1))
+	return &engine{w: w, s: s, id: id, centre: centre, speed: speed, noise: newNoise(w, i), memory: newMemory(s.CacheTokens)}
 }
 
 // submit takes a run, or refuses it.
 func (e *engine) submit(r *run) bool {
-	if e.gone || len(e.waiting) >= e.s.Queue {
+	if e.gone || len(e.waiting) >= e.s.MaxQueue {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
@@ -64,7 +64,7 @@
 
 // admit fills the batch.
 func (e *engine) admit() {
-	for len(e.running) < e.s.Places && len(e.waiting) > 0 {
+	for len(e.running) < e.s.Capacity && len(e.waiting) > 0 {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		r.prompt = 0
@@ -86,13 +86,13 @@
 	}
 	e.busy = true
 	took := e.s.StepMs * (1 + e.s.StepGrowth*float64(len(e.running)-1))
-	budget := e.s.Chunk
+	budget := e.s.PrefillChunkTokens
 	for _, r := range e.running {
 		n := min(budget, r.toRead)
 		r.toRead -= n
 		budget -= n
 		have := float64(r.prompt - r.toRead + r.made)
-		took += float64(n)/e.s.ReadPerMs + e.s.PairsMsPerM*float64(n)*have/1e6 + e.s.ContextMsPerK*have/1e3
+		took += float64(n)/e.s.PrefillTokensPerMs + e.s.AttentionMsPerMPairs*float64(n)*have/1e6 + e.s.ContextMsPerKTokens*have/1e3
 	}
 	e.w.After(simclock.Milliseconds(took*e.speed*e.noise.times()), e.stepped)
 }
@@ -122,7 +122,7 @@
 }
 
 func (e *engine) load() request.Load {
-	return e.noise.say(request.Load{Running: len(e.running), Waiting: len(e.waiting), Capacity: e.s.Places})
+	return e.noise.say(request.Load{Running: len(e.running), Waiting: len(e.waiting), Capacity: e.s.Capacity})
 }
 
 // cancel drops a run whose sender has left.
@@ -196,16 +196,16 @@
 }
 
 func newPlain(w *world, s PlainSettings, i int, id, centre string, rng *rand.Rand) *plain {
-	speed := speedOf(s.Speeds, i) * (1 + s.SpeedSpread*(2*rng.Float64()-1))
+	speed := speedOf(s.Slowdowns, i) * (1 + s.SlowdownSpread*(2*rng.Float64()-1))
 	return &plain{w: w, s: s, id: id, centre: centre, speed: speed, noise: newNoise(w, w.fleet.Engines.Count+i)}
 }
 
 func (p *plain) load() request.Load {
-	return p.noise.say(request.Load{Running: p.running, Waiting: len(p.waiting), Capacity: p.s.Places})
+	return p.noise.say(request.Load{Running: p.running, Waiting: len(p.waiting), Capacity: p.s.Capacity})
 }
 
 func (p *plain) submit(j *job) bool {
-	if len(p.waiting) >= p.s.Queue {
+	if len(p.waiting) >= p.s.MaxQueue {
 		return false
 	}
 	p.waiting = append(p.waiting, j)
@@ -214,7 +214,7 @@
 }
 
 func (p *plain) start() {
-	for p.running < p.s.Places && len(p.waiting) > 0 {
+	for p.running < p.s.Capacity && len(p.waiting) > 0 {
 		j := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		if j.dropped {
--- a/ctl/player/host.go
+++ b/ctl/player/host.go
@@ -118,7 +118,7 @@
 		return
 	}
 	w.After(t.deadline-w.Now(), func() { t.abandon() })
-	w.After(simclock.Milliseconds(w.fleet.BeginMs), func() {
+	w.After(simclock.Milliseconds(w.fleet.HistoryReadMs), func() {
 		t.learn()
 		t.route()
 	})
@@ -126,7 +126,7 @@
 
 // learn takes from history hosts which targets have read the beginning of the prompt.
 func (t *turn) learn() {
-	if !t.h.w.policy.Ran {
+	if !t.h.w.policy.RunRecords {
 		return
 	}
 	for i, p := range t.parts {
@@ -210,7 +210,7 @@
 // connect returns the time for a connection: none where one is idle.
 func (h *host) connect(target string, delay time.Duration) time.Duration {
 	list := h.idle[target]
-	limit := simclock.Milliseconds(h.w.fleet.IdleMs)
+	limit := simclock.Milliseconds(h.w.fleet.IdleTimeoutMs)
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
@@ -289,7 +289,7 @@
 	t.h.release(s.target)
 	keep := time.Duration(0)
 	if t.retained {
-		keep = simclock.Milliseconds(t.h.w.fleet.KeepMs)
+		keep = simclock.Milliseconds(t.h.w.fleet.RetainMs)
 	}
 	t.h.w.After(keep, func() { t.end(outcome{ok: true}) })
 }
--- a/ctl/player/loads.go
+++ b/ctl/player/loads.go
@@ -11,11 +11,11 @@
 
 // newBoards starts the boards; nil where hosts do not tell each other.
 func newBoards(w *world) boards {
-	if !w.policy.Loads {
+	if !w.policy.ExchangeLoads {
 		return nil
 	}
 	b := boards{}
-	for _, centre := range w.fleet.Centres {
+	for _, centre := range w.fleet.DataCentres {
 		b[centre] = loads.NewBoard(w.reporterID())
 	}
 	return b
--- a/ctl/player/player_test.go
+++ b/ctl/player/player_test.go
@@ -29,7 +29,7 @@
 
 func policy(t *testing.T, name string) Policy {
 	t.Helper()
-	p, err := PolicyNamed(name)
+	p, err := FindPolicy(name)
 	require.NoError(t, err)
 	return p
 }
@@ -46,7 +46,7 @@
 	t.Helper()
 	const seeds = 4
 	p := pattern(t, patternName)
-	p.Scale(load)
+	p.ScaleBursts(load)
 	played := policy(t, policyName)
 	var results [seeds]*Result
 	var all sync.WaitGroup
@@ -56,10 +56,10 @@
 	all.Wait()
 	var o outcomeOf
 	for _, r := range results {
-		o.worth += r.Worth() / seeds
-		o.worst += r.Worst() / seeds
+		o.worth += r.Score() / seeds
+		o.worst += r.WorstScore() / seeds
 		o.failed += float64(r.Failed) / seeds
-		o.recovery += r.Recovery().Seconds() / seeds
+		o.recovery += r.RecoveryTime().Seconds() / seeds
 	}
 	return o
 }
@@ -85,7 +85,7 @@
 		require.NoError(t, err)
 		t.Run(p.Name, func(t *testing.T) {
 			r := Run(fleet(t), p, policy(t, "default"), 1)
-			require.Greater(t, r.Worth(), 0.6)
+			require.Greater(t, r.Score(), 0.6)
 			require.Equal(t, r.Programs, r.InTime+r.Late+r.Failed, "every program ends")
 		})
 	}
@@ -155,8 +155,8 @@
 func TestTurnsFollowTheirProgram(t *testing.T) {
 	f, p := fleetNamed(t, "eighty"), pattern(t, "burst")
 	told, untold := Run(f, p, policy(t, "default"), 1), Run(f, p, policy(t, "no_ran"), 1)
-	require.Greater(t, told.Worth(), untold.Worth()+0.2)
-	require.Greater(t, told.Worst(), untold.Worst()+0.3)
+	require.Greater(t, told.Score(), untold.Score()+0.2)
+	require.Greater(t, told.WorstScore(), untold.WorstScore()+0.3)
 	require.Less(t, told.ReadAgain*2, untold.ReadAgain)
 }
 
@@ -177,7 +177,7 @@
 	p := pattern(t, "calm")
 	now, before := Run(f, p, policy(t, "default"), 1), Run(f, p, policy(t, "no_connect"), 1)
 	require.Less(t, float64(now.Connections), 0.8*float64(before.Connections))
-	require.Greater(t, now.Worth(), before.Worth()-0.005)
+	require.Greater(t, now.Score(), before.Score()-0.005)
 }
 
 // Many hosts that tell each other what they see of the targets find slow ones sooner and open
@@ -186,11 +186,11 @@
 	p := pattern(t, "slow-plain")
 	f := fleetNamed(t, "uneven")
 	now, before := Run(f, p, policy(t, "default"), 1), Run(f, p, policy(t, "no_loads"), 1)
-	require.Greater(t, now.Worth(), before.Worth()+0.02)
+	require.Greater(t, now.Score(), before.Score()+0.02)
 	require.Less(t, now.Connections, before.Connections)
 	f = fleetNamed(t, "small")
 	now, before = Run(f, p, policy(t, "default"), 1), Run(f, p, policy(t, "no_loads"), 1)
-	require.Equal(t, before.Worth(), now.Worth())
+	require.Equal(t, before.Score(), now.Score())
 	require.Equal(t, before.Connections, now.Connections)
 }
 
@@ -201,7 +201,7 @@
 	require.Error(t, err)
 	_, err = ReadPattern(filepath.Join(folder, "small.ini"))
 	require.Error(t, err)
-	_, err = PolicyNamed("none")
+	_, err = FindPolicy("none")
 	require.Error(t, err)
 }
 
@@ -223,7 +223,7 @@
 				now := Run(f, p, policy(t, "default"), seed)
 				for _, other := range []string{"former", "former_weights", "no_ran", "no_pace", "least_loaded"} {
 					before := Run(f, p, policy(t, other), seed)
-					require.Greater(t, now.Worth(), before.Worth()-spread, other)
+					require.Greater(t, now.Score(), before.Score()-spread, other)
 				}
 			})
 		}
--- a/ctl/player/plot.go
+++ b/ctl/player/plot.go
@@ -10,7 +10,7 @@
 		p.Title = r.Pattern
 		line := lineplot.Line{Name: r.Policy}
 		for i, w := range r.Windows {
-			line.Points = append(line.Points, lineplot.Point{X: (beginOf(i) + beginOf(i+1)) / 2, Y: w.Worth()})
+			line.Points = append(line.Points, lineplot.Point{X: (beginOf(i) + beginOf(i+1)) / 2, Y: w.Score()})
 		}
 		p.Lines = append(p.Lines, line)
 	}
--- a/ctl/player/policies.go
+++ b/ctl/player/policies.go
@@ -13,13 +13,13 @@
 	vary := func(name string, change func(*balance.Weights, *dispatch.Limits)) Policy {
 		w, l := w, l
 		change(&w, &l)
-		return Policy{Name: name, Weights: w, Limits: l, Ran: true, Second: true, Loads: true}
+		return Policy{Name: name, Weights: w, Limits: l, RunRecords: true, HedgeCalls: true, ExchangeLoads: true}
 	}
 	return []Policy{
-		{Name: "default", Weights: w, Limits: l, Ran: true, Second: true, Loads: true},
-		{Name: "no_second", Weights: w, Limits: l, Ran: true, Loads: true},
-		{Name: "no_loads", Weights: w, Limits: l, Ran: true, Second: true},
-		{Name: "no_ran", Weights: w, Limits: l, Second: true, Loads: true},
+		{Name: "default", Weights: w, Limits: l, RunRecords: true, HedgeCalls: true, ExchangeLoads: true},
+		{Name: "no_second", Weights: w, Limits: l, RunRecords: true, ExchangeLoads: true},
+		{Name: "no_loads", Weights: w, Limits: l, RunRecords: true, HedgeCalls: true},
+		{Name: "no_ran", Weights: w, Limits: l, HedgeCalls: true, ExchangeLoads: true},
 		vary("send_at_once", func(_ *balance.Weights, l *dispatch.Limits) { *l = dispatch.Limits{} }),
 		vary("no_pace", func(w *balance.Weights, _ *dispatch.Limits) { w.Latency, w.SlowEvents = false, 0 }),
 		vary("no_finish", func(w *balance.Weights, _ *dispatch.Limits) { w.PredictedFinish = false }),
@@ -31,13 +31,13 @@
 		vary("no_connect", func(w *balance.Weights, _ *dispatch.Limits) { w.NewConnection = 0 }),
 		// The way before, whole; and its weights with what hosts are told now.
 		{Name: "former", Weights: balance.BaselineWeights()},
-		{Name: "former_weights", Weights: balance.BaselineWeights(), Ran: true},
-		{Name: "least_loaded", Weights: balance.Weights{Occupancy: 1, Queue: 1}, Ran: true},
+		{Name: "former_weights", Weights: balance.BaselineWeights(), RunRecords: true},
+		{Name: "least_loaded", Weights: balance.Weights{Occupancy: 1, Queue: 1}, RunRecords: true},
 	}
 }
 
 // PolicyNamed returns one of Policies.
-func PolicyNamed(name string) (Policy, error) {
+func FindPolicy(name string) (Policy, error) {
 	for _, p := range Policies() {
 		if p.Name == name {
 			return p, nil
--- a/ctl/player/result.go
+++ b/ctl/player/result.go
@@ -50,7 +50,7 @@
 type Window struct{ Programs, InTime, Late, Failed int }
 
 // Worth is the share of the programs in time, late ones counted half.
-func (x Window) Worth() float64 {
+func (x Window) Score() float64 {
 	if x.Programs == 0 {
 		return 1
 	}
@@ -65,7 +65,7 @@
 		calm = max(calm, ph.To)
 	}
 	return &Result{
-		calmAt: seconds(calm), Pattern: p.Name, Policy: policy, Seed: seed, Windows: make([]Window, int(p.Seconds)/2+1), EngineWindows: make([]Sends, int(p.Seconds)/2+1), Classes: map[string]*Window{}, Centres: map[string]*Window{}, Subjects: map[string]*Window{},
+		calmAt: seconds(calm), Pattern: p.Name, Policy: policy, Seed: seed, Windows: make([]Window, int(p.ArrivalSeconds)/2+1), EngineWindows: make([]Sends, int(p.ArrivalSeconds)/2+1), Classes: map[string]*Window{}, Centres: map[string]*Window{}, Subjects: map[string]*Window{},
 		firsts: hdrhistogram.New(1, 60_000, 3), stretches: hdrhistogram.New(1, 100_000, 3), calls: hdrhistogram.New(1, 60_000, 3), known: map[string]bool{},
 	}
 }
@@ -148,19 +148,19 @@
 }
 
 // Worth is the share of all programs in time, late ones counted half.
-func (r *Result) Worth() float64 {
-	return Window{Programs: r.Programs, InTime: r.InTime, Late: r.Late}.Worth()
+func (r *Result) Score() float64 {
+	return Window{Programs: r.Programs, InTime: r.InTime, Late: r.Late}.Score()
 }
 
 // LeastSubject is the lowest worth of a subject over the mean.
-func (r *Result) LeastSubject() float64 {
+func (r *Result) LowestSubjectScore() float64 {
 	least := 1.0
 	for _, x := range r.Subjects {
 		if x.Programs >= somePrograms {
-			least = min(least, x.Worth())
+			least = min(least, x.Score())
 		}
 	}
-	return least / max(r.Worth(), 0.01)
+	return least / max(r.Score(), 0.01)
 }
 
 // wellAgain is the worth of a window that counts as usual.
@@ -168,9 +168,9 @@
 
 // Recovery is the time from the end of the last phase to the first of the windows
 // that are all well.
-func (r *Result) Recovery() time.Duration {
+func (r *Result) RecoveryTime() time.Duration {
 	last := len(r.Windows) - 2 // the last one is cut short
-	for last >= 0 && (r.Windows[last].Worth() >= wellAgain || r.Windows[last].Programs < somePrograms) {
+	for last >= 0 && (r.Windows[last].Score() >= wellAgain || r.Windows[last].Programs < somePrograms) {
 		last--
 	}
 	return max(0, time.Duration(last+1)*windowLength-r.calmAt)
@@ -180,13 +180,13 @@
 const somePrograms = 5
 
 // Worst is the worth of the worst two windows with some programs.
-func (r *Result) Worst() float64 {
+func (r *Result) WorstScore() float64 {
 	a, b := 1.0, 1.0
 	for _, x := range r.Windows {
 		if x.Programs < somePrograms {
 			continue
 		}
-		switch v := x.Worth(); {
+		switch v := x.Score(); {
 		case v < a:
 			a, b = v, a
 		case v < b:
--- a/ctl/player/second.go
+++ b/ctl/player/second.go
@@ -46,7 +46,7 @@
 // planSecond sends the call a second time once it has taken longer than most of its kind.
 func (c *call) planSecond() {
 	h, w := c.h, c.h.w
-	if !w.policy.Second || !c.idempotent || len(c.tried) >= plainAttempts {
+	if !w.policy.HedgeCalls || !c.idempotent || len(c.tried) >= plainAttempts {
 		return
 	}
 	if d, ok := h.hedger.Delay(c.tool.Name); ok {
--- a/ctl/player/settings.go
+++ b/ctl/player/settings.go
@@ -8,115 +8,145 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Fleet is the hosts, targets and callers of a run. Times are in milliseconds.
+// Fleet describes the hosts, targets and callers of a run. Fields are keys of the section
+// [fleet], [engines] and [plain] its targets, [class "NAME"] and [tool "NAME"] its programs.
+// Times are in milliseconds.
 type Fleet struct {
-	Centres []string
-	Hosts   int
-	// EngineCentres are the data centres of the engines, in turn; empty: Centres.
-	EngineCentres []string
-	// LinkMs is one way between data centres, ClientMs to callers.
-	LinkMs, ClientMs float64
-	// BeginMs is the wait for history hosts before a turn, KeepMs after a retained one.
-	BeginMs, KeepMs float64
-	// IdleMs is how long a target keeps an idle connection.
-	IdleMs  float64
-	Engines EngineSettings
-	Plain   PlainSettings
-	Classes []*Class
-	Tools   []*Tool
-	// ProgramsPerS is the usual load.
+	DataCentres []string `ini:"centres"`
+	Hosts       int      // entry hosts, in turn over the data centres
+	// EngineDataCentres are the data centres of the engines, in turn; empty: DataCentres.
+	EngineDataCentres []string `ini:"engine_centres"`
+	// LinkDelayMs is the one-way delay between data centres.
+	LinkDelayMs float64 `ini:"link_ms"`
+	// ClientDelayMs is the one-way delay between callers and hosts.
+	ClientDelayMs float64 `ini:"client_ms"`
+	// HistoryReadMs is the wait for history hosts before a turn.
+	HistoryReadMs float64 `ini:"begin_ms"`
+	// RetainMs is the wait for history hosts after a retained turn.
+	RetainMs float64 `ini:"keep_ms"`
+	// IdleTimeoutMs is how long a target keeps an idle connection.
+	IdleTimeoutMs float64 `ini:"idle_ms"`
+	Engines       EngineSettings
+	Plain         PlainSettings
+	Classes       []*Class
+	Tools         []*Tool
+	// ProgramsPerS is the usual load: programs that start each second.
 	ProgramsPerS float64
-	// A NoiseShare of the targets takes NoiseX times longer, for NoiseMs at a time, and
-	// targets say so; 0: none does, and targets do not.
-	NoiseShare, NoiseX, NoiseMs float64
-	// WordsMs is how often hosts are told what targets of their data centre say of their
-	// load, beside the answers to their own requests; 0: never.
-	WordsMs float64
+	// NoiseShare is the share of targets that are slowed down at any time, and say so in
+	// their load reports; 0: none are, and load reports carry no slowdown.
+	NoiseShare float64
+	// NoiseFactor is how many times longer work takes on a slowed target.
+	NoiseFactor float64 `ini:"noise_x"`
+	// NoiseDurationMs is the mean duration of a slowdown.
+	NoiseDurationMs float64 `ini:"noise_ms"`
+	// LoadReportIntervalMs is the interval at which hosts get the load reports of the targets
+	// of their data centre, besides those in answers to their own requests; 0: never.
+	LoadReportIntervalMs float64 `ini:"words_ms"`
 }
 
-// EngineSettings is the model of an engine.
+// EngineSettings describes the engines; the model is in engine.go.
 type EngineSettings struct {
-	Count, Places, Queue int
-	StepMs, StepGrowth   float64
-	// ContextMsPerK is what a step takes longer for each thousand tokens that its batch
-	// holds, PairsMsPerM for each million pairs of a token read and one before it.
-	ContextMsPerK, PairsMsPerM float64
-	Chunk                      int
-	ReadPerMs                  float64
-	Memory                     int
-	TokensPerEvent             int
-	// SpeedSpread is by how much the engines differ, as a share.
-	SpeedSpread float64
-	// Speeds are times slower than usual, in turn over the engines; empty: 1.
-	Speeds []float64
+	Count    int
+	Capacity int `ini:"places"` // requests in a batch
+	MaxQueue int `ini:"queue"`  // requests that wait; more are refused
+	// StepMs is the time of a step of a batch of one; each further request adds the part
+	// StepGrowth of it.
+	StepMs, StepGrowth float64
+	// ContextMsPerKTokens is what a step takes longer for each thousand tokens of its batch.
+	ContextMsPerKTokens float64 `ini:"context_ms_per_k"`
+	// AttentionMsPerMPairs is what a step takes longer for each million pairs of a token in
+	// prefill and a token before it.
+	AttentionMsPerMPairs float64 `ini:"pairs_ms_per_m"`
+	// PrefillChunkTokens bounds the prompt tokens that a step processes.
+	PrefillChunkTokens int     `ini:"chunk"`
+	PrefillTokensPerMs float64 `ini:"read_per_ms"`
+	// CacheTokens is the capacity of the prefix cache.
+	CacheTokens int `ini:"memory"`
+	// TokensPerEvent is the number of output tokens in an event of an answer.
+	TokensPerEvent int
+	// SlowdownSpread is the largest random deviation of an engine's slowdown, as a share.
+	SlowdownSpread float64 `ini:"speed_spread"`
+	// Slowdowns are how many times slower than usual engines are, in turn; empty: 1.
+	Slowdowns []float64 `ini:"speeds"`
 }
 
-// PlainSettings is the model of a plain target.
+// PlainSettings describes the targets of the plain service.
 type PlainSettings struct {
-	Count, Places, Queue int
-	SpeedSpread          float64
-	// Speeds are times slower than usual, in turn over the targets; empty: 1.
-	Speeds []float64
+	Count    int
+	Capacity int `ini:"places"` // requests that run at once
+	MaxQueue int `ini:"queue"`  // requests that wait; more are refused
+	// SlowdownSpread is the largest random deviation of a target's slowdown, as a share.
+	SlowdownSpread float64 `ini:"speed_spread"`
+	// Slowdowns are how many times slower than usual targets are, in turn; empty: 1.
+	Slowdowns []float64 `ini:"speeds"`
 }
 
-// Class is one kind of program.
+// Class describes one kind of program.
 type Class struct {
 	Name string
-	// Share is of all programs.
+	// Share is the class's part of all programs.
 	Share float64
-	// Turns is the mean of a program, SubAgents the share of turns after which one
-	// runs SubTurns turns beside.
-	Turns, SubAgents float64
-	SubTurns         int
-	// SharedTokens begin every prompt, one of Subjects; Input and Output are the
-	// means of a turn.
-	SharedTokens, Subjects int
-	Input, Output          float64
-	Retained               bool
-	// AimFactor times its time on idle targets, and ObjectiveMs, is a program's aim.
-	AimFactor, ObjectiveMs float64
-	DeadlineMs             float64
-	Attempts               int
-	Retries                int
+	// MeanTurns is the mean number of turns of a program.
+	MeanTurns float64 `ini:"turns"`
+	// SubAgentShare is the share of turns after which a sub-agent runs SubTurns turns beside
+	// the tools.
+	SubAgentShare float64 `ini:"sub_agents"`
+	SubTurns      int
+	// SharedPrefixTokens is the length of the prefix that starts every prompt, one of
+	// Subjects different ones.
+	SharedPrefixTokens int `ini:"shared_tokens"`
+	Subjects           int
+	// MeanInputTokens and MeanOutputTokens are the means of a turn.
+	MeanInputTokens  float64 `ini:"input"`
+	MeanOutputTokens float64 `ini:"output"`
+	Retained         bool    // turns are stored by history hosts
+	// ObjectiveFactor times the program's time on idle targets, plus ObjectiveAllowanceMs, is
+	// a program's latency objective.
+	ObjectiveFactor      float64 `ini:"aim_factor"`
+	ObjectiveAllowanceMs float64 `ini:"objective_ms"`
+	DeadlineMs           float64 // timeout of a caller for one turn, retries included
+	MaxAttempts          int     `ini:"attempts"` // targets that a host tries for one turn
+	MaxRetries           int     `ini:"retries"`  // of a caller, after answers that say the turn has not run
 }
 
-// Tool is one kind of call between turns.
+// Tool describes one kind of call between turns, to a plain target.
 type Tool struct {
 	Name       string
-	WorkMs     float64
-	MostMs     float64
-	DeadlineMs float64
+	MeanWorkMs float64 `ini:"work_ms"` // exponentially distributed
+	MaxWorkMs  float64 `ini:"most_ms"`
+	DeadlineMs float64 // timeout of a caller for the call
 	Idempotent bool
 }
 
-// Pattern is what happens in a run.
+// Pattern is a load over time, with disturbances.
 type Pattern struct {
 	Name string
-	// Seconds is how long programs begin.
-	Seconds float64
-	Phases  []Phase
+	// ArrivalSeconds is how long new programs start.
+	ArrivalSeconds float64 `ini:"seconds"`
+	Phases         []Phase
 }
 
 // Kinds of phases.
 const (
-	PhaseBurst       = "burst"        // X times the load of Class, or of all
-	PhaseSlowEngines = "slow_engines" // Count engines X times slower
-	PhaseSlowPlain   = "slow_plain"   // Count plain targets X times slower
-	PhaseCut         = "cut"          // DataCentre is cut off
-	PhaseLeave       = "leave"        // Count engines and a Share of all leave, and return
-	PhaseGiveUp      = "give_up"      // a Share of callers leaves after X ms
-	PhaseHot         = "hot"          // a Share of programs is about one subject
-	PhaseEndless     = "endless"      // a Share of programs never ends
-	PhaseLean        = "lean"         // a Share of programs begins in DataCentre
-	PhaseRestarts    = "restarts"     // hosts restart one after the other, X s apart
+	PhaseBurst            = "burst"        // Value times the load of Class, or of all
+	PhaseSlowEngines      = "slow_engines" // Count engines are Value times slower
+	PhaseSlowPlainTargets = "slow_plain"   // Count plain targets are Value times slower
+	PhasePartition        = "cut"          // the network of DataCentre is partitioned from the others
+	PhaseDrainEngines     = "leave"        // Count engines and a Share of all drain, and return
+	PhaseCallersLeave     = "give_up"      // a Share of callers leaves Value ms after the start of its program
+	PhaseHotSubject       = "hot"          // a Share of programs has the same subject
+	PhaseEndlessPrograms  = "endless"      // a Share of programs never ends
+	PhaseSkewedCallers    = "lean"         // a Share of programs starts in DataCentre
+	PhaseHostRestarts     = "restarts"     // hosts restart one after the other, Value s apart
 )
 
-// Phase is one part of a pattern.
+// Phase is a change of load or a disturbance from one time to another.
 type Phase struct {
 	Name       string
-	Kind       string
+	Kind       string  // one of the constants above; fields that it does not use are 0
 	From, To   float64 // seconds
-	X, Share   float64
+	Value      float64 `ini:"x"` // unit by Kind
+	Share      float64
 	Count      int
 	Class      string
 	DataCentre string
@@ -184,11 +214,11 @@
 
 func (f *Fleet) check(path string) error {
 	switch {
-	case len(f.Centres) == 0 || f.Hosts < 1:
+	case len(f.DataCentres) == 0 || f.Hosts < 1:
 		return failure.New(failure.Usage, "file %s: no hosts or data centres", path)
-	case f.Engines.Count < 1 || f.Engines.Places < 1 || f.Engines.StepMs <= 0 || f.Engines.ReadPerMs <= 0 || f.Engines.Chunk < 1 || f.Engines.TokensPerEvent < 1:
+	case f.Engines.Count < 1 || f.Engines.Capacity < 1 || f.Engines.StepMs <= 0 || f.Engines.PrefillTokensPerMs <= 0 || f.Engines.PrefillChunkTokens < 1 || f.Engines.TokensPerEvent < 1:
 		return failure.New(failure.Usage, "file %s: engines are not fully described", path)
-	case f.Plain.Count < 1 || f.Plain.Places < 1 || len(f.Tools) == 0:
+	case f.Plain.Count < 1 || f.Plain.Capacity < 1 || len(f.Tools) == 0:
 		return failure.New(failure.Usage, "file %s: plain targets or tools are missing", path)
 	case len(f.Classes) == 0 || f.ProgramsPerS <= 0:
 		return failure.New(failure.Usage, "file %s: no load", path)
@@ -222,17 +252,17 @@
 			return nil, failure.New(failure.Usage, "file %s: unknown section %q", path, s.Name())
 		}
 	}
-	if p.Seconds <= 0 {
+	if p.ArrivalSeconds <= 0 {
 		return nil, failure.New(failure.Usage, "file %s: the pattern has no length", path)
 	}
 	return p, nil
 }
 
 // Scale multiplies the load of all bursts.
-func (p *Pattern) Scale(x float64) {
+func (p *Pattern) ScaleBursts(x float64) {
 	for i := range p.Phases {
 		if p.Phases[i].Kind == PhaseBurst {
-			p.Phases[i].X *= x
+			p.Phases[i].Value *= x
 		}
 	}
 }
--- a/ctl/player/uneven.go
+++ b/ctl/player/uneven.go
@@ -36,9 +36,9 @@
 func (n *noise) turn(slow bool) {
 	f := n.w.fleet
 	n.factor = 1
-	mean := f.NoiseMs * (1 - f.NoiseShare) / f.NoiseShare
+	mean := f.NoiseDurationMs * (1 - f.NoiseShare) / f.NoiseShare
 	if slow {
-		n.factor, mean = f.NoiseX, f.NoiseMs
+		n.factor, mean = f.NoiseFactor, f.NoiseDurationMs
 	}
 	n.w.After(simclock.Milliseconds(mean*n.rng.ExpFloat64()), func() { n.turn(!slow) })
 }
@@ -69,7 +69,7 @@
 // own data centre each time, others each wordsFarEvery times.
 func (w *world) spreadWords(round int) {
 	const wordsFarEvery = 4
-	every := simclock.Milliseconds(w.fleet.WordsMs)
+	every := simclock.Milliseconds(w.fleet.LoadReportIntervalMs)
 	if every <= 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 
 // leaning is the data centre that a program begins in, where a phase draws some to one.
 func (c *callers) leaning(p *program, usual string) string {
-	ph := c.phase(PhaseLean)
+	ph := c.phase(PhaseSkewedCallers)
 	if ph == nil || p.rng.Float64() >= ph.Share {
 		return usual
 	}
--- a/ctl/player/uneven_test.go
+++ b/ctl/player/uneven_test.go
@@ -14,7 +14,7 @@
 func uneven(t *testing.T, wordsMs float64) *Fleet {
 	t.Helper()
 	f := fleetNamed(t, "uneven-speed")
-	f.WordsMs = wordsMs
+	f.LoadReportIntervalMs = wordsMs
 	return f
 }
 
@@ -126,10 +126,10 @@
 func TestSecondSendsAnswerStalls(t *testing.T) {
 	f := uneven(t, 0)
 	lookup := *f.Tools[0]
-	lookup.MostMs = lookup.WorkMs
+	lookup.MaxWorkMs = lookup.MeanWorkMs
 	f.Tools = []*Tool{&lookup}
 	require.True(t, lookup.Idempotent)
-	pt := &Pattern{Name: "stalls", Seconds: 20, Phases: []Phase{{Kind: PhaseSlowPlain, Count: 8, From: 10, To: 14, X: 12}}}
+	pt := &Pattern{Name: "stalls", ArrivalSeconds: 20, Phases: []Phase{{Kind: PhaseSlowPlainTargets, Count: 8, From: 10, To: 14, Value: 12}}}
 	now, before := playUneven(t, f, pt, "default"), playUneven(t, f, pt, "no_second")
 	require.Zero(t, before.second)
 	require.Positive(t, now.second)
@@ -143,7 +143,7 @@
 // The noise is a two-state process of the share and the length that the settings say.
 func TestNoiseHasTheShareThatIsSet(t *testing.T) {
 	f := uneven(t, 0)
-	w := newWorld(f, &Pattern{Name: "none", Seconds: 2}, policy(t, "default"), 1)
+	w := newWorld(f, &Pattern{Name: "none", ArrivalSeconds: 2}, policy(t, "default"), 1)
 	slow, n := 0, 0
 	const samples = 400
 	var look func()
--- a/ctl/player/world.go
+++ b/ctl/player/world.go
@@ -56,9 +56,9 @@
 		fleet: f, pattern: p, policy: policy, rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*engine{}, plains: map[string]*plain{},
 		cutAt: map[string]time.Duration{}, healed: map[string]time.Duration{}, result: newResult(p, policy.Name, seed), seed: seed,
 	}
-	centres := f.EngineCentres
+	centres := f.EngineDataCentres
 	if len(centres) == 0 {
-		centres = f.Centres
+		centres = f.DataCentres
 	}
 	for i := range f.Engines.Count {
 		id := fmt.Sprintf("engine-%d", i)
@@ -67,12 +67,12 @@
 	}
 	for i := range f.Plain.Count {
 		id := fmt.Sprintf("plain-%d", i)
-		w.plains[id] = newPlain(w, f.Plain, i, id, f.Centres[i%len(f.Centres)], w.rng)
+		w.plains[id] = newPlain(w, f.Plain, i, id, f.DataCentres[i%len(f.DataCentres)], w.rng)
 		w.order = append(w.order, id)
 	}
 	w.boards = newBoards(w)
 	for i := range f.Hosts {
-		w.hosts = append(w.hosts, newHost(w, f.Centres[i%len(f.Centres)]))
+		w.hosts = append(w.hosts, newHost(w, f.DataCentres[i%len(f.DataCentres)]))
 	}
 	for _, ph := range p.Phases {
 		w.plan(ph)
@@ -84,10 +84,10 @@
 // listed is what the platform would list of a target.
 func (w *world) listed(id string) balance.TargetInfo {
 	if e := w.engines[id]; e != nil {
-		return balance.TargetInfo{ID: id, Service: engineService, Address: id, DataCentre: e.centre, Capacity: e.s.Places}
+		return balance.TargetInfo{ID: id, Service: engineService, Address: id, DataCentre: e.centre, Capacity: e.s.Capacity}
 	}
 	p := w.plains[id]
-	return balance.TargetInfo{ID: id, Service: plainService, Address: id, DataCentre: p.centre, Capacity: p.s.Places}
+	return balance.TargetInfo{ID: id, Service: plainService, Address: id, DataCentre: p.centre, Capacity: p.s.Capacity}
 }
 
 func (w *world) centreOf(target string) string { return w.listed(target).DataCentre }
@@ -106,7 +106,7 @@
 	if a == b {
 		return nearDelay
 	}
-	return simclock.Milliseconds(w.fleet.LinkMs)
+	return simclock.Milliseconds(w.fleet.LinkDelayMs)
 }
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
@@ -120,27 +120,27 @@
 	case PhaseSlowEngines:
 		for i := range ph.Count {
 			e := w.engines[fmt.Sprintf("engine-%d", i)]
-			begin(func() { e.speed *= ph.X })
-			end(func() { e.speed /= ph.X })
+			begin(func() { e.speed *= ph.Value })
+			end(func() { e.speed /= ph.Value })
 		}
-	case PhaseSlowPlain:
+	case PhaseSlowPlainTargets:
 		for i := range ph.Count {
 			p := w.plains[fmt.Sprintf("plain-%d", i)]
-			begin(func() { p.speed *= ph.X })
-			end(func() { p.speed /= ph.X })
+			begin(func() { p.speed *= ph.Value })
+			end(func() { p.speed /= ph.Value })
 		}
-	case PhaseCut:
+	case PhasePartition:
 		begin(func() { w.cut(ph.DataCentre) })
 		end(func() { w.heal(ph.DataCentre) })
-	case PhaseLeave:
+	case PhaseDrainEngines:
 		for i := range ph.Count + int(ph.Share*float64(w.fleet.Engines.Count)) {
 			id := fmt.Sprintf("engine-%d", i)
 			begin(func() { w.drain(id, true) })
 			end(func() { w.drain(id, false) })
 		}
-	case PhaseRestarts:
+	case PhaseHostRestarts:
 		for i, h := range w.hosts {
-			at := seconds(ph.From) + time.Duration(i)*seconds(ph.X)
+			at := seconds(ph.From) + time.Duration(i)*seconds(ph.Value)
 			w.After(at, h.stop)
 			w.After(at+restartTime, h.start)
 		}
@@ -201,7 +201,7 @@
 func Run(f *Fleet, p *Pattern, policy Policy, seed uint64) *Result {
 	w := newWorld(f, p, policy, seed)
 	newCallers(w, seed)
-	end := seconds(p.Seconds) + drainAfterEnd
+	end := seconds(p.ArrivalSeconds) + drainAfterEnd
 	for w.Now() < end && w.Step() {
 	}
 	w.result.close()
@@ -214,9 +214,9 @@
 	Weights balance.Weights
 	Limits  dispatch.Limits
 	// Ran: hosts are told where the turns of a program ran, also through other hosts.
-	Ran bool
+	RunRecords bool
 	// Second: idempotent calls that take long are sent a second time.
-	Second bool
+	HedgeCalls bool
 	// Loads: hosts tell each other what they see of the targets.
-	Loads bool
+	ExchangeLoads bool
 }
