--- a/core/balance/affinity.go
+++ b/core/balance/affinity.go
@@ -74,7 +74,7 @@
 	list := slices.Clone(r.serviceNamed(service).targets)
 	list = slices.DeleteFunc(list, func(t *Target) bool { return t.Draining || t.evacuated })
 	slices.SortFunc(list, func(a, b *Target) int {
-		return cmp.Or(cmp.Compare(subset.CommonRank(a.ID), subset.CommonRank(b.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(subset.SharedRank(a.ID), subset.SharedRank(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	ranks := map[string]int{}
 	return slices.DeleteFunc(list, func(t *Target) bool {
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -116,7 +116,7 @@
 		return true
 	}
 	limit := uint64(math.MaxUint64) >> (halvings + 1)
-	return CommonRank(target) < limit || Rank(host, target) < limit
+	return SharedRank(target) < limit || Rank(host, target) < limit
 }
 
 func (x *Index) adjust(g Group, delta int) {
@@ -150,8 +150,8 @@
 	return contains(x.farHalvings(Group{g.Service, dataCentre}), host, target)
 }
 
-// CommonRank returns the rank of a target in the shared half of subsets, the same for all hosts.
-func CommonRank(target string) uint64 { return Rank(sharedChooser, target) }
+// SharedRank returns the rank of a target in the shared half of subsets, the same for all hosts.
+func SharedRank(target string) uint64 { return Rank(sharedChooser, target) }
 
 // sharedChooser is the chooser of the half of a subset that all hosts share.
 const sharedChooser = ""
