--- a/core/balance/affinity.go
+++ b/core/balance/affinity.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// affinityShare is the part of a data centre's targets, at least one, that are affinity
-	// targets of a prompt's first part. Entry hosts do not tell each other what engines have
-	// cached; with affinity targets they send a shared part to the same few engines without
+	// affinityShare is the fraction of a data centre's targets that are affinity targets of a
+	// prompt's first part; at least one is. Entry hosts do not exchange what engines have cached.
+	// With affinity targets they send a shared part to the same few engines without
 	// communication, near ones first.
 	affinityShare = 0.25
 	// maxAffinityPool bounds the targets of a data centre from which affinity targets are chosen
-	// if hosts hold subsets of them: the pool is among those that all its hosts hold. A share of
-	// all targets of a large fleet would prefill each part so often that hardly any prompt would
-	// find its part cached.
+	// if hosts hold subsets of them: the pool is among those that all its hosts hold. If a
+	// fraction of all targets of a large fleet were affinity targets, each part would be
+	// prefilled at so many of them that hardly any prompt would find its part cached.
 	maxAffinityPool = 24
-	// affinityCachedShare is the part of the first part that an affinity target is assumed to
+	// affinityCachedShare is the fraction of the first part that an affinity target is assumed to
 	// have cached.
 	affinityCachedShare = 0.7
 	// maxAffinityParts bounds the first parts remembered.
@@ -39,17 +39,17 @@
 	slices.SortFunc(pool, func(a, b *Target) int {
 		return cmp.Or(cmp.Compare(affinityHash(part, b.ID), affinityHash(part, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	quotas := map[string]int{}
+	remaining := map[string]int{} // affinity targets still to be chosen, by data centre
 	for _, t := range pool {
-		quotas[t.DataCentre]++
+		remaining[t.DataCentre]++
 	}
-	for dc, targets := range quotas {
-		quotas[dc] = max(1, int(affinityShare*float64(targets)+0.5))
+	for dc, targets := range remaining {
+		remaining[dc] = max(1, int(affinityShare*float64(targets)+0.5))
 	}
 	chosen := map[string]bool{}
 	for _, t := range pool {
-		if quotas[t.DataCentre] > 0 {
-			quotas[t.DataCentre]--
+		if remaining[t.DataCentre] > 0 {
+			remaining[t.DataCentre]--
 			chosen[t.ID] = true
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // affinityPool returns the targets from which affinity targets are chosen: all targets of a data
-// centre that hosts hold whole, and of others the first ones in an order that is the same at all
+// centre of which hosts hold all, and of others the first ones in an order that is the same at all
 // hosts.
 func (r *Registry) affinityPool(service string) []*Target {
 	list := slices.Clone(r.serviceNamed(service).targets)
--- a/core/balance/affinity_test.go
+++ b/core/balance/affinity_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// In a fleet that hosts hold whole, a quarter of the engines of each data centre are affinity
+// In a fleet of which hosts hold all targets, a quarter of the engines of each data centre are affinity
 // targets.
 func TestAQuarterOfASmallFleetAreAffinityTargets(t *testing.T) {
 	for _, engines := range []int{8, 24, 68, 100} {
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -8,7 +8,7 @@
 // the cost is the predicted time of the request plus penalties expressed as time; see
 // Target.slowdown and finishCost.
 //
-// Times are offsets on a monotonic clock that the caller provides.
+// Times are offsets on a monotonic clock that the caller of the package provides.
 package balance
 
 import (
@@ -61,7 +61,7 @@
 	cold       coldState
 	// evacuated is set while the data centre of the target is evacuated.
 	evacuated bool
-	// Unreachable targets are not picked. The caller that sets it also probes the target.
+	// Unreachable targets are not picked. The code that sets it also probes the target.
 	Unreachable bool
 }
 
@@ -103,8 +103,8 @@
 	slowdowns     slowdownStats
 	turns         turnStats
 	// sends counts this host's sends per exchange with other hosts. needsExchange is set while
-	// the host itself receives too few load reports; reportsSufficientAt is when it last
-	// received enough.
+	// the load reports that the host itself receives do not suffice; reportsSufficientAt is when
+	// they last did.
 	sends               sendCounter
 	needsExchange       bool
 	reportsSufficientAt time.Duration
@@ -144,8 +144,8 @@
 }
 
 // SetTarget adds or updates a target. restarted reports that the target has restarted under its
-// ID; it is then treated as a new target without history. Late information about an earlier
-// incarnation is ignored.
+// ID, or belongs to another service than before; it is then treated as a new target without
+// history. Late information about an earlier incarnation is ignored.
 func (r *Registry) SetTarget(info TargetInfo) (restarted bool) {
 	t := r.targets[info.ID]
 	switch {
@@ -292,7 +292,7 @@
 const (
 	// failureHalfLife lets a failed target be retried after a few seconds.
 	failureHalfLife = 3 * time.Second
-	// failureRetention is the part of the failure count that remains after one success: a target
+	// failureRetention is the fraction of the failure count that remains after one success: a target
 	// that fails one request in a hundred is not avoided, one that fails four in ten is.
 	failureRetention = 0.8
 	// maxFailures bounds the failure count that enters the cost.
@@ -334,8 +334,8 @@
 // Choice is the picked target and the values that decided the choice.
 type Choice struct {
 	*Target
-	// Load is the estimated number of requests at the target, Capacity the number it serves at
-	// once.
+	// Load is the estimated number of requests at the target, Capacity the number that it runs
+	// at once.
 	Load, Capacity int
 	// UncachedTokens is the part of the prompt that the target must prefill.
 	UncachedTokens int64
@@ -343,8 +343,8 @@
 	ReportAge time.Duration
 	// Candidates is the number of targets that could have been picked.
 	Candidates int
-	// Slowdown is how many times longer than usual work takes at the target, and Predicted the
-	// expected time of the request there; 0 if the targets of the service report no slowdown.
+	// Slowdown is the factor by which work at the target takes longer than usual, and Predicted
+	// the expected time of the request there; 0 if the targets of the service report no slowdown.
 	Slowdown  float64
 	Predicted time.Duration
 	// NearTarget is the ID of the best target in the host's own data centre, and NearPredicted
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -81,8 +81,8 @@
 	require.NotEqual(t, "t1", pick(t, r, query))
 }
 
-// recordLoadedEvents records events of streams at loads from 0 to 1, whose durations rise from
-// idle to full.
+// recordLoadedEvents records events of streams at loads from 0 to 1; their durations rise with
+// the load from idle to full.
 func recordLoadedEvents(r *Registry, idle, full time.Duration) {
 	for i := range 40 {
 		load := float64(i%5) / 4
@@ -178,7 +178,7 @@
 	}
 }
 
-// A target with an old load report counts as loaded as the targets with recent ones.
+// A target whose load report is old counts as loaded like the targets with recent reports.
 func TestStaleLoadReportDecaysToServiceMean(t *testing.T) {
 	r := newTestRegistry(3)
 	old, now := target(t, r, "t0"), 10*time.Second
@@ -191,9 +191,9 @@
 	require.Zero(t, old.Load(now+10*time.Second))
 }
 
-// While engines prefill prompts, the events of healthy engines take half as long again for some
-// time. This must not drive turns from the engine with their cached prompt: prefilling the
-// prompts elsewhere would stall the other engines in turn.
+// While an engine prefills prompts, its events take longer for some time although it is healthy;
+// here two and a half times as long. This must not drive turns from the engine with their cached
+// prompt: prefilling the prompts elsewhere would stall the other engines one after the other.
 func TestStalledEventsDoNotMoveTurnsFromCachedPrompts(t *testing.T) {
 	r := newTestRegistry(3)
 	q := promptQuery("shared", "session")
@@ -320,8 +320,8 @@
 	require.Equal(t, "a:2", got.Address)
 }
 
-// A turn that failed at an engine returns through the same host, while history hosts report that
-// this engine has prefilled its prompt. The turn must not go back to the engine.
+// A turn that failed at an engine is retried through the same host, while history hosts report
+// that this engine has prefilled its prompt. The turn must not be sent to that engine again.
 func TestTurnsLeaveAnEngineThatFailsThem(t *testing.T) {
 	r := newTestRegistry(6)
 	q := promptQuery("shared", "a", "b", "c", "d")
--- a/core/balance/coldstart.go
+++ b/core/balance/coldstart.go
@@ -25,9 +25,9 @@
 }
 
 const (
-	// coldSendWindow is the part of its period in which a host may send. Any second overlaps the
-	// windows that begin within one and a half seconds, so at most one and a half times the
-	// declared rate is sent in it.
+	// coldSendWindow is the time from the start of each of its periods during which a host may
+	// send. Any second overlaps the windows that begin within one and a half seconds, so at most
+	// one and a half times the declared rate is sent in it.
 	coldSendWindow = 500 * time.Millisecond
 	// defaultHostCount is the assumed number of hosts of a data centre until the load exchange
 	// reports it. It is more than a data centre has.
@@ -51,9 +51,9 @@
 func (r *Registry) SetColdStart(service string, c ColdStart) { r.serviceNamed(service).coldStart = c }
 
 // SetColdFor records how much longer the target reports to be cold; 0 if it is warm.
-func (r *Registry) SetColdFor(id string, left, now time.Duration) {
+func (r *Registry) SetColdFor(id string, remaining, now time.Duration) {
 	if t := r.targets[id]; t != nil {
-		t.cold.until = now + left
+		t.cold.until = now + remaining
 	}
 }
 
--- a/core/balance/decay.go
+++ b/core/balance/decay.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// decay returns the part in (0, 1] that remains of a value after an age.
+// decay returns the fraction in (0, 1] that remains of a value after an age.
 func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
@@ -18,14 +18,14 @@
 
 // add adds an observation.
 func (m *decayingMean) add(v float64, now, halfLife time.Duration) {
-	retained := decay(now-m.at, halfLife)
-	m.sum, m.weight, m.at = m.sum*retained+v, m.weight*retained+1, max(m.at, now)
+	remaining := decay(now-m.at, halfLife)
+	m.sum, m.weight, m.at = m.sum*remaining+v, m.weight*remaining+1, max(m.at, now)
 }
 
 // mean returns the mean as of now, with prior weighed as a number of observations.
 func (m *decayingMean) mean(now, halfLife time.Duration, prior, observations float64) float64 {
-	retained := decay(now-m.at, halfLife)
-	return (m.sum*retained + prior*observations) / (m.weight*retained + observations)
+	remaining := decay(now-m.at, halfLife)
+	return (m.sum*remaining + prior*observations) / (m.weight*remaining + observations)
 }
 
 // rate returns the number of observations per second.
--- a/core/balance/evacuation.go
+++ b/core/balance/evacuation.go
@@ -6,8 +6,8 @@
 )
 
 // SetEvacuated replaces the set of data centres whose targets get no new requests. Targets of a
-// data centre that leaves the set are usable at once; they are treated as cold, since they may
-// have restarted unnoticed.
+// data centre that leaves the set are usable immediately; they are treated as cold, since they
+// may have restarted unnoticed.
 func (r *Registry) SetEvacuated(dataCentres map[string]bool, now time.Duration) {
 	r.evacuated = maps.Clone(dataCentres)
 	clear(r.affinityByPart)
--- a/core/balance/eventtime.go
+++ b/core/balance/eventtime.go
@@ -11,12 +11,12 @@
 const (
 	// minLoadVariance is the variance of loads that a fit needs.
 	minLoadVariance = 0.005
-	// The load share is the part of the event time at full load that is due to load.
+	// The load share is the fraction of the event time at full load that is due to load.
 	defaultLoadShare           = 0.5
 	minLoadShare, maxLoadShare = 0.1, 1
 )
 
-// loadShare returns the part of the event time at full load that is due to load.
+// loadShare returns the fraction of the event time at full load that is due to load.
 func (s *eventTimeModel) loadShare() float64 {
 	atIdle, added, ok := s.fit(minLoadVariance)
 	if !ok || atIdle+added <= 0 {
--- a/core/balance/exchange.go
+++ b/core/balance/exchange.go
@@ -23,8 +23,8 @@
 	peerTrustWindow = 300 * time.Millisecond
 	peerHalfLife    = 300 * time.Millisecond
 	// peerFailureWeight is the weight of a failure seen by another host relative to one of this
-	// host's: a single host's network link may have failed, but three hosts are right about the
-	// target.
+	// host's: the network link of a single host may be at fault, but the failures of three hosts
+	// are taken to be the target's.
 	peerFailureWeight = 0.4
 	// minReportAdvance is how much newer a load report must be to replace the present one: ages
 	// are transmitted in steps, and a host's own report sent back to it is not newer.
@@ -157,7 +157,7 @@
 // NeedsLoadExchange reports whether this host needs load reports from other hosts. It does if it
 // receives few reports from the targets of a service; if targets report their slowdown, which
 // changes faster than one host receives reports; or if some targets are cold, since each host
-// takes a share of their rate and must know the number of hosts.
+// sends a part of their declared rate and must know the number of hosts.
 func (r *Registry) NeedsLoadExchange(now time.Duration) bool {
 	needed := false
 	for _, s := range r.services {
@@ -166,8 +166,9 @@
 	return needed
 }
 
-// updateNeedsExchange updates and returns whether the host receives too few load reports from a
-// service. While the host sends few requests, the rate of reports is not significant.
+// updateNeedsExchange updates and returns needsExchange: whether the host receives too few load
+// reports from a service, or its targets report a slowdown. While the host sends few requests,
+// the rate of reports is not significant.
 func (s *service) updateNeedsExchange(now time.Duration) bool {
 	rate, sufficient := s.reportedLoads.rate(now, reportHalfLife), sufficientReportRate*float64(len(s.targets))
 	if rate < minReportRate || rate > exchangeStartRatio*sufficient && !s.hasSlowdownReport() {
@@ -235,8 +236,8 @@
 	}
 	// The failures of the other hosts occurred between their successes: on average half of the
 	// successes follow each failure.
-	retained := math.Pow(failureRetention, peerFailureWeight*float64(update.Served)/2)
-	t.failures = min(maxFailures, (t.decayedFailures(now)*retained+peerFailureWeight*float64(update.Failed))*retained)
+	remaining := math.Pow(failureRetention, peerFailureWeight*float64(update.Served)/2)
+	t.failures = min(maxFailures, (t.decayedFailures(now)*remaining+peerFailureWeight*float64(update.Failed))*remaining)
 	t.failuresAt = now
 }
 
--- a/core/balance/exchange_test.go
+++ b/core/balance/exchange_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachioarch/pistachioarch/core/request"
 )
 
-func newUpdate(told ...loads.TargetUpdate) loads.Update {
-	return loads.Update{Accepted: true, OtherHosts: 16, Targets: told}
+func newUpdate(targets ...loads.TargetUpdate) loads.Update {
+	return loads.Update{Accepted: true, OtherHosts: 16, Targets: targets}
 }
 
 func testKey(id string) loads.Key { return loads.KeyOf(id, 0) }
@@ -29,7 +29,7 @@
 	r.ApplyUpdate(loads.Update{Accepted: true, Reset: true}, 10*time.Second)
 	require.Equal(t, 1, x.estimate(10*time.Second), "a new board has reported no requests yet")
 	r.ApplyUpdate(loads.Update{OtherHosts: 16}, 20*time.Second)
-	require.Equal(t, 10*time.Second, r.UpdateAge(20*time.Second), "a reply that is not fresh is no update")
+	require.Equal(t, 10*time.Second, r.UpdateAge(20*time.Second), "a reply that is not accepted is no update")
 }
 
 func TestNewerLoadReportFromOthersReplacesLocalReport(t *testing.T) {
@@ -77,7 +77,7 @@
 	require.LessOrEqual(t, failedElsewhere.decayedFailures(0), float64(maxFailures))
 }
 
-// Two targets with the same key cannot be told apart, so neither is exchanged.
+// Two targets with the same key cannot be distinguished, so neither is exchanged.
 func TestTargetsWithCollidingKeysAreNotExchanged(t *testing.T) {
 	r := newTestRegistry(3)
 	require.Len(t, r.Observations(), 3)
--- a/core/balance/latency.go
+++ b/core/balance/latency.go
@@ -11,8 +11,8 @@
 // cost of load would drive turns away from engines that are prefilling prompts, and prefilling
 // the prompts again elsewhere would spread the slowdown.
 const (
-	// latencyGain is the weight of one observation of a target. Work of one kind varies by as
-	// much as its mean, so a verdict needs several observations.
+	// latencyGain is the weight of one observation of a target. The time of one kind of work
+	// varies by as much as its mean, so several observations are needed to call a target slow.
 	latencyGain = 0.06
 	// typicalGain is the weight of one observation in the mean over all targets.
 	typicalGain = 0.02
--- a/core/balance/latency_test.go
+++ b/core/balance/latency_test.go
@@ -63,5 +63,5 @@
 		r.RecordDuration("t1", "short", 10*time.Millisecond, time.Second)
 	}
 	require.Equal(t, "t0", pick(t, r, Query{}), "near target")
-	r.RecordDuration("gone", "long", time.Second, time.Second)
+	r.RecordDuration("unknown", "long", time.Second, time.Second)
 }
--- a/core/balance/load.go
+++ b/core/balance/load.go
@@ -37,7 +37,8 @@
 // same target.
 func (t *Target) Load(now time.Duration) int { return t.withExpectedSends(t.estimate(now), now) }
 
-// estimate returns the number of requests at the target, from the information that hosts share.
+// estimate returns the number of requests at the target, from this host's information and from
+// what hosts exchange.
 func (t *Target) estimate(now time.Duration) int {
 	return t.withOthersInFlight(t.localEstimate(now), now)
 }
@@ -55,9 +56,9 @@
 	}
 	reported := float64(t.reported.Running + t.reported.Waiting)
 	if age := now - t.reportedAt; age > reportTrustWindow {
-		retained := decay(age-reportTrustWindow, reportHalfLife)
+		remaining := decay(age-reportTrustWindow, reportHalfLife)
 		mean := t.service.reportedLoads.mean(now, reportHalfLife, 0, emptyPriorWeight) * float64(t.Capacity)
-		reported = retained*reported + (1-retained)*mean
+		reported = remaining*reported + (1-remaining)*mean
 	}
 	return max(t.inFlight, int(reported))
 }
--- a/core/balance/predict.go
+++ b/core/balance/predict.go
@@ -6,11 +6,11 @@
 )
 
 // Choice by predicted finish, for services whose targets report their slowdown: the expected
-// time of the request at each target plus the delay it causes to others. Services whose targets
-// report none are chosen by the cost of their load.
+// time of the request at each target plus the delay it causes to others. If the targets of a
+// service report none, they are chosen by the cost of their load; see cost.
 
-// Penalties for costs other than the time of the request itself, as the time for which they are
-// worth paying.
+// Penalties for costs other than the time of the request itself: each is the time that must be
+// saved for the cost to be worth paying.
 const (
 	// crossDataCentreTime is the time that must be saved by sending a request to another data
 	// centre, for the latency and the price of the bytes. It is more than the wait in a short
@@ -30,11 +30,12 @@
 )
 
 const (
-	// occupancyPenalty is the extra cost of a plain target that is nearly full, as a part of the
-	// work: load reports are delayed, so the target may be full by now.
+	// occupancyPenalty is the extra cost of a plain target that is nearly full, as a fraction of
+	// the work time: load reports are delayed, so the target may be full by now.
 	occupancyPenalty = 0.3
-	// tieBreakShare is the part of the work by which the costs of equal targets differ per
-	// request, so that hosts with the same information do not all choose the same target.
+	// tieBreakShare is the maximum, as a fraction of the work time, by which the costs of equal
+	// targets differ per request, so that hosts with the same information do not all choose the
+	// same target.
 	tieBreakShare = 0.1
 )
 
@@ -78,7 +79,7 @@
 }
 
 // waitShare returns how many requests must end before one more can start, relative to capacity.
-// This is approximately the part of a request's time that it waits.
+// This is approximately the time that a request waits, relative to its time without a wait.
 func (t *Target) waitShare(load float64) float64 { return max(0, load-1+t.relativeLoad(1)) }
 
 // intrinsicSlowdown is how many times slower than the mean of its service a target is regardless
--- a/core/balance/predict_test.go
+++ b/core/balance/predict_test.go
@@ -202,8 +202,8 @@
 	require.Equal(t, 200, countPicks(t, r, small)["near0"], "free capacity at the near target")
 }
 
-// Services whose targets report no slowdown are chosen for by load cost; statistics for
-// predicted finish are not collected.
+// If the targets of a service report no slowdown, they are chosen by the cost of their load, and
+// statistics for predicted finish are not collected.
 func TestServicesWithoutSlowdownReportsUseLoadCost(t *testing.T) {
 	r := newTestRegistry(2)
 	r.RecordFirstEvent("t0", 0.1, 1000, time.Second, time.Second)
@@ -214,7 +214,7 @@
 	require.True(t, ok)
 	require.Zero(t, c.Slowdown)
 	require.Zero(t, c.Predicted)
-	r.RecordFirstEvent("gone", 0, 0, time.Second, 0)
+	r.RecordFirstEvent("unknown", 0, 0, time.Second, 0)
 }
 
 // First events whose delays contradict the uncached tokens must make cached prompts neither
--- a/core/balance/slowdown.go
+++ b/core/balance/slowdown.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Slowdown of targets that share their hosts with others: how many times longer than usual work
-// takes there at the moment, from the targets' own load reports. A report is useful as long as
-// the target stays in the same state; after that the target counts as the mean of its service.
+// Slowdown of targets that share their hosts with others: the factor by which work there takes
+// longer than usual at the moment, from the targets' own load reports. A report is useful as long
+// as the target stays in the same state; after that the target counts as the mean of its service.
 const (
-	// slowPhaseDuration is how long a target stays slow, and slowShare the part of targets that
-	// are slow at a time, in a fleet whose slowdowns change many times in a few seconds.
+	// slowPhaseDuration is how long a target stays slow on average, and slowShare the fraction
+	// of targets that are slow at a time, in a fleet whose slowdowns change many times in a few
+	// seconds.
 	slowPhaseDuration = 600 * time.Millisecond
 	slowShare         = 0.15
 	// slowdownMeanHalfLife is the half-life of a report in the mean of its service, which
@@ -20,17 +21,18 @@
 	slowdownPriorWeight = 0.5
 	// slowdownRefreshInterval bounds how often the mean of a service is computed.
 	slowdownRefreshInterval = 100 * time.Millisecond
-	// maxSlowdown bounds a reported slowdown, so that an extreme report weighs no more than a
-	// target that must be avoided.
+	// maxSlowdown bounds a reported slowdown: it suffices to avoid a target, and an implausibly
+	// high report weighs no more than that.
 	maxSlowdown = 16
 )
 
-// slowdownHalfLife returns the half-life of the difference between a report and the mean. The
-// state of a target that changes randomly between slow and usual is forgotten at the sum of both
-// rates, that is, with a time constant of the slow phase times the share of usual targets.
+// slowdownHalfLife returns the half-life of the difference between a report and the mean. If a
+// target switches at random between slow and usual, a report of its state loses its value at the
+// sum of the rates of both switches. The time constant is therefore the duration of a slow phase
+// times the fraction of targets that are not slow.
 func slowdownHalfLife() time.Duration {
-	memory := (1 - slowShare) * slowPhaseDuration.Seconds()
-	return time.Duration(math.Ln2 * memory * float64(time.Second))
+	timeConstant := (1 - slowShare) * slowPhaseDuration.Seconds()
+	return time.Duration(math.Ln2 * timeConstant * float64(time.Second))
 }
 
 // slowdownStats summarizes the slowdowns of all targets of a service.
@@ -68,8 +70,8 @@
 
 func (t *Target) reportedSlowdown() float64 { return min(maxSlowdown, t.reported.Slowdown) }
 
-// slowdown returns how many times longer than usual work is expected to take at the target now:
-// its report, decayed with its age towards the mean of its service; 1 if no target of the
+// slowdown returns the factor by which work at the target is expected to take longer than usual
+// now: its report, decayed with its age towards the mean of its service; 1 if no target of the
 // service reports a slowdown.
 func (t *Target) slowdown(now time.Duration) float64 {
 	stats := t.service.currentSlowdowns(now)
@@ -79,12 +81,12 @@
 	case !t.reportsSlowdown():
 		return stats.mean
 	}
-	retained := decay(now-t.reportedAt, slowdownHalfLife())
-	return stats.mean + retained*(t.reportedSlowdown()-stats.mean)
+	remaining := decay(now-t.reportedAt, slowdownHalfLife())
+	return stats.mean + remaining*(t.reportedSlowdown()-stats.mean)
 }
 
-// ReportsSlowdown reports whether targets of a service report their slowdown, so that requests
-// are routed by predicted finish.
+// ReportsSlowdown reports whether targets of a service report their slowdown, so that targets
+// are chosen by predicted finish.
 func (r *Registry) ReportsSlowdown(name string, now time.Duration) bool {
 	s := r.services[name]
 	return s != nil && r.usesPredictedFinish(s, now)
--- a/core/balance/state.go
+++ b/core/balance/state.go
@@ -29,7 +29,7 @@
 	CachedParts int `json:"cached_parts"`
 	// Slowness is how many times slower than the fastest target of the service the target is.
 	Slowness float64 `json:"slowness"`
-	// Slowdown is how many times longer than usual work takes there now according to load
+	// Slowdown is the factor by which work there takes longer than usual now, according to load
 	// reports; 0 if targets of the service report none. IntrinsicSlowdown is how many times
 	// slower than others the target is regardless of that.
 	Slowdown          float64 `json:"slowdown,omitempty"`
--- a/core/balance/turntime.go
+++ b/core/balance/turntime.go
@@ -10,12 +10,15 @@
 // function of the uncached tokens, in thousands, and the number of events per turn.
 type turnStats struct {
 	prefillTime regression
-	started     float64
-	events      float64
+	// started and events count turns and their events, decayed by regressionRetention with each
+	// turn.
+	started float64
+	events  float64
 }
 
 const (
-	// minPrefillVariance is the variance of the uncached tokens, in thousands, that a fit needs.
+	// minPrefillVariance is the variance of the uncached tokens, counted in thousands, that a fit
+	// needs.
 	minPrefillVariance = 0.05
 	// minPrefillTime and maxPrefillTime bound the prefill time of a thousand tokens: random variation
 	// of first events must neither make a cached prompt worthless nor bind turns to it.
@@ -27,9 +30,10 @@
 	// eventsPriorTurns is the weight of defaultEventsPerTurn, in turns.
 	eventsPriorTurns = 10
 	// prefillTimeWeight is the weight of the prefill time in the cost: a prefilled prompt displaces
-	// others in the memory of the engine, which will be prefilled again.
+	// others in the memory of the engine, which must be prefilled again later.
 	prefillTimeWeight = 3
-	// turnSlowdownWeight is the part of a slowdown that counts against an engine.
+	// turnSlowdownWeight is the fraction of a slowdown that counts against an engine: a turn
+	// should not lose its cached prompt to a slowdown that will soon be over.
 	turnSlowdownWeight = 0.25
 )
 
--- a/core/balance/weights.go
+++ b/core/balance/weights.go
@@ -6,7 +6,8 @@
 // request takes at a full target. A full target costs only a little more than a nearly full one:
 // each move away from a short queue makes another engine prefill the whole prompt.
 type Weights struct {
-	// Occupancy is the weight of the slowdown of an engine at full load; see eventTimeModel.
+	// Occupancy is the weight of the fraction of an engine's event time that is due to load; see
+	// eventTimeModel.
 	Occupancy float64
 	// Queue is the cost of a queue as long as the engine's capacity. Leaving a queue makes
 	// another engine prefill the prompt; staying in a long one makes the request late.
