--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -11,9 +11,9 @@
 	// MaxNewProgramLoad is the load of a service's engines, relative to their capacity, from
 	// which programs that have not started are rejected; 0 rejects none.
 	MaxNewProgramLoad float64
-	// MinRetryDelay is the shortest time after which a rejected program retries, and RetryJitter
+	// MinRetryDelay is the shortest time after which a rejected program may retry, and RetryJitter
 	// the maximum that is added to it. They are as long as a few turns, so that capacity becomes
-	// free, and short against the latency objective of a program.
+	// free meanwhile, and short compared with the latency objective of a program.
 	MinRetryDelay, RetryJitter time.Duration
 }
 
@@ -65,8 +65,8 @@
 // New returns a dispatcher for the targets of a registry.
 func New(r *balance.Registry, l Limits) *Dispatcher { return &Dispatcher{registry: r, limits: l} }
 
-// Decide returns what to do with a request. The caller must record a request that is sent with
-// RecordSend of its target.
+// Decide returns what to do with a request. It does not record the send: if the Action is Send,
+// RecordSend of the chosen target must be called.
 func (d *Dispatcher) Decide(r Request, now time.Duration) Decision {
 	decision := Decision{}
 	if d.mayReject(r) {
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -30,8 +30,8 @@
 }
 
 func TestDecide(t *testing.T) {
-	underWay, plain := newProgramRequest(0), newProgramRequest(0)
-	underWay.ProgramStarted = true
+	started, plain := newProgramRequest(0), newProgramRequest(0)
+	started.ProgramStarted = true
 	plain.PromptTokens = 0
 	cases := []struct {
 		name  string
@@ -43,7 +43,7 @@
 		{"one engine with a queue, one without", []int{14, 2}, newProgramRequest(0), Send},
 		{"full, with a short queue", []int{10, 11}, newProgramRequest(0), Send},
 		{"queues everywhere", []int{13, 13}, newProgramRequest(0), Reject},
-		{"queues everywhere, program under way", []int{13, 13}, underWay, Send},
+		{"queues everywhere, program started", []int{13, 13}, started, Send},
 		{"queues everywhere, plain call", []int{13, 13}, plain, Send},
 		{"no target", nil, newProgramRequest(0), NoTarget},
 	}
--- a/core/hedge/doc.go
+++ b/core/hedge/doc.go
@@ -15,7 +15,6 @@
 //   - over any n successive answers of a service, at most BudgetRatio*n + Burst second sends;
 //   - no second send of a kind before enough calls of that kind were recorded.
 //
-// The caller is responsible for hedging only calls that may run twice, and for using the
-// answer of only one of the two sends. The state belongs to one host and is lost when it
-// stops.
+// The code that uses the package must hedge only calls that may run twice, and use the answer
+// of only one of the two sends. The state belongs to one host and is lost when it stops.
 package hedge
--- a/core/held/account.go
+++ b/core/held/account.go
@@ -32,9 +32,9 @@
 // Kinds lists all kinds.
 func Kinds() []Kind { return []Kind{Body, Prompt, Answer, Events, Record} }
 
-// existsAfterSend reports whether bytes of the kind come from an engine's work, whose answer
-// would be lost with them.
-func (k Kind) existsAfterSend() bool { return k >= Answer }
+// isOfAnswer reports whether bytes of the kind are part of an answer: the work that an engine has
+// done for it would be lost with them.
+func (k Kind) isOfAnswer() bool { return k >= Answer }
 
 const (
 	// MinRequestBytes is the smallest number of bytes that a request is charged.
@@ -47,10 +47,10 @@
 	// and to garbage on the heap.
 	requestMemoryShare = 0.4
 	answerMemoryShare  = 0.45
-	// descriptorsPerRequest counts the caller's connection and a connection to a target, two of
-	// them while one is being replaced.
+	// descriptorsPerRequest counts the caller's connection and two connections to targets: there
+	// are two while one is being replaced.
 	descriptorsPerRequest = 3
-	// minRequests is the number of requests that is allowed whatever the limits.
+	// minRequests is the number of requests that are allowed whatever the limits are.
 	minRequests = 16
 	// unboundedBytes is a bound that is never reached.
 	unboundedBytes = 1 << 60
@@ -100,7 +100,8 @@
 	isEvicted bool
 }
 
-// Admit adds a request charged with MinRequestBytes, or returns false if there is no room for it.
+// Admit adds a request charged with MinRequestBytes, or returns false if that would exceed the
+// request bound or MaxRequests.
 func (a *Account) Admit() (*RequestAccount, bool) {
 	if len(a.requests) >= a.maxRequests || a.chargedBytes+MinRequestBytes > a.requestBoundBytes {
 		return nil, false
@@ -141,7 +142,7 @@
 
 // boundFor returns the bound in bytes that applies to a kind.
 func (a *Account) boundFor(k Kind) int64 {
-	if k.existsAfterSend() {
+	if k.isOfAnswer() {
 		return a.answerBoundBytes
 	}
 	return a.requestBoundBytes
@@ -204,9 +205,9 @@
 	StalledFor time.Duration
 }
 
-// SelectEvictions returns the requests to end so that there is room for one more request and
-// n more bytes of a kind: as many as that takes in addition to those that were selected before
-// and are not closed yet. Each request is selected at most once, and only if its caller is slow.
+// SelectEvictions returns the requests to end so that one more request and n more bytes of a kind
+// fit into the bounds: as many as that takes in addition to those that were selected before and
+// are not closed yet. Each request is selected at most once, and only if its caller is slow.
 func (a *Account) SelectEvictions(now time.Duration, k Kind, n int64) []Eviction {
 	missingBytes := a.chargedBytes + n - a.boundFor(k)
 	remaining := len(a.requests)
@@ -238,7 +239,8 @@
 	return evictions
 }
 
-// evictionWeight is the charged bytes times the stalled time, by which slow callers are ordered.
+// evictionWeight returns the charged bytes times the stalled time in seconds, by which requests of
+// slow callers are ordered.
 func (r *RequestAccount) evictionWeight(now time.Duration) float64 {
 	return float64(chargeFor(r.heldBytes)) * r.stalledFor(now).Seconds()
 }
@@ -246,7 +248,7 @@
 // ActiveRequests returns the number of requests that are not closed.
 func (a *Account) ActiveRequests() int { return len(a.requests) }
 
-// MaxRequests returns the largest number of requests at a time.
+// MaxRequests returns the maximum number of requests that are not closed.
 func (a *Account) MaxRequests() int { return a.maxRequests }
 
 // ChargedBytes returns the bytes that all requests are charged.
--- a/core/held/account_test.go
+++ b/core/held/account_test.go
@@ -47,7 +47,7 @@
 	require.Equal(t, a.MaxRequests(), admitted)
 }
 
-// If long request bodies fill the request bound, answers must still have room beyond it.
+// If long request bodies fill the request bound, answers must still be allowed beyond it.
 func TestAnswersMayExceedRequestBound(t *testing.T) {
 	a := New(memoryLimit, 0)
 	r, ok := a.Admit()
@@ -62,7 +62,7 @@
 	require.True(t, r.Reserve(Answer, 1<<20))
 	require.Greater(t, a.ChargedBytes(), a.requestBoundBytes)
 	r.Release(Body, 2<<20)
-	require.True(t, r.Reserve(Body, 1<<10), "room again")
+	require.True(t, r.Reserve(Body, 1<<10), "below the request bound again")
 }
 
 func TestEvictionsStartWithMostBytesStalledLongest(t *testing.T) {
@@ -82,13 +82,13 @@
 	reading.StopCallerWait()
 	freeBytes := a.requestBoundBytes - a.ChargedBytes()
 
-	require.Empty(t, a.SelectEvictions(now, Body, freeBytes), "there is room")
+	require.Empty(t, a.SelectEvictions(now, Body, freeBytes), "the bytes fit without an eviction")
 	require.Equal(t, []Eviction{{large, 2 * time.Second}}, a.SelectEvictions(now, Body, freeBytes+1<<20))
 	require.Empty(t, a.SelectEvictions(now, Body, freeBytes+1<<20), "the earlier eviction frees enough")
 	require.Equal(t, []Eviction{{small, 3 * time.Second}}, a.SelectEvictions(now, Body, freeBytes+2<<20))
 	require.Empty(t, a.SelectEvictions(now, Body, freeBytes+8<<20), "the others are not slow")
 	large.Close()
-	require.Empty(t, a.SelectEvictions(now, Body, a.requestBoundBytes-a.ChargedBytes()), "there is room")
+	require.Empty(t, a.SelectEvictions(now, Body, a.requestBoundBytes-a.ChargedBytes()), "the bytes fit after Close")
 }
 
 // At the maximum number of requests one slow caller must be evicted for a new request.
@@ -194,7 +194,7 @@
 	require.LessOrEqual(t, charged, a.answerBoundBytes)
 	var answerBytes int64
 	for _, k := range Kinds() {
-		if k.existsAfterSend() {
+		if k.isOfAnswer() {
 			answerBytes += heldByKind[k]
 		}
 	}
--- a/core/held/doc.go
+++ b/core/held/doc.go
@@ -14,11 +14,11 @@
 //	          Admit                Reserve                Release, Close
 //	caller ----------> request ----------------> request ----------------> 0
 //	   |               account                   holds more
-//	   | refused          |
-//	   v                  | refused: the bound is reached
+//	   | rejected         |
+//	   v                  | false: the bound is reached
 //	 not run              v
 //	               wait for a Release, while SelectEvictions chooses slow callers
-//	               to end; then refused (not sent yet) or aborted (sent)
+//	               to end; then rejected (not sent yet) or aborted (sent)
 //
 // There are two bounds. New requests, and bytes read from callers, stay under the request
 // bound; answers may go up to the higher answer bound. So a full host continues to deliver
--- a/core/loads/board.go
+++ b/core/loads/board.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// targetRetention is how long a target is kept that no reporter contributes to.
+	// targetRetention is how long a target to which no reporter contributes is kept after its
+	// last change.
 	targetRetention = 30 * time.Second
-	// maxTargets bounds the targets kept, including past incarnations. A board beyond it
-	// starts empty, and all hosts report again the targets that exist.
+	// maxTargets bounds the targets kept, including past incarnations. A board that exceeds it
+	// becomes an empty board instance, to which all hosts report the existing targets again.
 	maxTargets = 20_000
 	// sweepInterval is the time between two searches for targets past their retention.
 	sweepInterval = time.Second
@@ -38,8 +39,8 @@
 	contributions map[Key]*contribution
 }
 
-// contribution is one reporter's share of a target: the counts of its last report, and the
-// part of them that was added to the target's counts.
+// contribution is one reporter's part of a target's merged state: the counts of its last report,
+// and, as merged, what it has added to the target's counts.
 type contribution struct {
 	inFlight int
 	outcomeCounts
@@ -160,7 +161,7 @@
 
 // removeReporter removes a reporter and its requests in flight; nil is allowed. The outcomes
 // that it reported stay in the targets' counts, attributed to no reporter, so that the host
-// receives all of them if it comes back.
+// receives all of them if it reports again.
 func (b *Board) removeReporter(r *reporterState) {
 	if r == nil {
 		return
--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -2,8 +2,8 @@
 // targets: the number of requests in flight there, the load that targets report, and
 // failures.
 //
-// It addresses deployments with many hosts and many targets, in which a host alone hears from
-// one target only once in several seconds, acts on load reports that are out of date by then,
+// It addresses deployments with many hosts and many targets, in which a host alone receives a
+// load report from a target only once in several seconds, acts on reports that are out of date,
 // and discovers each failing target by a failed request of its own.
 //
 //	entry hosts --HostReport--> Board --Reply--> entry hosts
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -77,7 +77,7 @@
 	require.Empty(t, b.Exchange(x.report(300*ms), 300*ms).Targets, "others have changed nothing")
 }
 
-// All hosts know of a target that resets connections after one exchange each.
+// After one exchange of each host, all hosts know of a target that resets connections.
 func TestHostsLearnFailuresOfOthers(t *testing.T) {
 	b := NewBoard(1)
 	hosts := []*host{newHost(1), newHost(2), newHost(3)}
@@ -95,7 +95,7 @@
 	require.Equal(t, 1, hosts[0].othersFailed[7], "a host's own failures are not returned to it")
 }
 
-// A host that starts does not take all failures since the start of the board for new ones.
+// A host that starts must not take the failures since the start of the board for new ones.
 func TestNewHostIgnoresEarlierFailures(t *testing.T) {
 	b := NewBoard(1)
 	x := newHost(1)
--- a/core/loads/message.go
+++ b/core/loads/message.go
@@ -81,7 +81,7 @@
 	// Restart asks the host to start a new session.
 	Restart bool
 	// KnownRevision is the revision up to which the host has received changes with this
-	// reply. More reports whether the message was too small for all of them.
+	// reply. More reports whether there are further changes, which did not fit into the message.
 	KnownRevision uint64
 	More          bool
 	// OtherHosts is the number of other hosts that report to this board.
--- a/core/loads/reporter.go
+++ b/core/loads/reporter.go
@@ -39,7 +39,7 @@
 	// version changes with the observation. queued is the target's position in the order of
 	// those to report, 0 if the current version was acknowledged.
 	version, queued uint64
-	// removed reports whether the target is no longer listed.
+	// removed reports whether the target was missing from the last observations.
 	removed bool
 }
 
@@ -100,7 +100,8 @@
 	}
 }
 
-// markChanged queues a target for the next reports. One that is queued keeps its position.
+// markChanged queues a target for the next reports. A target that is already queued keeps its
+// position.
 func (r *Reporter) markChanged(t *localTarget) {
 	t.version++
 	if t.queued == 0 {
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -6,12 +6,12 @@
 type Limit struct {
 	// Rate is in requests a second.
 	Rate float64
-	// Burst is the number of requests that may arrive at once.
+	// Burst is the number of requests that may arrive at the same time.
 	Burst float64
 }
 
 // Tolerance is the amount by which a quota may be exceeded: in any span of Window, a customer
-// may have (Rate * Window + Burst) * (1 + Overage) + Slack requests.
+// may send (Rate * Window + Burst) * (1 + Overage) + Slack requests.
 type Tolerance struct {
 	Window time.Duration
 	// Overage is a fraction of the quota.
--- a/core/quota/buckets.go
+++ b/core/quota/buckets.go
@@ -36,8 +36,8 @@
 type Grant struct {
 	Granted bool
 	// NextTokenIn is the time until the member's next token, if it granted none. RetryDelay
-	// is the time until a token is available for this caller: earlier tokens were promised
-	// to other callers.
+	// is the time until a token is available for this caller: the tokens before that were
+	// promised to other callers.
 	NextTokenIn, RetryDelay time.Duration
 }
 
@@ -84,7 +84,7 @@
 	return states
 }
 
-// DropFull deletes the buckets that are full, since a new one would fill up to the same level.
+// DropFull deletes the buckets that are full: a new one is full too when it is first used.
 func (s *Buckets) DropFull(now time.Duration) {
 	for customer, b := range s.byCustomer {
 		b.refill(now)
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -115,8 +115,8 @@
 	require.Equal(t, Limit{5, 5}, Limit{5, 5}.WithTolerance(Tolerance{}))
 }
 
-// Customers at 0.6 of their limit are refused nothing, though members do not communicate and
-// requests arrive in random order.
+// Of the requests of a customer at 0.6 of its limit, at most one in 500 is refused, although
+// members do not communicate and requests arrive at random times.
 func TestRequestsBelowLimitAreGranted(t *testing.T) {
 	for _, limit := range []Limit{{5, 5}, {20, 20}, {229, 229}} {
 		t.Run(fmt.Sprint(limit.Rate), func(t *testing.T) {
@@ -136,8 +136,8 @@
 	}
 }
 
-// A customer at eight times its limit is granted the whole limit.
-func TestWholeLimitIsGranted(t *testing.T) {
+// A customer at eight times its limit is granted as many requests as the limit allows.
+func TestFullLimitIsGranted(t *testing.T) {
 	r, c, limit := rand.New(rand.NewPCG(3, 3)), newCluster(5), Limit{Rate: 50, Burst: 50}
 	for now := time.Second; now < 21*time.Second; now += time.Duration(r.ExpFloat64() / 400 * float64(time.Second)) {
 		c.takeFromAny(r, limit, now)
@@ -266,7 +266,7 @@
 const maxTokenWait = 600 * time.Millisecond
 
 // A customer whose programs need twice its quota completes nearly as many of them as the quota
-// carries.
+// suffices for.
 func TestRunningProgramsCompleteBeforeNewOnesStart(t *testing.T) {
 	limit := Limit{Rate: 40, Burst: 40}.WithTolerance(tolerance)
 	const size = 14
@@ -277,14 +277,15 @@
 		}
 		return total
 	}
-	const carried = 10 * 40 * 40 / size
-	require.Greater(t, completed(true, maxTokenWait)*100, carried*90)
+	const affordable = 10 * 40 * 40 / size // programs that the quota suffices for, over all seeds
+	require.Greater(t, completed(true, maxTokenWait)*100, affordable*90)
 	require.Greater(t, completed(true, maxTokenWait), completed(false, maxTokenWait)*11/10, "more than if first requests are granted like all others")
 	require.Greater(t, completed(true, maxTokenWait)*100, completed(true, 0)*103, "more than if no request waits")
 }
 
 // At 0.9 of its quota, most programs of a customer complete. One program alone needs 5
-// requests a second for three seconds, and a quota of 8 a second does not carry two at a time.
+// requests a second for three seconds, and a quota of 8 a second does not suffice for two at a
+// time.
 func TestMostProgramsBelowQuotaComplete(t *testing.T) {
 	for rate, percent := range map[float64]int{8: 85, 40: 97} {
 		completed, started := 0, 0
--- a/core/quota/starts.go
+++ b/core/quota/starts.go
@@ -17,8 +17,8 @@
 	// initialSize is the number of requests assumed of a program before any are counted. It
 	// weighs as much as initialPrograms counted programs.
 	initialSize, initialPrograms = 8, 1
-	// maxStarts is the number of programs that may start at once when the bucket is about
-	// to run out. More would start programs that the quota cannot complete.
+	// maxStarts is the number of programs that may start at the same time when the bucket is
+	// about to run out. With more, programs would start that the quota cannot complete.
 	maxStarts = 1
 )
 
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -3,7 +3,8 @@
 //
 // Choosers need no coordination. On average each item is selected by the same number of
 // choosers, and when items are added or removed, only the selections that include them change.
-// This keeps the state and the messages of a host constant when the fleet grows.
+// A host that selects a fixed number of items has the same state and sends the same number of
+// messages when the fleet grows.
 package subset
 
 import (
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -39,9 +39,9 @@
 // Removing an item changes only the selections that include it, by one item each.
 func TestRemovingAnItemKeepsTheOtherSelectedItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		items := names("t", rapid.IntRange(2, 60).Draw(t, "things"))
+		items := names("t", rapid.IntRange(2, 60).Draw(t, "items"))
 		n := rapid.IntRange(1, len(items)).Draw(t, "n")
-		removed := rapid.IntRange(0, len(items)-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, len(items)-1).Draw(t, "removed")
 		chooser := rapid.String().Draw(t, "chooser")
 		before := Select(chooser, items, n)
 		remaining := append(append([]string{}, items[:removed]...), items[removed+1:]...)
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -69,8 +69,8 @@
 	return list
 }
 
-// Shrunk reports whether the subsets with the halvings after are contained in those with the
-// halvings before.
+// Shrunk reports whether the subsets did not grow from the halvings before to the halvings after:
+// those after are contained in those before.
 func Shrunk(before, after []Halvings) bool {
 	for _, b := range before {
 		a := halvingsOf(after, b.Service)
@@ -153,7 +153,7 @@
 // SharedRank returns the rank of a target in the shared half of subsets, the same for all hosts.
 func SharedRank(target string) uint64 { return Rank(sharedChooser, target) }
 
-// sharedChooser is the chooser of the half of a subset that all hosts share.
+// sharedChooser is the chooser of the half of a subset that is the same for all hosts.
 const sharedChooser = ""
 
 // farHalvings returns the halvings of far targets for hosts whose data centre may have no target
--- a/core/subset/targets_test.go
+++ b/core/subset/targets_test.go
@@ -121,7 +121,7 @@
 	unhalved := x.Halvings("dc0")
 	x.Add(g)
 	halved := x.Halvings("dc0")
-	require.NotEqual(t, unhalved, halved, "128 targets are no longer held whole")
+	require.NotEqual(t, unhalved, halved, "of 128 targets hosts no longer hold all")
 	for range 10 {
 		x.Remove(g)
 		require.Equal(t, halved, x.Halvings("dc0"))
