--- a/core/decl/decl.go
+++ b/core/decl/decl.go
@@ -14,8 +14,8 @@
 // Objective is the measure that placement optimizes first for a service.
 type Objective string
 
-// The objectives. Latency gives most weight to program latency, Cache to prefix cache
-// that would be wasted.
+// The objectives. Latency gives most weight to the latency of programs, Cache to the reuse
+// of prefix caches.
 const (
 	Latency Objective = "latency"
 	Cache   Objective = "cache"
--- a/core/decl/rule.go
+++ b/core/decl/rule.go
@@ -43,7 +43,7 @@
 	CallsPerSecond float64
 	// Retries is the maximum number of attempts after the first; -1 keeps the default.
 	Retries int
-	// Objective overrides the objective of the service; empty keeps it.
+	// Objective overrides the objective of the service; empty means no override.
 	Objective Objective
 	// Reject is the text with which the call is rejected; empty accepts the call.
 	Reject string
