--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -129,8 +129,8 @@
 	return list
 }
 
-// LongestRuns returns the targets that have run prompts of the program which ended with
-// one of the parts, each with its longest such prompt, in no order.
+// LongestRuns returns the targets that have run prompts of the program whose last part is one
+// of parts, each target with its longest such prompt, in no order.
 func (l *Ledger) LongestRuns(name string, parts []string) []*historypb.Ran {
 	p := l.programs[name]
 	if p == nil || len(parts) == 0 {
@@ -163,8 +163,8 @@
 	return chain
 }
 
-// RecordPage returns all records of the programs, in the order of names, and whether
-// programs are left over. It stops after the program with which the page reaches limit bytes.
+// RecordPage returns all records of the named programs, in the order given, and whether programs
+// are left over. It stops after the program with which the page reaches limit bytes.
 func (l *Ledger) RecordPage(names []string, limit int) (page []*historypb.Record, more bool) {
 	size := 0
 	for i, name := range names {
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -67,11 +67,11 @@
 
 // Load is a target's own report of its load.
 type Load struct {
-	// Running and Waiting are the requests that the target runs and queues; Capacity is the
-	// number that it runs at once.
+	// Running and Waiting are the numbers of requests that the target runs and queues; Capacity
+	// is the number that it runs at once.
 	Running, Waiting, Capacity int
-	// Slowdown is the current duration of work at the target relative to the usual one: 2
-	// means that work takes twice as long; 0 if the target does not report it.
+	// Slowdown is the factor by which work at the target takes longer than usual at the moment;
+	// 0 if the target does not report it.
 	Slowdown float64
 }
 
@@ -85,7 +85,7 @@
 	// Priority ranks requests at the target; 0 is the most urgent. Valid if HasPriority.
 	Priority    int
 	HasPriority bool
-	// Pin is the time for which the target keeps the prompt and the answer from eviction; 0
+	// Pin is the time for which the target protects the prompt and the answer from eviction; 0
 	// means not at all.
 	Pin time.Duration
 	// HideKey removes the caller's key from the request.
--- a/core/routing/customer.go
+++ b/core/routing/customer.go
@@ -34,7 +34,7 @@
 type Quota struct {
 	// Rate is in requests per second; 0 means no quota.
 	Rate float64
-	// Burst is the maximum number of requests at once.
+	// Burst is the maximum number of requests that may arrive at the same time.
 	Burst float64
 }
 
--- a/core/sched/policy.go
+++ b/core/sched/policy.go
@@ -10,7 +10,7 @@
 // Policy orders the queue and chooses targets. A policy may keep its own state, but must
 // not read a clock or draw random numbers.
 type Policy interface {
-	// Key returns the item's place in the queue: the item with the smallest key is first.
+	// Key returns the key by which the item is ordered in the queue, the smallest first.
 	Key(it *Item) float64
 	// Choose returns one of candidates, which is not empty, or nil if the item should
 	// wait in the queue.
@@ -56,7 +56,7 @@
 func leastLoadedOf(candidates []*Target) *Target {
 	best := candidates[0]
 	for _, t := range candidates[1:] {
-		// Compares load relative to batch size without a division.
+		// The cross products compare the ratios without a division.
 		if t.Load()*best.Decl.Batch < best.Load()*t.Decl.Batch {
 			best = t
 		}
@@ -130,9 +130,9 @@
 	}
 }
 
-// Default is the product's policy. It takes the program that began first, moved back by
-// the service that it has attained, and chooses the target with the lowest sum of queue
-// wait and weighted recompute time. See docs/POLICY.md.
+// Default is the product's policy. It takes a call of the program that began first, where
+// each program is moved back by the service that it has attained, and chooses the target
+// with the lowest sum of queue wait and weighted recompute time. See docs/POLICY.md.
 type Default struct{ p Parameters }
 
 // NewDefault returns the default policy with the given parameters.
@@ -141,8 +141,8 @@
 // Key implements Policy. Programs that began earlier go first, so running programs are
 // finished before new ones start: fewer programs are interleaved, which leaves more cache
 // to each, and a program does not wait at each of its calls for all programs that arrived
-// since. A call can be overtaken only by programs that began within the attained penalty
-// after its own, so no call starves.
+// since. At equal priority, a call can be overtaken only by programs that began within
+// the attained penalty after its own, so no call starves.
 func (d *Default) Key(it *Item) float64 {
 	attainedPenalty := time.Duration(min(it.Attained, d.p.MaxAttained)) * d.p.AttainedWeight
 	priorityBonus := time.Duration(it.Priority-decl.DefaultPriority) * d.p.PriorityStep
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -15,7 +15,7 @@
 	Service   string
 	Priority  int
 	Objective decl.Objective
-	// Attained is the service that the program has had so far, in tokens.
+	// Attained is the service that the program has received so far, in tokens.
 	Attained int64
 	// Prompt and History are the numbers of new and of earlier tokens of the request;
 	// Output is the maximum number of tokens that it generates.
@@ -41,8 +41,9 @@
 	index int
 }
 
-// Rank returns the priority with which the item is sent to its target, which takes higher
-// ranks first. It is the order of the queue here, in milliseconds.
+// Rank returns the rank that is sent to the target with the item; the target takes items of
+// higher rank first. It is the negative queue key in milliseconds, so targets keep the order of
+// the queue here.
 func (it *Item) Rank() int64 { return -int64(it.key / float64(time.Millisecond)) }
 
 // queue is a heap of items, ordered by key and then by the sequence of Enqueue.
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -49,11 +49,11 @@
 
 func TestDefaultQueuesCallsWhenAllTargetsAreFull(t *testing.T) {
 	s := newScheduler(t, PolicyDefault, declared(2))
-	room := 2 * 2 * (1 + DefaultParameters().MaxQueuedBatches)
-	for i := range room + 1 {
+	maxCalls := 2 * 2 * (1 + DefaultParameters().MaxQueuedBatches) // at two targets with batches of two
+	for i := range maxCalls + 1 {
 		require.True(t, s.Enqueue(item(i), false))
 	}
-	for range room {
+	for range maxCalls {
 		it, _ := s.Next(0)
 		require.NotNil(t, it)
 	}
