--- a/core/placement/crowded.go
+++ b/core/placement/crowded.go
@@ -82,9 +82,8 @@
 	})
 }
 
-// UnspanSlots ends the need for the outside replicas in spanning slots of which one outside
-// replica is silent. silent holds the IDs of members that do not answer. It reports whether the
-// map changed.
+// UnspanSlots makes spanning slots with a silent outside replica no longer spanning. silent holds
+// the IDs of members that do not answer. It reports whether the map changed.
 func (m *Map) UnspanSlots(silent map[string]bool) bool {
 	return m.updateSlots(func(s *Slot) bool {
 		isSilent := func(r Replica) bool { return silent[r.Member] }
@@ -96,7 +95,7 @@
 	})
 }
 
-// stopSpanning ends the need for the outside replicas; these may miss writes from now on.
+// stopSpanning makes a slot no longer spanning; its outside replicas may miss writes from now on.
 func (s *Slot) stopSpanning() {
 	s.Spanning = false
 	for i := range s.Replicas {
--- a/core/placement/membership.go
+++ b/core/placement/membership.go
@@ -43,30 +43,30 @@
 	return false
 }
 
-// replaceLostMember puts member to in the place of member from in every slot, as a joining
-// replica. The disk of from is lost, so from is not a source of copies.
-func (m *Map) replaceLostMember(from, to string) {
+// replaceLostMember replaces a member by its successor in every slot, as a joining replica. The
+// disk of the lost member is lost too, so it is not a source of copies.
+func (m *Map) replaceLostMember(lost, successor string) {
 	for i := range m.Slots {
 		s := &m.Slots[i]
-		if s.FormerMember == from {
+		if s.FormerMember == lost {
 			s.FormerMember = ""
 		}
 		for j := range s.Replicas {
-			if s.Replicas[j].Member == from {
-				s.Replicas[j] = Replica{Member: to, Joining: true}
+			if s.Replicas[j].Member == lost {
+				s.Replicas[j] = Replica{Member: successor, Joining: true}
 				s.ChangedEpoch = m.Epoch
 			}
 		}
 	}
 }
 
-// Replace moves the replicas of member from to other members that are not in excluded,
-// one replica of a slot at a time: a slot with another joining replica stays unchanged
-// until that replica is active. It reports whether the map changed.
-func (m *Map) Replace(from string, excluded map[string]bool) bool {
+// Replace moves a member's replicas to other members that are not in excluded, one replica
+// of a slot at a time: a slot with another joining replica stays unchanged until that
+// replica is active. It reports whether the map changed.
+func (m *Map) Replace(member string, excluded map[string]bool) bool {
 	changed := false
 	for i := range m.Slots {
-		if !m.canReplace(i, from) {
+		if !m.canReplace(i, member) {
 			continue
 		}
 		candidates := m.candidates(i, excluded)
@@ -77,7 +77,7 @@
 			m.Epoch++
 			changed = true
 		}
-		m.replaceReplica(i, from, candidates[0].ID)
+		m.replaceReplica(i, member, candidates[0].ID)
 	}
 	return changed
 }
@@ -96,17 +96,18 @@
 	return true
 }
 
-// replaceReplica puts member to in the place of member from in a slot, as a joining replica.
-func (m *Map) replaceReplica(slot int, from, to string) {
+// replaceReplica replaces a member by its successor in a slot, as a joining replica. If the
+// member was active there, it becomes the slot's former member.
+func (m *Map) replaceReplica(slot int, member, successor string) {
 	s := &m.Slots[slot]
 	for j := range s.Replicas {
-		if s.Replicas[j].Member != from {
+		if s.Replicas[j].Member != member {
 			continue
 		}
 		if !s.Replicas[j].Joining {
-			s.FormerMember = from
+			s.FormerMember = member
 		}
-		s.Replicas[j] = Replica{Member: to, Joining: true}
+		s.Replicas[j] = Replica{Member: successor, Joining: true}
 	}
 	s.stopSpanning()
 	s.ChangedEpoch = m.Epoch
--- a/core/placement/model_test.go
+++ b/core/placement/model_test.go
@@ -231,7 +231,7 @@
 	m.disks[successor.ID].adopted = m.latestMap()
 }
 
-// step takes one random action.
+// step performs one random action.
 func (m *model) step() {
 	switch m.rng.IntN(12) {
 	case 0, 1, 2:
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -21,7 +21,7 @@
 )
 
 // GlobalSlotCount is the number of slots of a map that are not bound to a region: enough that
-// 100 history hosts hold even shares, few enough that the map stays below 64 KB.
+// 100 history hosts hold about the same number each, few enough that the map stays below 64 KB.
 const GlobalSlotCount = 64
 
 // Member is one history host with one disk.
@@ -45,8 +45,8 @@
 	// AckRequired is set on a joining replica of a guarded slot whose acknowledgement every
 	// write needs.
 	AckRequired bool `json:"required,omitempty"`
-	// Demoted is set on a joining replica that Demote excluded from the active ones; its disk
-	// still holds the records it had then.
+	// Demoted is set on a joining replica that was active until Demote; its disk still holds the
+	// records that it had then.
 	Demoted bool `json:"demoted,omitempty"`
 }
 
@@ -74,7 +74,7 @@
 type Map struct {
 	// Epoch grows by one with each change.
 	Epoch uint64 `json:"epoch"`
-	// Faults is the number of members that may be lost at once.
+	// Faults is the number of members that may be lost at the same time.
 	Faults int `json:"faults"`
 	// Members holds the members by ID.
 	Members map[string]Member `json:"members"`
@@ -172,7 +172,7 @@
 }
 
 // New returns a map without members that tolerates the given number of faults. Assign
-// gives its slots replicas later, so that members that start together get even shares.
+// gives its slots replicas later, so that members that start together get about the same number each.
 func New(faults int) *Map {
 	return &Map{Epoch: 1, Faults: faults, Members: map[string]Member{}, Slots: make([]Slot, GlobalSlotCount)}
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -93,8 +93,8 @@
 	require.True(t, m.RemoveUnused("m2"))
 }
 
-// After members were replaced, no member holds far more than its share of slots: each slot
-// adds to a member's share of writes, and must be copied again if its disk is lost.
+// After members were replaced, no member may hold far more slots than the mean: each slot adds to
+// the writes that a member receives, and must be copied again if its disk is lost.
 func TestReplacedSlotsStayEvenlySpread(t *testing.T) {
 	m := newTestMap(2, 11)
 	for round := range 6 {
@@ -106,9 +106,9 @@
 			activateAll(m)
 		}
 		require.NotContains(t, m.Members, replaced)
-		share := float64(GlobalSlotCount*m.ReplicationFactor()) / float64(len(m.Members))
+		mean := float64(GlobalSlotCount*m.ReplicationFactor()) / float64(len(m.Members))
 		for id, n := range m.slotsPerMember() {
-			require.LessOrEqual(t, float64(n), 1.5*share, "%s after %d rounds: %v", id, round+1, m.slotsPerMember())
+			require.LessOrEqual(t, float64(n), 1.5*mean, "%s after %d rounds: %v", id, round+1, m.slotsPerMember())
 		}
 		for i, s := range m.Slots {
 			replicaCounts := map[string]int{}
--- a/core/placement/probe.go
+++ b/core/placement/probe.go
@@ -52,8 +52,8 @@
 // ProbedByMember returns the set of other members that a member probes: all if
 // ProbesAllMembers, otherwise the members that share slots with it, its upstream members, and
 // the first members by ID, over all and in its data centre, until a quorum plus one of them are
-// alive. From the latter the member knows which members to follow and whether it is its turn to
-// act.
+// alive. From the latter the member knows which members to follow, and whether it is the member
+// that has to act.
 func (m *Map) ProbedByMember(self, dataCentre string, alive func(id string) bool) map[string]bool {
 	probed := map[string]bool{}
 	if m.ProbesAllMembers() {
--- a/core/placement/quorum_first.go
+++ b/core/placement/quorum_first.go
@@ -1,8 +1,8 @@
 package placement
 
-// minSpareFaults is the smallest number of tolerated faults at which a slot has enough replicas
-// beyond a quorum that not asking them at first outweighs the second step that is needed when a
-// replica of the quorum fails.
+// minSpareFaults is the smallest number of tolerated faults at which quorum-first requests pay
+// off: a slot has so many replicas beyond a quorum that the requests saved outweigh the second
+// step that is needed when a replica of the quorum fails.
 const minSpareFaults = 2
 
 // HasSpareReplicas reports whether any slot may allow quorum-first requests;
@@ -30,8 +30,8 @@
 }
 
 // FormerMemberForRead returns the slot's former member, and whether a complete read needs its
-// answer too: while fewer replicas than a quorum are active, it may be the only member to hold
-// records whose other copies were on disks that were lost since.
+// answer too: while fewer replicas than a quorum are active, it may be the only member that holds
+// records whose other copies were on disks that have been lost since.
 func (m *Map) FormerMemberForRead(slot int) (member string, needed bool) {
 	s := &m.Slots[slot]
 	if _, isMember := m.Members[s.FormerMember]; !isMember || !m.HasSpareReplicas() {
--- a/core/placement/quorum_first_test.go
+++ b/core/placement/quorum_first_test.go
@@ -41,7 +41,7 @@
 const modelSeeds = 1000
 
 // Writes go to a quorum only, as quorum.Client sends them, where the slot allows it. Any t disks
-// may be lost at once, copied and lost again, and every complete read must still see every
+// may be lost at the same time, copied and lost again, and every complete read must still see every
 // acknowledged write.
 func TestQuorumFirstReadsSeeAcknowledgedWrites(t *testing.T) {
 	for hosts := 5; hosts <= 7; hosts++ {
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -15,7 +15,7 @@
 // cut off, the slot is unavailable until the data centre is back.
 
 // SlotsPerRegion is the number of slots of each region: a few times the number of members that
-// hold them, so that their shares are even.
+// hold them, so that these hold about the same number each.
 const SlotsPerRegion = 16
 
 // regionDelimiter precedes and follows the region in the name of a program that is bound to a
--- a/core/placement/relays.go
+++ b/core/placement/relays.go
@@ -29,8 +29,8 @@
 	return m.Relays(alive)
 }
 
-// maxFollowers is the largest number of members of a data centre that follow the same member
-// first.
+// maxFollowers is the largest number of members of a data centre that have the same member as
+// their preferred upstream.
 const maxFollowers = 8
 
 // Upstream returns the members that a member follows for the state of the platform, the
