--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -235,7 +235,7 @@
 	t.idleConns.take(now)
 	t.useColdWindow(now)
 	t.reported.Running++
-	t.breaker.Sent()
+	t.breaker.RecordSend()
 	t.cache.add(parts, now)
 }
 
@@ -274,18 +274,18 @@
 	switch o {
 	case Served:
 		t.idleConns.put(now)
-		t.breaker.Success()
+		t.breaker.RecordSuccess()
 		t.failures = t.decayedFailures(now) * failureRetention
 		t.failuresAt = now
 	case Refused:
 		t.idleConns.put(now)
-		t.breaker.Inconclusive()
+		t.breaker.RecordInconclusive()
 	case Failed:
-		t.breaker.Failure(now)
+		t.breaker.RecordFailure(now)
 		t.failures = t.decayedFailures(now) + 1
 		t.failuresAt = now
 	default:
-		t.breaker.Inconclusive()
+		t.breaker.RecordInconclusive()
 	}
 }
 
--- a/core/balance/state.go
+++ b/core/balance/state.go
@@ -73,7 +73,7 @@
 		return "unreachable"
 	case t.evacuated:
 		return "evacuated"
-	case t.breaker.Open(now):
+	case t.breaker.IsOpen(now):
 		return "failing"
 	case !t.admitsByColdStart(now):
 		return "cold"
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -254,7 +254,7 @@
 		return
 	}
 	if budget := h.sched.RetryBudget(f.accepted.Service); budget != nil && !retry {
-		budget.First()
+		budget.RecordFirstAttempt()
 	}
 }
 
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -130,7 +130,7 @@
 		t, _ := h.sched.Target(name)
 		d.Targets = append(d.Targets, DumpTarget{
 			Target: name, InFlight: t.InFlight, PeerInFlight: t.PeerInFlight, HeldTokens: t.Held + t.PeerHeld,
-			BreakerOpen: t.Breaker.Open(h.now), Leaving: t.Decl.Leaving,
+			BreakerOpen: t.Breaker.IsOpen(h.now), Leaving: t.Decl.Leaving,
 		})
 	}
 	if set := h.set(); set != nil {
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -107,7 +107,7 @@
 	switch {
 	case int(f.attempt) > f.then.Retries:
 		return failure.Retry(failure.TargetFailed, noTargetRetry, "all %d attempts failed", f.attempt)
-	case budget == nil || !budget.Take():
+	case budget == nil || !budget.TakeToken():
 		return failure.Retry(failure.TargetFailed, noTargetRetry, "the retry budget of %s is spent", f.accepted.Service)
 	case lost && h.left(f.p) < f.attemptTokens():
 		return failure.New(failure.BudgetExhausted, "the budget does not allow another attempt")
--- a/core/sched/breaker.go
+++ b/core/sched/breaker.go
@@ -25,26 +25,26 @@
 	trialInFlight bool
 }
 
-// Open reports whether calls must not be sent at now. After the open time the
-// breaker is half open and allows one trial call; see Sent.
-func (b *Breaker) Open(now time.Duration) bool {
+// IsOpen reports whether calls must not be sent at now. After the open time the
+// breaker is half open and allows one trial call; see RecordSend.
+func (b *Breaker) IsOpen(now time.Duration) bool {
 	return b.failures >= breakerThreshold && (now < b.openUntil || b.trialInFlight)
 }
 
-// Sent records that a call was sent. On a half-open breaker it is the trial call.
-func (b *Breaker) Sent() {
+// RecordSend records that a call was sent. On a half-open breaker it is the trial call.
+func (b *Breaker) RecordSend() {
 	b.trialInFlight = b.failures >= breakerThreshold
 }
 
-// Success records a successful call and closes the breaker.
-func (b *Breaker) Success() { *b = Breaker{Base: b.Base, Max: b.Max} }
+// RecordSuccess records a successful call and closes the breaker.
+func (b *Breaker) RecordSuccess() { *b = Breaker{Base: b.Base, Max: b.Max} }
 
-// Inconclusive records a call that ended without evidence about the target. Another
+// RecordInconclusive records a call that ended without evidence about the target. Another
 // trial call may follow.
-func (b *Breaker) Inconclusive() { b.trialInFlight = false }
+func (b *Breaker) RecordInconclusive() { b.trialInFlight = false }
 
-// Failure records a failed call at now.
-func (b *Breaker) Failure(now time.Duration) {
+// RecordFailure records a failed call at now.
+func (b *Breaker) RecordFailure(now time.Duration) {
 	b.trialInFlight = false
 	b.failures++
 	if b.failures < breakerThreshold {
--- a/core/sched/retry.go
+++ b/core/sched/retry.go
@@ -24,11 +24,11 @@
 	return &RetryBudget{ratio: ratio, tokens: maxRetryTokens}
 }
 
-// First records one first attempt, which adds ratio tokens.
-func (b *RetryBudget) First() { b.tokens = min(maxRetryTokens, b.tokens+b.ratio) }
+// RecordFirstAttempt records one first attempt, which adds ratio tokens.
+func (b *RetryBudget) RecordFirstAttempt() { b.tokens = min(maxRetryTokens, b.tokens+b.ratio) }
 
-// Take takes the token for one retry. It returns false if there is none.
-func (b *RetryBudget) Take() bool {
+// TakeToken takes the token for one retry. It returns false if there is none.
+func (b *RetryBudget) TakeToken() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -132,28 +132,28 @@
 func TestBreakerOpensAndAllowsOneTrial(t *testing.T) {
 	var b Breaker
 	for range breakerThreshold {
-		assert.False(t, b.Open(0))
-		b.Failure(0)
+		assert.False(t, b.IsOpen(0))
+		b.RecordFailure(0)
 	}
-	assert.True(t, b.Open(0))
-	assert.False(t, b.Open(breakerBase), "half open after the base time")
-	b.Sent()
-	assert.True(t, b.Open(breakerBase), "one trial call at a time")
-	b.Failure(breakerBase)
-	assert.True(t, b.Open(2*breakerBase), "a failed trial doubles the open time")
-	assert.False(t, b.Open(3*breakerBase))
-	b.Success()
-	assert.False(t, b.Open(0))
+	assert.True(t, b.IsOpen(0))
+	assert.False(t, b.IsOpen(breakerBase), "half open after the base time")
+	b.RecordSend()
+	assert.True(t, b.IsOpen(breakerBase), "one trial call at a time")
+	b.RecordFailure(breakerBase)
+	assert.True(t, b.IsOpen(2*breakerBase), "a failed trial doubles the open time")
+	assert.False(t, b.IsOpen(3*breakerBase))
+	b.RecordSuccess()
+	assert.False(t, b.IsOpen(0))
 }
 
 func TestRetryBudgetLimitsRetriesToRatio(t *testing.T) {
 	b := NewRetryBudget(0.5)
-	for b.Take() {
+	for b.TakeToken() {
 	}
 	granted := 0
 	for range 100 {
-		b.First()
-		if b.Take() {
+		b.RecordFirstAttempt()
+		if b.TakeToken() {
 			granted++
 		}
 	}
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -168,7 +168,7 @@
 		}
 		if it, t := s.place(now, svc); it != nil {
 			t.InFlight++
-			t.Breaker.Sent()
+			t.Breaker.RecordSend()
 			return it, t
 		}
 		svc.needsScan = false
@@ -203,7 +203,7 @@
 	var avoided *Target
 	for _, t := range svc.targets {
 		switch {
-		case t.Decl.Leaving || t.Breaker.Open(now):
+		case t.Decl.Leaving || t.Breaker.IsOpen(now):
 		case t.Decl.Name == it.AvoidTarget:
 			avoided = t
 		default:
@@ -226,7 +226,7 @@
 		return false
 	}
 	for _, t := range svc.targets {
-		if !t.Decl.Leaving && !t.Breaker.Open(now) {
+		if !t.Decl.Leaving && !t.Breaker.IsOpen(now) {
 			return true
 		}
 	}
@@ -242,10 +242,10 @@
 	}
 	t.InFlight = max(0, t.InFlight-1)
 	if ok {
-		t.Breaker.Success()
+		t.Breaker.RecordSuccess()
 		t.recordCallTime(duration)
 	} else {
-		t.Breaker.Failure(now)
+		t.Breaker.RecordFailure(now)
 	}
 	s.Wake(t.Decl.Service)
 }
