--- a/core/balance/exchange_test.go
+++ b/core/balance/exchange_test.go
@@ -128,7 +128,7 @@
 	now       time.Duration
 }
 
-// pendingRequest is a request in flight and when and how it ends.
+// pendingRequest is a request in flight, with the time and the outcome of its end.
 type pendingRequest struct {
 	at      time.Duration
 	host    int
@@ -168,7 +168,8 @@
 }
 
 // run returns the mean over time of the busiest target's requests divided by those of the mean
-// target.
+// target. With exchange, hosts exchange loads; with spread, they also know the number of other
+// hosts, and so expect their sends.
 func (d *simulation) run(exchange, spread bool) float64 {
 	sum, samples := 0.0, 0
 	for d.now = 0; d.now < 20*time.Second; d.now += d.interval {
@@ -212,10 +213,10 @@
 }
 
 func (d *simulation) finishRequests() {
-	var left []pendingRequest
+	var remaining []pendingRequest
 	for _, e := range d.pending {
 		if e.at > d.now {
-			left = append(left, e)
+			remaining = append(remaining, e)
 			continue
 		}
 		t, _ := d.hosts[e.host].Target(e.id)
@@ -226,7 +227,7 @@
 		}
 		t.RecordLoadReport(request.Load{Running: d.running[e.id], Capacity: simCapacity}, d.now)
 	}
-	d.pending = left
+	d.pending = remaining
 }
 
 func (d *simulation) maxOverMean() float64 {
@@ -244,26 +245,26 @@
 		{40, 27, 8 * time.Millisecond, 640 * time.Millisecond, 0},
 		{40, 40, 8 * time.Millisecond, 960 * time.Millisecond, 0},
 	} {
-		isolated := newSimulation(s).run(false, false)
-		shared := newSimulation(s).run(true, false)
+		noExchange := newSimulation(s).run(false, false)
+		exchange := newSimulation(s).run(true, false)
 		spread := newSimulation(s).run(true, true)
-		t.Logf("%d hosts, %d targets, busiest over mean: isolated %.2f, exchange %.2f, exchange and spread %.2f", s.hosts, s.targets, isolated, shared, spread)
-		require.Less(t, spread, 0.85*isolated)
-		require.Less(t, spread, 0.85*shared)
+		t.Logf("%d hosts, %d targets, busiest over mean: no exchange %.2f, exchange %.2f, exchange and spread %.2f", s.hosts, s.targets, noExchange, exchange, spread)
+		require.Less(t, spread, 0.85*noExchange)
+		require.Less(t, spread, 0.85*exchange)
 	}
 }
 
-// Hosts that exchange loads find targets that reset connections together, not each by its own
-// failed requests.
+// Hosts that exchange loads learn from each other's failures which targets reset connections,
+// instead of each from failed requests of its own.
 func TestLoadExchangeHalvesFailuresAtBrokenTargets(t *testing.T) {
 	for _, s := range []scenario{
 		{17, 27, 4 * time.Millisecond, 320 * time.Millisecond, 3},
 		{40, 27, 4 * time.Millisecond, 320 * time.Millisecond, 3},
 	} {
-		isolated, shared := newSimulation(s), newSimulation(s)
-		isolated.run(false, false)
-		shared.run(true, true)
-		t.Logf("%d hosts: failed isolated %d, with exchange %d", s.hosts, isolated.failed, shared.failed)
-		require.Less(t, shared.failed, isolated.failed/2)
+		noExchange, exchange := newSimulation(s), newSimulation(s)
+		noExchange.run(false, false)
+		exchange.run(true, true)
+		t.Logf("%d hosts: failures without exchange %d, with exchange %d", s.hosts, noExchange.failed, exchange.failed)
+		require.Less(t, exchange.failed, noExchange.failed/2)
 	}
 }
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -18,7 +18,7 @@
 final locked
 `
 
-func TestTransitions(t *testing.T) {
+func TestNextFollowsOnlyDeclaredTransitions(t *testing.T) {
 	c, err := Parse("door", door)
 	require.NoError(t, err)
 	s := c.Initial()
--- a/core/decl/decl_test.go
+++ b/core/decl/decl_test.go
@@ -60,7 +60,7 @@
 	assert.Equal(t, Then{Rule: "long", Priority: 2, Deadline: 30 * time.Second, CallsPerSecond: 10, Retries: 1, Objective: Latency}, then)
 }
 
-// TestParseReportsLineAndReason checks the line and a part of the reason of the first fault.
+// Each case has the line of the first fault and a part of its reason.
 func TestParseReportsLineAndReason(t *testing.T) {
 	base := "[service \"s\"]\n" // line 1; each case starts on line 2
 	for name, c := range map[string]struct {
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -29,7 +29,7 @@
 	return Request{Query: balance.Query{Service: "s", PromptTokens: 100}, Draw: draw}
 }
 
-func TestDecide(t *testing.T) {
+func TestOnlyNewProgramsAreRejectedWhenAllEnginesQueue(t *testing.T) {
 	started, plain := newProgramRequest(0), newProgramRequest(0)
 	started.ProgramStarted = true
 	plain.PromptTokens = 0
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -30,7 +30,7 @@
 	require.False(t, old.Newer(old))
 }
 
-func TestChooseFollowsTheWeights(t *testing.T) {
+func TestChooseFollowsWeights(t *testing.T) {
 	r := &Route{Services: []WeightedService{{"a", 90}, {"b", 0}, {"c", 10}}}
 	count := map[string]int{}
 	for i := range 1000 {
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -11,9 +11,9 @@
 	Service, DataCentre string
 }
 
-// Sizes are the numbers of targets of each service that a host holds: near targets, of its own
-// data centre, and far targets, of all others together. A host holds all targets while there are
-// fewer than twice as many.
+// Sizes are the nominal numbers of targets of each service that a host holds: near targets, of
+// its own data centre, and far targets, of all others together. A host holds all targets while
+// there are fewer than twice as many, and above that about three quarters to twice the size.
 type Sizes struct {
 	Near, Far int
 }
--- a/core/subset/targets_test.go
+++ b/core/subset/targets_test.go
@@ -111,7 +111,7 @@
 		x.Remove(g)
 	}
 	fewer, _ := heldTargets(x, groups, "h")
-	require.Greater(t, len(fewer), len(after)*3/2, "about twice the share of half as many targets")
+	require.Greater(t, len(fewer), len(after)*3/2, "about twice the fraction of half as many targets")
 }
 
 // A number of targets that oscillates around a limit must not change subsets each time.
