--- a/core/balance/affinity.go
+++ b/core/balance/affinity.go
@@ -22,7 +22,7 @@
 	// affinityCachedShare is the fraction of the first part that an affinity target is assumed to
 	// have cached.
 	affinityCachedShare = 0.7
-	// maxAffinityParts bounds the first parts remembered.
+	// maxAffinityParts bounds the first parts whose affinity targets are remembered.
 	maxAffinityParts = 1024
 )
 
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -45,8 +45,8 @@
 	// AckRequired is set on a joining replica of a guarded slot whose acknowledgement every
 	// write needs.
 	AckRequired bool `json:"required,omitempty"`
-	// Demoted is set on a joining replica that was active until Demote; its disk still holds the
-	// records that it had then.
+	// Demoted is set on a replica of the crowded data centre that Demote has turned into a joining
+	// one; its disk still holds the records that it had then.
 	Demoted bool `json:"demoted,omitempty"`
 }
 
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -21,8 +21,8 @@
 }
 
 // burstToleranceFraction is the fraction of the tolerance that is added to the burst. Without
-// it, small quotas, split into parts of about one token, would refuse requests below the
-// quota. The rest of the tolerance covers requests that run twice.
+// it, members would refuse requests below a small quota, which is split into parts of about
+// one token. The rest of the tolerance covers requests that run twice.
 const burstToleranceFraction = 0.8
 
 // WithTolerance returns the limit with a fraction of the tolerance added to the burst.
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// Hold adds tokens, which may be negative, to the estimate of this host's cache at the
-// target.
+// Hold adds tokens, which may be negative, to the estimate of what the target's cache holds for
+// this host's programs.
 func (s *Scheduler) Hold(name string, tokens int64) {
 	if t, ok := s.targets[name]; ok {
 		t.Held = max(0, t.Held+tokens)
--- a/core/sched/target.go
+++ b/core/sched/target.go
@@ -11,7 +11,7 @@
 	Decl *decl.Target
 	// InFlight is the number of this host's calls in flight at the target.
 	InFlight int
-	// Held is the estimated number of cache tokens at the target for this host's programs.
+	// Held is the estimated number of tokens of this host's programs in the target's cache.
 	Held int64
 	// PeerInFlight and PeerHeld are the sums of the same for all other hosts.
 	PeerInFlight int
