--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -6,12 +6,12 @@
 type Limit struct {
 	// Rate is in requests a second.
 	Rate float64
-	// Burst is the number of requests that may arrive at once.
+	// Burst is the number of requests that may arrive at the same time.
 	Burst float64
 }
 
 // Tolerance is the amount by which a quota may be exceeded: in any span of Window, a customer
-// may have (Rate * Window + Burst) * (1 + Overage) + Slack requests.
+// may send (Rate * Window + Burst) * (1 + Overage) + Slack requests.
 type Tolerance struct {
 	Window time.Duration
 	// Overage is a fraction of the quota.
@@ -21,8 +21,8 @@
 }
 
 // burstToleranceFraction is the fraction of the tolerance that is added to the burst. Without
-// it, small quotas, split into parts of about one token, would refuse requests below the
-// quota. The rest of the tolerance covers requests that run twice.
+// it, members would refuse requests below a small quota, which is split into parts of about
+// one token. The rest of the tolerance covers requests that run twice.
 const burstToleranceFraction = 0.8
 
 // WithTolerance returns the limit with a fraction of the tolerance added to the burst.
--- a/core/subset/targets.go
+++ b/core/subset/targets.go
@@ -11,9 +11,9 @@
 	Service, DataCentre string
 }
 
-// Sizes are the numbers of targets of each service that a host holds: near targets, of its own
-// data centre, and far targets, of all others together. A host holds all targets while there are
-// fewer than twice as many.
+// Sizes are the nominal numbers of targets of each service that a host holds: near targets, of
+// its own data centre, and far targets, of all others together. A host holds all targets while
+// there are fewer than twice as many, and above that about three quarters to twice the size.
 type Sizes struct {
 	Near, Far int
 }
@@ -69,8 +69,8 @@
 	return list
 }
 
-// Shrunk reports whether the subsets with the halvings after are contained in those with the
-// halvings before.
+// Shrunk reports whether the subsets did not grow from the halvings before to the halvings after:
+// those after are contained in those before.
 func Shrunk(before, after []Halvings) bool {
 	for _, b := range before {
 		a := halvingsOf(after, b.Service)
@@ -116,7 +116,7 @@
 		return true
 	}
 	limit := uint64(math.MaxUint64) >> (halvings + 1)
-	return CommonRank(target) < limit || Rank(host, target) < limit
+	return SharedRank(target) < limit || Rank(host, target) < limit
 }
 
 func (x *Index) adjust(g Group, delta int) {
@@ -150,10 +150,10 @@
 	return contains(x.farHalvings(Group{g.Service, dataCentre}), host, target)
 }
 
-// CommonRank returns the rank of a target in the shared half of subsets, the same for all hosts.
-func CommonRank(target string) uint64 { return Rank(sharedChooser, target) }
+// SharedRank returns the rank of a target in the shared half of subsets, the same for all hosts.
+func SharedRank(target string) uint64 { return Rank(sharedChooser, target) }
 
-// sharedChooser is the chooser of the half of a subset that all hosts share.
+// sharedChooser is the chooser of the half of a subset that is the same for all hosts.
 const sharedChooser = ""
 
 // farHalvings returns the halvings of far targets for hosts whose data centre may have no target
--- a/core/subset/targets_test.go
+++ b/core/subset/targets_test.go
@@ -111,7 +111,7 @@
 		x.Remove(g)
 	}
 	fewer, _ := heldTargets(x, groups, "h")
-	require.Greater(t, len(fewer), len(after)*3/2, "about twice the share of half as many targets")
+	require.Greater(t, len(fewer), len(after)*3/2, "about twice the fraction of half as many targets")
 }
 
 // A number of targets that oscillates around a limit must not change subsets each time.
@@ -121,7 +121,7 @@
 	unhalved := x.Halvings("dc0")
 	x.Add(g)
 	halved := x.Halvings("dc0")
-	require.NotEqual(t, unhalved, halved, "128 targets are no longer held whole")
+	require.NotEqual(t, unhalved, halved, "of 128 targets hosts no longer hold all")
 	for range 10 {
 		x.Remove(g)
 		require.Equal(t, halved, x.Halvings("dc0"))
