--- a/daemon/history/keeper.go
+++ b/daemon/history/keeper.go
@@ -193,7 +193,7 @@
 	}
 	k.join(ctx, m)
 	k.peers.probe(ctx, m, k.toProbe(m))
-	k.peers.pool.Tidy(idleConnection)
+	k.peers.pool.CloseIdle(idleConnection)
 	k.arrange(ctx, m)
 	k.repair(ctx, k.server.Map())
 	k.tidy(ctx, k.server.Map())
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -272,7 +272,7 @@
 		case <-tick.C:
 			c.updateIsolation()
 			c.probeMembers(maxSilence)
-			c.pool.Tidy(idleConnectionTimeout)
+			c.pool.CloseIdle(idleConnectionTimeout)
 		}
 	}
 }
--- a/wire/rpc/client.go
+++ b/wire/rpc/client.go
@@ -95,9 +95,9 @@
 	c.lastUsed = time.Now()
 }
 
-// Tidy closes the connection if there was no call for the duration idle. The next call dials
+// CloseIdle closes the connection if there was no call for the duration idle. The next call dials
 // again.
-func (c *Client) Tidy(idle time.Duration) {
+func (c *Client) CloseIdle(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link == nil || c.callsInFlight > 0 || time.Since(c.lastUsed) < idle {
--- a/wire/rpc/pool.go
+++ b/wire/rpc/pool.go
@@ -50,12 +50,12 @@
 	return c
 }
 
-// Tidy closes the connections that had no call for the duration idle.
-func (p *Pool) Tidy(idle time.Duration) {
+// CloseIdle closes the connections that had no call for the duration idle.
+func (p *Pool) CloseIdle(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.clients {
-		c.Tidy(idle)
+		c.CloseIdle(idle)
 	}
 }
 
--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -182,7 +182,7 @@
 	require.Less(t, each, int64(maxBytes))
 }
 
-// Tidy must close a connection without calls but not one with a call in flight, and the next
+// CloseIdle must close a connection without calls but not one with a call in flight, and the next
 // call must dial again.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	release := make(chan struct{})
@@ -199,7 +199,7 @@
 	_, err := c.Call(t.Context(), &historypb.Request{})
 	require.NoError(t, err)
 	first := c.link
-	p.Tidy(time.Hour)
+	p.CloseIdle(time.Hour)
 	require.False(t, first.ended(), "used lately")
 	done := make(chan error, 1)
 	go func() {
@@ -207,11 +207,11 @@
 		done <- err
 	}()
 	require.Eventually(t, func() bool { return c.underWay() == 1 }, time.Minute, time.Millisecond)
-	p.Tidy(0)
+	p.CloseIdle(0)
 	require.False(t, first.ended(), "a call is under way")
 	close(release)
 	require.NoError(t, <-done)
-	p.Tidy(0)
+	p.CloseIdle(0)
 	require.True(t, first.ended())
 	_, err = c.Call(t.Context(), &historypb.Request{})
 	require.NoError(t, err)
--- a/wire/rpc/traffic.go
+++ b/wire/rpc/traffic.go
@@ -17,8 +17,8 @@
 	KindReserve
 	// KindSettle is a write with settlements and no turn.
 	KindSettle
-	// KindKeep is a write with finished turns.
-	KindKeep
+	// KindTurn is a write with finished turns.
+	KindTurn
 	// KindRead reads budget use and turn chains.
 	KindRead
 	// KindTake takes a token of a quota.
@@ -69,7 +69,7 @@
 	for _, r := range w.Records {
 		switch r.Change.(type) {
 		case *historypb.Record_Turn:
-			return KindKeep
+			return KindTurn
 		case *historypb.Record_Settle:
 			kind = KindSettle
 		}
--- a/wire/rpc/traffic_test.go
+++ b/wire/rpc/traffic_test.go
@@ -20,7 +20,7 @@
 	turn := &historypb.Record{Change: &historypb.Record_Turn{}}
 	require.Equal(t, KindReserve, requestKind(writeOf(reserve)))
 	require.Equal(t, KindSettle, requestKind(writeOf(reserve, settle)))
-	require.Equal(t, KindKeep, requestKind(writeOf(settle, turn)))
+	require.Equal(t, KindTurn, requestKind(writeOf(settle, turn)))
 	require.Equal(t, KindPing, requestKind(&historypb.Request{Call: &historypb.Request_Ping{}}))
 	require.Equal(t, KindOther, requestKind(&historypb.Request{}))
 }
@@ -53,15 +53,15 @@
 		}
 	}
 	require.Eventually(t, func() bool {
-		return served.Sent(KindRead) == called.Received(KindRead) && served.Sent(KindKeep) == called.Received(KindKeep) &&
-			called.Sent(KindRead) == served.Received(KindRead) && called.Sent(KindKeep) == served.Received(KindKeep)
+		return served.Sent(KindRead) == called.Received(KindRead) && served.Sent(KindTurn) == called.Received(KindTurn) &&
+			called.Sent(KindRead) == served.Received(KindRead) && called.Sent(KindTurn) == served.Received(KindTurn)
 	}, 5*time.Second, time.Millisecond, "both sides count a message after it is written")
-	for _, k := range []Kind{KindRead, KindKeep} {
+	for _, k := range []Kind{KindRead, KindTurn} {
 		require.EqualValues(t, calls, called.Calls(k))
 		require.EqualValues(t, calls, served.Calls(k))
 		require.Equal(t, called.Sent(k), served.Received(k))
 	}
-	require.Greater(t, called.Sent(KindKeep), int64(calls*1000))
+	require.Greater(t, called.Sent(KindTurn), int64(calls*1000))
 	require.LessOrEqual(t, called.Calls(KindPing), slowCalls, "a call sends at most one ping, and only after pingDelay")
 	if slowCalls == 0 {
 		require.Zero(t, called.Sent(KindPing))
