--- a/daemon/entry/body.go
+++ b/daemon/entry/body.go
@@ -98,7 +98,7 @@
 	return err
 }
 
-// uploadFailure is the failure of a request whose body could not be read.
+// uploadFailure returns the failure of a request whose body could not be read.
 func (x *exchange) uploadFailure(err error, limit int64) error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -136,8 +136,8 @@
 }
 
 // readAnswer reads the body of a plain answer. If there is no memory for it, it stops reading from
-// the target until there is, up to answerWait. A length that the target gives is reserved as a
-// whole: several answers that are each read in part could otherwise use up the memory, so that
+// the target until there is, up to maxAnswerMemoryWait. A length that the target gives is reserved
+// as a whole: several answers that are each read in part could otherwise use up the memory, so that
 // none is ever complete.
 func (x *exchange) readAnswer(ctx context.Context, resp *targetpool.Response) (*bodyChunks, error) {
 	body := &bodyChunks{}
@@ -165,14 +165,14 @@
 	return err
 }
 
-// read appends up to size bytes. It returns the error of source unchanged, which tells a truncated
-// answer from a complete one.
-func (p *bodyChunks) read(source io.Reader, size int64) error {
+// read appends up to size bytes. It returns the error of source unchanged, so that a truncated
+// answer can be distinguished from a complete one.
+func (b *bodyChunks) read(source io.Reader, size int64) error {
 	for size > 0 {
 		chunk := make([]byte, min(size, readChunkBytes))
 		n, err := readFull(source, chunk)
-		p.chunks = append(p.chunks, chunk[:n])
-		p.size += int64(n)
+		b.chunks = append(b.chunks, chunk[:n])
+		b.size += int64(n)
 		size -= int64(n)
 		if err != nil {
 			return err
--- a/daemon/entry/caller.go
+++ b/daemon/entry/caller.go
@@ -21,7 +21,7 @@
 	writeCheckInterval = 250 * time.Millisecond
 )
 
-// callerListener wraps the connections that it accepts in callerConns.
+// callerListener wraps each connection that it accepts in a callerConn.
 type callerListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -53,7 +53,7 @@
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerConnOf is the connection of a request, nil if no callerListener accepted it.
+// callerConnOf returns the connection of a request, nil if no callerListener accepted it.
 func callerConnOf(r *http.Request) *callerConn {
 	c, _ := r.Context().Value(callerConnKey{}).(*callerConn)
 	return c
@@ -108,7 +108,8 @@
 }
 
 // CloseWrite closes the writing side only. http.Server uses it to end an answer before it closes
-// the connection, so that data that the caller still sends does not lose the answer by a reset.
+// the connection, so that data that the caller still sends does not cause a reset that loses the
+// answer.
 func (c *callerConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/daemon/entry/capacity_wait.go
+++ b/daemon/entry/capacity_wait.go
@@ -12,9 +12,9 @@
 	// capacityRetryDelay is the least delay between two attempts at plain targets that are
 	// full, the time of one to three of their requests.
 	capacityRetryDelay = 50 * time.Millisecond
-	// maxCapacityWait bounds the wait, and capacityWaitDivisor bounds it as a fraction,
+	// maxCapacityWait bounds the total wait, and capacityWaitDivisor bounds it as a fraction,
 	// 1/capacityWaitDivisor, of the request's timeout. A call that finds no capacity by then
-	// is refused while its caller has time for a retry.
+	// is refused while its caller still has time for a retry.
 	maxCapacityWait     = 400 * time.Millisecond
 	capacityWaitDivisor = 3
 )
@@ -29,20 +29,21 @@
 }
 
 // addFull adds a target that is full.
-func (r *capacityWait) addFull(target string) {
-	if r.fullTargets == nil {
-		r.fullTargets = map[string]bool{}
+func (w *capacityWait) addFull(target string) {
+	if w.fullTargets == nil {
+		w.fullTargets = map[string]bool{}
 	}
-	r.fullTargets[target] = true
+	w.fullTargets[target] = true
 }
 
-// retryTargets are the targets that may be tried after a wait, nil for all before the first wait.
-// Only targets that were full are, so that no call is sent to more targets than its route allows.
-func (r *capacityWait) retryTargets() map[string]bool {
-	if r.waited == 0 {
+// retryTargets returns the targets that may be tried; nil, before the first wait, means all. After a
+// wait only targets that were full may be tried, so that no call is sent to more targets than its
+// route allows.
+func (w *capacityWait) retryTargets() map[string]bool {
+	if w.waited == 0 {
 		return nil
 	}
-	return r.fullTargets
+	return w.fullTargets
 }
 
 // awaitCapacity waits before the targets that refused a program's call to a plain service are tried
--- a/daemon/entry/confirm.go
+++ b/daemon/entry/confirm.go
@@ -86,15 +86,15 @@
 	// outageRetryDelay is the retry delay during an outage of the platform: callers give up
 	// after a few retries, and no host serves them sooner.
 	outageRetryDelay = time.Second
-	// maxConfirmWait and confirmWaitDivisor bound the wait for a confirmation, absolutely and
-	// as a part of the caller's remaining time. A short outage then costs that time and does
-	// not fail the program.
+	// maxConfirmWait bounds the wait for a confirmation, and confirmWaitDivisor bounds it as a
+	// fraction, 1/confirmWaitDivisor, of the time until the request's deadline. A short outage
+	// then costs that time and does not fail the program.
 	maxConfirmWait     = 1200 * time.Millisecond
 	confirmWaitDivisor = 3
 )
 
-// isIsolated reports whether this host has been cut off from most slots of the history hosts;
-// other entry hosts may be better off.
+// isIsolated reports whether most slots of the history hosts are not servable for this host; other
+// entry hosts may not be affected.
 func (h *Host) isIsolated() bool { return h.History.IsolatedFor() > 0 }
 
 // staleRetryDelay returns when a caller with a key should retry after the configuration has
--- a/daemon/entry/customer.go
+++ b/daemon/entry/customer.go
@@ -28,7 +28,7 @@
 	return failure.New(failure.Unauthorized, "unknown key in configuration version %d", table.Version)
 }
 
-// customerName is the name of the caller's customer, empty if there is none.
+// customerName returns the name of the caller's customer, empty if there is none.
 func (x *exchange) customerName() string {
 	if x.customer == nil {
 		return ""
@@ -36,7 +36,7 @@
 	return x.customer.Name
 }
 
-// allowedRegions are the regions in which the request may be served and its turn stored, by its
+// allowedRegions returns the regions in which the request may be served and its turn stored, by its
 // route and its customer.
 func (x *exchange) allowedRegions() routing.Regions {
 	if x.customer == nil {
@@ -45,8 +45,8 @@
 	return x.route.Regions.Intersect(x.customer.Regions)
 }
 
-// allowedDataCentres are the data centres of the allowed regions, nil if regions are unrestricted.
-// A data centre whose region is not in the settings is in no region.
+// allowedDataCentres returns the data centres of the allowed regions, nil if regions are
+// unrestricted. A data centre whose region is not in the settings is in no region.
 func (x *exchange) allowedDataCentres() balance.DataCentreSet {
 	regions := x.allowedRegions()
 	if regions.Unrestricted() {
@@ -59,10 +59,10 @@
 	return allowed
 }
 
-// budgetProgram is the program name under which the budget of the request's program is stored.
+// budgetProgram returns the program name under which the budget of the request's program is stored.
 func (x *exchange) budgetProgram() string { return x.customerScoped(x.call.Program) }
 
-// historyProgram is the program name under which turns of the request's program are stored. If
+// historyProgram returns the program name under which turns of the request's program are stored. If
 // they may be stored in some regions only, it is a regional name. The budget contains nothing of
 // the turns' content and stays under the global name, so that it holds across all routes.
 func (x *exchange) historyProgram() (program string, err error) {
@@ -77,8 +77,8 @@
 	return placement.RegionalName(region, x.budgetProgram()), nil
 }
 
-// priority is the request's priority, 0 most urgent: that of the customer, if set, else that of
-// the route.
+// priority returns the request's priority, 0 being the most urgent: that of the customer, if set,
+// else that of the route.
 func (x *exchange) priority() int {
 	if x.customer != nil && x.customer.HasPriority {
 		return x.customer.Priority
--- a/daemon/entry/customer_test.go
+++ b/daemon/entry/customer_test.go
@@ -96,7 +96,7 @@
 
 // A host whose configuration was not confirmed for longer than KeyRules.MaxAge is not ready and
 // refuses requests with a key, but serves public routes. The next confirmation ends that.
-func TestStaleConfigurationRejectsKeys(t *testing.T) {
+func TestRequestsWithKeysAreRefusedWithStaleConfiguration(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.host.KeyRules = KeyRules{MaxAge: time.Hour, UnknownKeyMaxAge: time.Minute}
@@ -180,7 +180,7 @@
 	return c
 }
 
-func TestRequestsOverQuotaAreRejected(t *testing.T) {
+func TestRequestsOverQuotaAreRefused(t *testing.T) {
 	x := newFakeTarget(t, "t1", answerOK)
 	s := newSystem(t, x)
 	s.requireKeys(limitedCustomer("a", 6), customer("b"))
--- a/daemon/entry/datacentre_check_test.go
+++ b/daemon/entry/datacentre_check_test.go
@@ -65,8 +65,8 @@
 	return n
 }
 
-// One failed target must cause probes of some targets beside it, not of all that the host
-// lists.
+// One failed target must cause probes of some other targets of its data centre, not of all
+// that the host lists.
 func TestFailedTargetCausesFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, d := newHostWithTargets(400, func(address string) bool { return address == "7" })
--- a/daemon/entry/doc.go
+++ b/daemon/entry/doc.go
@@ -6,10 +6,11 @@
 //	       -> turn.go: reserve budget, rebuild the prompt   (history hosts)
 //	       -> quota.go: take a token of the customer quota  (history hosts)
 //	       -> forward.go: pick a target, send, retry        (core/balance, targetpool)
+//	          hedge.go, capacity_wait.go: second sends, wait for full targets
 //	       -> plain.go / stream.go: pass the answer to the caller
 //	       -> turn.go: settle budget, store the turn        (history hosts)
 //
-// Beside the path of a request:
+// Independent of single requests:
 //
 //	view.go, evacuation.go                  follow the platform: configuration, targets, evacuations
 //	reachability.go, datacentre_check.go    probe targets that are silent
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -72,16 +72,16 @@
 	s := newSystem(t, a, b, c)
 	got := s.post("/once/", "", ownheaders.ID, "1", ownheaders.Program, "p")
 	require.Equal(t, http.StatusOK, got.status)
-	targetsAsked := 0
+	targetsReached := 0
 	for _, x := range []*fakeTarget{a, b, c} {
 		if len(x.requests()) > 0 {
-			targetsAsked++
+			targetsReached++
 		}
 	}
-	require.Equal(t, 2, targetsAsked, "the route allows two targets")
+	require.Equal(t, 2, targetsReached, "the route allows two targets")
 }
 
-func TestProgramCallIsRejectedIfTargetsStayFull(t *testing.T) {
+func TestProgramCallIsRefusedIfTargetsStayFull(t *testing.T) {
 	full := func(_ int, _ received, id string) (string, bool) { return refusedAnswer(id), false }
 	s := newSystem(t, newFakeTarget(t, "t1", full), newFakeTarget(t, "t2", full))
 	got := s.post("/once/", "", ownheaders.ID, "1", ownheaders.Program, "p")
@@ -135,7 +135,7 @@
 	}
 }
 
-// If the first target may have run a request, the caller is not told that it has not run, even if
+// If the first target may have run a request, the answer must not claim that it has not run, even if
 // the second target refuses it.
 func TestRefusalAfterBrokenSendDoesNotClaimNotRun(t *testing.T) {
 	sends := make(chan struct{}, 4)
@@ -244,7 +244,7 @@
 }
 
 func TestOnlyTimeoutsAndBrokenAnswersCountAsTargetFailures(t *testing.T) {
-	broken := failure.Unknown(failure.BadAnswer, "cut")
+	broken := failure.Unknown(failure.BadAnswer, "truncated")
 	require.Equal(t, balance.Failed, failureOutcome(t.Context(), broken))
 	callerCtx, cancelCaller := context.WithCancel(t.Context())
 	expired, cancel := context.WithDeadlineCause(callerCtx, time.Now().Add(-time.Second), context.DeadlineExceeded)
@@ -291,7 +291,7 @@
 	require.Equal(t, http.StatusPaymentRequired, s.postTurn("/turn/", "3", "", "in").status)
 }
 
-// A turn that ran but cannot be stored, because history hosts are unreachable, is aborted soon: its
+// A turn that ran but cannot be stored, because history hosts are unreachable, is aborted early: its
 // caller does not wait for the end of the partition.
 func TestTurnIsAbortedIfItCannotBeStored(t *testing.T) {
 	var s *testSystem
--- a/daemon/entry/evacuation_test.go
+++ b/daemon/entry/evacuation_test.go
@@ -28,14 +28,14 @@
 	s.host.registry.SetTarget(balance.TargetInfo{ID: "t2", Service: "s", Address: b.listener.Addr().String(), DataCentre: "dc2", Capacity: 4})
 	view := NewEvacuationView(s.host)
 	view.Replaced(evacuationSnapshot("dc1"))
-	view.Lost(failure.New(failure.PlatformUnavailable, "away"))
+	view.Lost(failure.New(failure.PlatformUnavailable, "platform down"))
 	view.Changed(objects.Changes{})
 	for i := range 6 {
 		require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, strconv.Itoa(i)).status)
 	}
 	require.Empty(t, a.requests())
 	view.Changed(objects.Changes{Events: []objects.Event{{Object: objects.Object{Name: "dc1"}, Removed: true}}})
-	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "back").status)
+	require.Equal(t, http.StatusOK, s.post("/plain/", "", ownheaders.ID, "after-evacuation").status)
 	require.Len(t, a.requests(), 1)
 }
 
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -20,12 +20,12 @@
 // open for longer.
 const (
 	maxIdleTime = 10 * time.Second
-	// maxFarOnceIdleTime applies to requests that must not be repeated, to another data
+	// maxFarNonIdempotentIdleTime applies to requests that must not be repeated, to another data
 	// centre that has been silent for farSilenceTimeout. If the network is partitioned, a
 	// new connection fails before anything is sent, while on a reused connection the
-	// request is lost. As long as the data centre is heard, the shorter limit would only
+	// request is lost. As long as the data centre is not silent, the shorter limit would only
 	// cost connections.
-	maxFarOnceIdleTime = 500 * time.Millisecond
+	maxFarNonIdempotentIdleTime = 500 * time.Millisecond
 	// farSilenceTimeout is many times the usual interval between answers from another data
 	// centre.
 	farSilenceTimeout = 200 * time.Millisecond
@@ -44,8 +44,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// draw hashes the request's id to a number in [0, 1). Requests are spread evenly over weighted
-// choices without a random source, and all attempts of a request get the same number.
+// draw returns a hash of the request's id as a number in [0, 1). Requests are spread evenly over
+// weighted choices without a random source, and all attempts of a request get the same number.
 func (x *exchange) draw() float64 {
 	f := fnv.New32a()
 	f.Write([]byte(x.call.ID))
@@ -148,7 +148,7 @@
 	return "far"
 }
 
-// remainingProgramTime is the time until the program's deadline, negative after it; 0 if the
+// remainingProgramTime returns the time until the program's deadline, negative after it; 0 if the
 // caller gives no deadline for its program.
 func (x *exchange) remainingProgramTime() time.Duration {
 	if x.call.ProgramTimeout == 0 {
@@ -157,7 +157,7 @@
 	return x.call.ProgramTimeout - time.Since(x.startedAt)
 }
 
-// notSentFailure is the failure of a request that is sent to no target.
+// notSentFailure returns the failure of a request that is sent to no target.
 func (x *exchange) notSentFailure(decision dispatch.Decision, targetCount int) error {
 	if decision.Action == dispatch.NoTarget {
 		return failure.Retry(failure.NoTarget, defaultRetryDelay, "no usable target of service %s among %d targets", x.service, targetCount)
@@ -193,7 +193,7 @@
 	}
 }
 
-// recordDuration tells the registry and the hedger how long a request to a plain service took.
+// recordDuration reports to the registry and the hedger how long a request to a plain service took.
 func (x *exchange) recordDuration(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -205,7 +205,7 @@
 	h.hedger.RecordAnswer(x.service, x.route.Name, time.Since(x.firstSentAt))
 }
 
-// recordFirstEvent tells the registry how long the target took for the first event of a stream.
+// recordFirstEvent reports to the registry how long the target took for the first event of a stream.
 func (x *exchange) recordFirstEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// recordEvent tells the registry how long the target took for a further event of a stream.
+// recordEvent reports to the registry how long the target took for a further event of a stream.
 func (x *exchange) recordEvent(d time.Duration) {
 	h := x.host
 	h.mu.Lock()
@@ -226,8 +226,8 @@
 	h.registry.RecordEvent(x.targetID, x.targetLoad, d, h.now())
 }
 
-// recordAnswerHead records that the target was heard, and the load report in the head of its
-// answer. It is called as the head arrives: at the end of a stream the report would be outdated.
+// recordAnswerHead records that the target answered, and the load report in the head of its
+// answer. It is called when the head arrives: at the end of a stream the report would be outdated.
 func (h *Host) recordAnswerHead(t balance.TargetInfo, head request.Answer) {
 	h.reachability.recordHeard(t.ID)
 	if !head.HasLoad {
@@ -306,7 +306,7 @@
 	return resp, err
 }
 
-// refusalOutcome is the outcome of a send that the target did not run. A misdirected one counts
+// refusalOutcome returns the outcome of a send that the target did not run. A misdirected one counts
 // as failed: the address belongs to another target.
 func refusalOutcome(head request.Answer) balance.Outcome {
 	if head.Misdirected {
@@ -316,7 +316,7 @@
 }
 
 // failureKind returns the kind of a failure: Timeout or CallerGone if ctx has ended, else kind.
-// A timeout counts against the target, a caller that left does not.
+// A timeout counts against the target; a caller that left does not.
 func failureKind(ctx context.Context, kind failure.Kind) failure.Kind {
 	switch {
 	case ctx.Err() == nil:
@@ -328,7 +328,7 @@
 	}
 }
 
-// failureOutcome is the outcome for the target of a send that failed under ctx.
+// failureOutcome returns the outcome for the target of a send that failed under ctx.
 func failureOutcome(ctx context.Context, f *failure.Failure) balance.Outcome {
 	if failureKind(ctx, f.Kind) == failure.CallerGone {
 		return balance.Abandoned
@@ -352,7 +352,7 @@
 	notIdempotent := x.route.Kind != routing.Idempotent
 	far := t.DataCentre != x.host.DataCentre
 	if notIdempotent && far && !x.host.heardFrom(t.DataCentre, farSilenceTimeout) {
-		idleTime = maxFarOnceIdleTime
+		idleTime = maxFarNonIdempotentIdleTime
 	}
 	return &targetpool.Request{
 		Address: t.Address, Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host,
--- a/daemon/entry/guarantees_test.go
+++ b/daemon/entry/guarantees_test.go
@@ -18,8 +18,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
 )
 
-// timeSlack is how long after its timeout an answer may arrive, and how long after its caller has
-// left work may go on.
+// timeSlack is how long after its timeout an answer may arrive, and how long work may continue after
+// its caller has left.
 const timeSlack = 500 * time.Millisecond
 
 // A status that implies that a request has not run is forwarded only if the target also marks the
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -27,7 +27,7 @@
 	// deadline is the earlier of the deadlines of caller and route.
 	deadline time.Time
 	body     []byte
-	// held accounts for the bytes that the host holds for the request.
+	// held accounts for the memory that the host holds for the request.
 	held *requestMemory
 	// uploadTimedOut is set if the caller did not send its body in time. Its connection is
 	// closed, but only after it has received an answer.
@@ -35,7 +35,7 @@
 	// service is chosen once; retries go to the same service.
 	service string
 	// tried are the ids of the targets that were chosen. sendCount is the number of sends,
-	// without those that failed before the target could run the request. Both start anew
+	// without those that failed before the target could run the request. Both are reset
 	// after a capacity wait.
 	tried        map[string]bool
 	sendCount    int
@@ -153,8 +153,8 @@
 // timeout.
 const maxRequestTimeout = 60 * time.Second
 
-// effectiveTimeout is the smallest of maxRequestTimeout and the given timeouts; a timeout of
-// 0 is not set.
+// effectiveTimeout returns the smallest of maxRequestTimeout and the given timeouts; a timeout of
+// 0 means none.
 func effectiveTimeout(callerTimeout, routeTimeout time.Duration) time.Duration {
 	timeout := maxRequestTimeout
 	if callerTimeout > 0 {
@@ -167,7 +167,7 @@
 }
 
 // fail ends the request: it sends the failure to the caller as the final answer, or breaks
-// the connection if an answer has begun or the caller has gone.
+// the connection if an answer has begun or the caller has left.
 func (x *exchange) fail(f *failure.Failure) {
 	status := statusOf(f)
 	x.host.Meter.Count("requests", "failed", string(f.Kind))
--- a/daemon/entry/hedge.go
+++ b/daemon/entry/hedge.go
@@ -21,7 +21,7 @@
 	err  error
 }
 
-// deliverable reports whether the answer can go to the caller while another send is in flight.
+// deliverable reports whether the answer can be sent to the caller while another send is in flight.
 func (r *sendResult) deliverable() bool {
 	if r.resp == nil || r.err != nil || r.resp.Answer.NotRun || r.resp.Status >= http.StatusInternalServerError || statusImpliesNotRun(r.resp.Status) {
 		return false
@@ -29,9 +29,9 @@
 	return r.resp.Status >= http.StatusMultipleChoices || r.resp.Answer.Signed
 }
 
-// hedgeDelay is how long to wait for an answer before the call is sent a second time; false if
-// the call is not hedged. Only calls that may run more than once by the configuration are, and
-// only within the attempts of their route.
+// hedgeDelay returns how long to wait for an answer before the call is sent a second time; false
+// if the call is not hedged. Only calls that the configuration allows to run more than once are
+// hedged, and only within the attempts of their route.
 func (x *exchange) hedgeDelay() (time.Duration, bool) {
 	hedgeable := x.route.Kind == routing.Idempotent && x.call.PromptTokens == 0
 	if !hedgeable || x.capacityWait.waited > 0 || x.sendCount+2 > x.route.MaxAttempts {
@@ -46,7 +46,7 @@
 
 // attemptHedged sends the call to one target, and to another one if the first has not answered
 // after a delay. The first deliverable answer goes to the caller; the other send is cancelled, so
-// that its target drops the work.
+// that its target abandons the work.
 func (x *exchange) attemptHedged(ctx context.Context, t balance.TargetInfo, delay time.Duration) (retry bool, err error) {
 	results := make(chan *sendResult, 2)
 	startedAt := time.Now()
@@ -163,7 +163,7 @@
 	}
 }
 
-// outcome is the outcome for the target of an answer that is not sent to the caller.
+// outcome returns the outcome for the target of an answer that is not sent to the caller.
 func (r *sendResult) outcome(ctx context.Context, f *failure.Failure) balance.Outcome {
 	clientError := r.resp.Status >= http.StatusMultipleChoices && r.resp.Status < http.StatusInternalServerError
 	if r.err == nil && clientError {
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -62,30 +62,30 @@
 	require.Eventually(s.t, func() bool { return s.inFlight() == 0 }, harnessTimeout, time.Millisecond)
 }
 
-// stallFirst returns an answerFunc that answers the first request at any target only once release
-// is closed, and all others at once, and the number of requests.
-func stallFirst(release <-chan struct{}) (answer answerFunc, asked *atomic.Int32) {
-	asked = &atomic.Int32{}
+// stallFirst returns an answerFunc, and the number of requests that it got. It answers the first
+// request at any target only once release is closed, and all others at once.
+func stallFirst(release <-chan struct{}) (answer answerFunc, requestCount *atomic.Int32) {
+	requestCount = &atomic.Int32{}
 	return func(_ int, r received, id string) (string, bool) {
-		if asked.Add(1) == 1 {
+		if requestCount.Add(1) == 1 {
 			<-release
 			return okAnswer(id, "late"), false
 		}
 		return okAnswer(id, "answer to "+id), false
-	}, asked
+	}, requestCount
 }
 
 // The first complete answer goes to the caller. The late answer of the stalled target reaches
 // neither this caller nor later ones.
 func TestStalledCallIsHedged(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stallFirst(release)
+	answer, requestCount := stallFirst(release)
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
 	s.enableHedging(5)
 	got := s.post("/plain/", "x", ownheaders.ID, "1")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "answer to 1", got.body)
-	require.EqualValues(t, 2, asked.Load())
+	require.EqualValues(t, 2, requestCount.Load())
 	s.awaitNoneInFlight()
 	close(release)
 	for _, id := range []string{"2", "3", "4", "5"} {
@@ -97,7 +97,7 @@
 // delay has passed.
 func TestAtMostOnceCallsAreNotHedged(t *testing.T) {
 	release := make(chan struct{})
-	plain, asked := stallFirst(release)
+	plain, requestCount := stallFirst(release)
 	var once atomic.Int32
 	answer := func(n int, r received, id string) (string, bool) {
 		if r.URI != "/once/" {
@@ -113,7 +113,7 @@
 	go func() { got <- s.post("/once/", "x", ownheaders.ID, "1").status }()
 	require.Eventually(t, func() bool { return once.Load() == 1 }, harnessTimeout, time.Millisecond)
 	require.Equal(t, "answer to 2", s.post("/plain/", "x", ownheaders.ID, "2").body)
-	require.EqualValues(t, 2, asked.Load())
+	require.EqualValues(t, 2, requestCount.Load())
 	close(release)
 	require.Equal(t, http.StatusOK, <-got)
 	require.EqualValues(t, 1, once.Load())
@@ -151,7 +151,7 @@
 // Without a token of the hedge budget, a call waits for its first target.
 func TestSecondSendRequiresToken(t *testing.T) {
 	release := make(chan struct{})
-	answer, asked := stallFirst(release)
+	answer, requestCount := stallFirst(release)
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer))
 	s.enableHedging(0)
 	s.host.Meter = meter.New()
@@ -162,15 +162,15 @@
 	require.Equal(t, 1, s.inFlight())
 	close(release)
 	require.EqualValues(t, "late", <-body)
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, requestCount.Load())
 	require.Zero(t, s.host.Meter.Value("second_sends_sent"))
 }
 
 // answerBody is the body of an answer that a caller got.
 type answerBody string
 
-// If the second target refuses the call, fails or ends its answer early, the call still waits for the
-// first one.
+// If the second target refuses the call, fails or ends its answer early, the call still waits for
+// the first one.
 func TestFailedSecondSendDoesNotEndCall(t *testing.T) {
 	for name, raw := range map[string]func(id string) (string, bool){
 		"refuses":     func(id string) (string, bool) { return refusedAnswer(id), false },
@@ -180,9 +180,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
-			var asked atomic.Int32
+			var requestCount atomic.Int32
 			answer := func(_ int, _ received, id string) (string, bool) {
-				if asked.Add(1) == 1 {
+				if requestCount.Add(1) == 1 {
 					<-release
 					return okAnswer(id, "first"), false
 				}
@@ -194,7 +194,7 @@
 			got := s.post("/plain/", "x", ownheaders.ID, "1")
 			require.Equal(t, http.StatusOK, got.status)
 			require.Equal(t, "first", got.body)
-			require.EqualValues(t, 2, asked.Load())
+			require.EqualValues(t, 2, requestCount.Load())
 			s.awaitNoneInFlight()
 		})
 	}
@@ -206,7 +206,7 @@
 	return "HTTP/1.1 429 Limited\r\n" + ownheaders.ID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-// No caller is told that its call has not run while the other send is in flight, or after the other
+// No answer claims that its call has not run while the other send is in flight, or after the other
 // send failed and may have run.
 func TestNotRunStatusIsWithheldWhileOtherSendMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -218,9 +218,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
-			var asked atomic.Int32
+			var requestCount atomic.Int32
 			answer := func(_ int, _ received, id string) (string, bool) {
-				if asked.Add(1) > 1 {
+				if requestCount.Add(1) > 1 {
 					return unmarkedRefusal(id), false
 				}
 				<-release
@@ -234,11 +234,11 @@
 			s.host.Meter = meter.New()
 			got := make(chan int, 1)
 			go func() { got <- s.post("/plain/", "x", ownheaders.ID, "1").status }()
-			heard := func() bool { return s.host.Meter.Value("sends_served") > 0 || len(got) > 0 }
-			require.Eventually(t, heard, harnessTimeout, time.Millisecond)
+			secondAnswered := func() bool { return s.host.Meter.Value("sends_served") > 0 || len(got) > 0 }
+			require.Eventually(t, secondAnswered, harnessTimeout, time.Millisecond)
 			close(release)
 			require.Equal(t, c.status, <-got)
-			require.EqualValues(t, 2, asked.Load())
+			require.EqualValues(t, 2, requestCount.Load())
 			s.awaitNoneInFlight()
 		})
 	}
@@ -269,10 +269,10 @@
 
 // If both targets fail, the route's attempts are used up and the caller gets an error.
 func TestBothSendsFail(t *testing.T) {
-	var asked atomic.Int32
+	var requestCount atomic.Int32
 	both := make(chan struct{})
 	answer := func(int, received, string) (string, bool) {
-		if asked.Add(1) == 2 {
+		if requestCount.Add(1) == 2 {
 			close(both)
 		}
 		<-both
@@ -281,7 +281,7 @@
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
 	s.enableHedging(5)
 	require.Equal(t, http.StatusBadGateway, s.post("/plain/", "x", ownheaders.ID, "1").status)
-	require.EqualValues(t, 2, asked.Load())
+	require.EqualValues(t, 2, requestCount.Load())
 	s.awaitNoneInFlight()
 }
 
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// Ready reports whether the host can serve requests: it has a configuration that is current
-// enough, knows the history hosts, can be served by them now or after an expected takeover, and
+// Ready reports whether the host should receive requests: it has a configuration that is current
+// enough, knows the history hosts, can be served by them now or after an expected demotion, and
 // is not draining.
 func (h *Host) Ready() bool {
 	historyServable := h.History.IsolatedFor() == 0 || h.History.TimeUntilDemotion() > 0
@@ -202,24 +202,25 @@
 const outOfRotationDelay = 2 * time.Second
 
 // historyRetryDelay returns when a caller that history hosts cannot serve should retry: after
-// the default delay if this host reaches them; otherwise when their takeover is expected or
-// when callers are routed to other hosts. Where only this host is cut off, callers that retried
-// sooner could reach it again and fail for good.
+// the default delay if this host is not isolated from them; otherwise when they are expected to
+// have demoted the replicas of a silent data centre, or when callers are routed to other hosts.
+// Where only this host is isolated, callers that retried sooner could reach it again and fail for
+// good.
 func (h *Host) historyRetryDelay() time.Duration {
 	isolated := h.History.IsolatedFor()
 	if isolated == 0 {
 		return defaultRetryDelay
 	}
-	if takeover := h.History.TimeUntilDemotion(); takeover > 0 {
-		return max(defaultRetryDelay, takeover)
+	if untilDemotion := h.History.TimeUntilDemotion(); untilDemotion > 0 {
+		return max(defaultRetryDelay, untilDemotion)
 	}
 	return max(defaultRetryDelay, outOfRotationDelay-isolated)
 }
 
-// isolatedTurnRetryDelay is the retry delay of a turn while only this host is cut off. Unlike a
+// isolatedTurnRetryDelay is the retry delay of a turn while only this host is isolated. Unlike a
 // call, a turn is sent several times, each time to another host, and most of these can serve
 // it; waiting until the balancer takes this host out of rotation would use up most of the time
-// left for the program. It must not apply where a whole data centre is cut off: there callers
+// left for the program. It must not apply where a whole data centre is isolated: there callers
 // reach no host that can serve until the balancer routes them elsewhere, and all retries would
 // be over before that.
 const isolatedTurnRetryDelay = 350 * time.Millisecond
@@ -308,7 +309,7 @@
 }
 
 // statusOf returns the HTTP status of a failure. A request that may have run never gets a
-// status by which callers take it as not run.
+// status from which callers conclude that it did not run.
 func statusOf(f *failure.Failure) int {
 	if f.Ran == failure.RanNo {
 		if status, ok := notRunStatuses[f.Kind]; ok {
--- a/daemon/entry/load_exchange_test.go
+++ b/daemon/entry/load_exchange_test.go
@@ -49,10 +49,10 @@
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
 	for range entries {
-		past := quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
-		past.SetTimeouts(boardTimeout)
-		past.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
-		h := New(Options{Headers: ownheaders.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: discardLog()})
+		client := quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)
+		client.SetTimeouts(boardTimeout)
+		client.Replaced(objects.Snapshot{Items: []objects.Object{{Name: history.MapName, Spec: text}}})
+		h := New(Options{Headers: ownheaders.Headers{}, History: client, Dialer: &net.Dialer{}, DataCentre: "dc1", Log: discardLog()})
 		h.registry.SetTarget(balance.TargetInfo{ID: "x", Service: "s", DataCentre: "dc1", Capacity: 4, StartedAtMs: 1})
 		f.hosts = append(f.hosts, h)
 	}
--- a/daemon/entry/prefix_cache.go
+++ b/daemon/entry/prefix_cache.go
@@ -8,9 +8,9 @@
 )
 
 // Run records, of where the turns of a program ran, are stored with its budget. With many entry
-// hosts, most turns arrive at another host than the previous turn, and that host cannot know
-// where it ran. Without the records, most of the tokens that engines prefill under load are of
-// prompts that another engine has cached.
+// hosts, most turns arrive at another host than the previous turn did, and that host cannot know
+// where the previous turn ran. Without the records, most of the tokens that engines prefill under
+// load are of prompts that another engine has cached.
 
 // maxLookupParts bounds the prompt parts that history hosts look up: the previous turn ended
 // with one of the last parts.
--- a/daemon/entry/quota.go
+++ b/daemon/entry/quota.go
@@ -19,7 +19,7 @@
 	maxFirstTokenWait = 40 * time.Millisecond
 )
 
-// tokenWaitTimeout is how long the request may wait for a token.
+// tokenWaitTimeout returns how long the request may wait for a token.
 func (x *exchange) tokenWaitTimeout() time.Duration {
 	if x.startsProgram() {
 		return maxFirstTokenWait
--- a/daemon/entry/reachability.go
+++ b/daemon/entry/reachability.go
@@ -86,8 +86,8 @@
 
 // heardFrom reports whether a target or a history host of the data centre sent something within
 // window. History hosts count because each turn queries some of them. With many entry hosts,
-// each hears the targets of another data centre too rarely to rely on them alone, and would
-// open a new connection for each request that must not be repeated.
+// each receives answers from the targets of another data centre too rarely to rely on them alone,
+// and would open a new connection for each request that must not be repeated.
 func (h *Host) heardFrom(dataCentre string, window time.Duration) bool {
 	return h.reachability.heardFrom(dataCentre, window) || h.History != nil && h.History.AnsweredWithin(dataCentre, window)
 }
@@ -99,9 +99,9 @@
 	delete(m.targets, target)
 }
 
-// restarted drops the state of a target that has restarted under the same id, and ends the
+// handleRestart drops the state of a target that has restarted under the same id, and ends the
 // requests sent to its earlier incarnation, which the new one does not know.
-func (m *reachabilityMonitor) restarted(target string) {
+func (m *reachabilityMonitor) handleRestart(target string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state := m.targets[target]; state != nil && !state.unreachable {
@@ -169,18 +169,18 @@
 // probe dials the target until a connection succeeds, the target is no longer listed or the
 // host stops.
 func (m *reachabilityMonitor) probe(target, address string) {
-	for tries := 0; ; tries++ {
+	for failedCount := 0; ; failedCount++ {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		conn, err := m.host.Dialer.DialContext(ctx, "tcp", address)
 		cancel()
 		if err == nil {
 			_ = conn.Close()
 		}
-		if tries == 0 {
+		if failedCount == 0 {
 			m.handleFirstProbe(target, err == nil)
 		}
 		if err == nil {
-			m.recordProbeSuccess(target, tries)
+			m.recordProbeSuccess(target, failedCount)
 			return
 		}
 		if m.recordProbeFailure(target, err) {
@@ -214,8 +214,8 @@
 	return true
 }
 
-// recordProbeSuccess records a successful probe, before which tries others failed.
-func (m *reachabilityMonitor) recordProbeSuccess(target string, tries int) {
+// recordProbeSuccess records a successful probe that followed failedCount failed ones.
+func (m *reachabilityMonitor) recordProbeSuccess(target string, failedCount int) {
 	m.host.setReachable(target, true)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -223,7 +223,7 @@
 	state.lastHeard, state.probing = time.Now(), false
 	if state.unreachable {
 		state.unreachable, state.unreachableCh = false, make(chan struct{})
-		m.host.Log.Info("target reachable again", "target", target, "probes", tries+1)
+		m.host.Log.Info("target reachable again", "target", target, "probes", failedCount+1)
 	}
 }
 
--- a/daemon/entry/reachability_test.go
+++ b/daemon/entry/reachability_test.go
@@ -116,12 +116,12 @@
 	})
 }
 
-// A partition shows as silence of a whole data centre: while any of its targets is heard, a
-// reused connection to another target there does not lead behind a partition.
+// A partition shows as silence of a whole data centre: while any of its targets sends something,
+// a reused connection to another target there is not affected by a partition.
 func TestHeardFromCountsAnyTargetOfDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHostWithTarget(&switchableDialer{})
-		require.False(t, h.reachability.heardFrom("far", time.Minute), "never heard")
+		require.False(t, h.reachability.heardFrom("far", time.Minute), "it has sent nothing")
 		_, release := h.reachability.guard(t.Context(), balance.TargetInfo{ID: "t1", Address: "a", DataCentre: "far"})
 		defer release()
 		h.reachability.recordHeard("t1")
@@ -135,7 +135,7 @@
 }
 
 // A target that restarts under its id does not know the requests of its earlier incarnation:
-// they must end at once, and those that may be repeated are.
+// they must end at once, and those that may be repeated must be sent again.
 func TestRequestsAtRestartedTargetEnd(t *testing.T) {
 	var s *testSystem
 	var restarted *fakeTarget
--- a/daemon/entry/slow_test.go
+++ b/daemon/entry/slow_test.go
@@ -157,7 +157,7 @@
 
 // A caller that stops sending its body is refused within the header timeout, and the request is sent
 // to no target.
-func TestStalledUploadIsRejected(t *testing.T) {
+func TestStalledUploadIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, func(c net.Conn) { t.Error("sent to a target"); _ = c.Close() })
 		defer h.stop()
@@ -227,9 +227,9 @@
 	})
 }
 
-// If request bodies fill the memory account, the next request is refused soon and has not run. Slow
-// callers are evicted, and then there is memory again.
-func TestUploadsOverMemoryBoundAreRejected(t *testing.T) {
+// If request bodies fill the memory account, the next request is refused after a short wait and has
+// not run. Slow callers are evicted, and then there is memory again.
+func TestUploadsOverMemoryBoundAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newSlowHost(t, answerWith(okAnswer("1", "done")))
 		defer h.stop()
--- a/daemon/entry/state.go
+++ b/daemon/entry/state.go
@@ -24,7 +24,7 @@
 	})
 	h.Meter.Gauge("config_version", func() int64 { return int64(h.configVersion()) })
 	h.Meter.Gauge("config_age_s", func() int64 { return int64(h.configAge() / time.Second) })
-	h.Meter.Gauge("config_confirmed_ms", h.confirmedMs)
+	h.Meter.Gauge("config_confirmed_ms", h.confirmedAgeMs)
 	h.loadExchanger.registerGauge()
 	h.Meter.Gauge("ready", func() int64 {
 		if h.Ready() {
@@ -46,8 +46,8 @@
 	return h.now() - time.Duration(h.configuredAt.Load())
 }
 
-// confirmedMs returns the age of the last confirmation in milliseconds, -1 before the first.
-func (h *Host) confirmedMs() int64 {
+// confirmedAgeMs returns the age of the last confirmation in milliseconds, -1 before the first.
+func (h *Host) confirmedAgeMs() int64 {
 	if h.confirmedAt.Load() == neverConfirmed {
 		return -1
 	}
@@ -93,7 +93,7 @@
 func (h *Host) State() State {
 	s := State{
 		Ready: h.Ready(), Draining: h.draining.Load(), ConfigVersion: h.configVersion(), ConfigAgeMs: h.configAge().Milliseconds(),
-		Routes: routeStates(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedMs(),
+		Routes: routeStates(h.table.Load()), History: h.History.State(), ConfigConfirmedMs: h.confirmedAgeMs(),
 	}
 	if t := h.table.Load(); t != nil && t.RequiresKey() {
 		s.Customers = len(t.Customers().Names())
--- a/daemon/entry/turn.go
+++ b/daemon/entry/turn.go
@@ -44,8 +44,8 @@
 // defaultRetention applies to routes that do not set a retention.
 const defaultRetention = 2 * time.Minute
 
-// retention is how long the program is stored after this turn. It covers a next turn that starts
-// at the end of the route's retention.
+// retention returns how long the program is stored after this turn. It covers a next turn that
+// starts at the end of the route's retention.
 func (x *exchange) retention() time.Duration {
 	retention := max(cmp.Or(x.route.Retention, defaultRetention), x.call.ProgramTimeout)
 	return retention + x.host.History.ExtraRetention(effectiveTimeout(0, x.route.Timeout))
@@ -72,7 +72,7 @@
 	return true
 }
 
-// deliveredTokens is the number of tokens sent to the caller so far.
+// deliveredTokens returns the number of tokens sent to the caller so far.
 func (t *turn) deliveredTokens() int64 { return t.eventCount * t.x.engine.TokensPerEvent }
 
 // serveTurn reserves budget, rebuilds the prompt, takes a quota token and forwards the turn.
@@ -114,21 +114,21 @@
 	if err := history.Write(ctx, x.budgetProgram(), x.retention(), reservation); err != nil {
 		return t.historyFailure(err)
 	}
-	past, err := t.readPast(ctx)
+	programHistory, err := t.readProgramHistory(ctx)
 	if err != nil {
 		return t.historyFailure(err)
 	}
-	if past, err = t.checkBudget(ctx, past); err != nil {
+	if programHistory, err = t.checkBudget(ctx, programHistory); err != nil {
 		return err
 	}
-	x.markCached(past.Runs)
-	x.programStarted = x.call.PreviousTurn != "" || past.Usage.TokensExcluding(x.call.ID) > 0
-	return t.prependChain(ctx, past.Chain, past.ChainInOtherProgram)
+	x.markCached(programHistory.Runs)
+	x.programStarted = x.call.PreviousTurn != "" || programHistory.Usage.TokensExcluding(x.call.ID) > 0
+	return t.prependChain(ctx, programHistory.Chain, programHistory.ChainInOtherProgram)
 }
 
-// readPast reads the budget use of the program, the targets that ran its turns, and the chain
-// of turns that this one continues.
-func (t *turn) readPast(ctx context.Context) (*quorum.ProgramHistory, error) {
+// readProgramHistory reads the budget use of the program, the targets that ran its turns, and the
+// chain of turns that this one continues.
+func (t *turn) readProgramHistory(ctx context.Context) (*quorum.ProgramHistory, error) {
 	x := t.x
 	previous := ""
 	if x.route.Retained {
@@ -137,7 +137,7 @@
 	if t.historyProgram == x.budgetProgram() || previous == "" {
 		return x.host.History.Read(ctx, x.budgetProgram(), previous, x.programPartIDs()...)
 	}
-	past, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.programPartIDs()...)
+	budgetHistory, err := x.host.History.Read(ctx, x.budgetProgram(), "", x.programPartIDs()...)
 	if err != nil {
 		return nil, err
 	}
@@ -145,29 +145,29 @@
 	if err != nil {
 		return nil, err
 	}
-	past.Chain, past.ChainInOtherProgram = chain.Chain, chain.ChainInOtherProgram
-	return past, nil
+	budgetHistory.Chain, budgetHistory.ChainInOtherProgram = chain.Chain, chain.ChainInOtherProgram
+	return budgetHistory, nil
 }
 
 // checkBudget refuses the turn if the budget does not allow it. Before, it waits for pending
-// settlements, up to maxSettlementWait, if they could free enough budget. It returns past with
-// the latest usage.
-func (t *turn) checkBudget(ctx context.Context, past *quorum.ProgramHistory) (*quorum.ProgramHistory, error) {
+// settlements, up to maxSettlementWait, if they could free enough budget. It returns
+// programHistory with the latest usage.
+func (t *turn) checkBudget(ctx context.Context, programHistory *quorum.ProgramHistory) (*quorum.ProgramHistory, error) {
 	call := &t.x.call
 	for deadline := time.Now().Add(maxSettlementWait); ; {
-		if call.TokenBudget == 0 || past.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
-			return past, nil
+		if call.TokenBudget == 0 || programHistory.Usage.Allows(call.ID, call.MaxTokens, call.TokenBudget) {
+			return programHistory, nil
 		}
-		pending := past.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(deadline)
+		pending := programHistory.Usage.SettledTokensExcluding(call.ID)+call.MaxTokens <= call.TokenBudget && time.Now().Before(deadline)
 		if !pending || !sleep(ctx, settlementPollInterval) {
 			return nil, failure.New(failure.BudgetExhausted, "other turns use %d of %d tokens, %d requested",
-				past.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
+				programHistory.Usage.TokensExcluding(call.ID), call.TokenBudget, call.MaxTokens)
 		}
 		latest, err := t.x.host.History.Read(ctx, t.x.budgetProgram(), "")
 		if err != nil {
 			return nil, t.historyFailure(err)
 		}
-		past.Usage = latest.Usage
+		programHistory.Usage = latest.Usage
 	}
 }
 
@@ -194,7 +194,7 @@
 	return &f
 }
 
-// historyRetryDelay is the retry delay for a caller that history hosts could not serve.
+// historyRetryDelay returns the retry delay for a caller that history hosts could not serve.
 func (x *exchange) historyRetryDelay() time.Duration {
 	if x.isTurn() && x.host.History.IsIsolatedFromDataCentre() {
 		return isolatedTurnRetryDelay
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// settlementRecord replaces the reservation by the tokens delivered.
+// settlementRecord returns the record that replaces the reservation by the tokens delivered.
 func (t *turn) settlementRecord() *historypb.Record {
 	return &historypb.Record{Change: &historypb.Record_Settle{
 		Settle: &historypb.Settle{Turn: t.x.call.ID, Tokens: t.deliveredTokens(), Ran: t.runRecord()},
--- a/daemon/entry/view.go
+++ b/daemon/entry/view.go
@@ -185,7 +185,7 @@
 	}
 	if restarted {
 		v.host.pool.CloseIdle(old.Address)
-		v.host.reachability.restarted(info.ID)
+		v.host.reachability.handleRestart(info.ID)
 	}
 }
 
