--- a/daemon/quorum/client.go
+++ b/daemon/quorum/client.go
@@ -231,7 +231,7 @@
 
 // WriteUnlessUnreachable is like Write but gives up once the program's slot has been unservable
 // for longer than unreachableTimeout, because of a network partition for instance: a caller that
-// receives the failure can try another host, while one that waits loses that time as well.
+// receives the failure can try another host, while one that waits also loses that time.
 func (c *Client) WriteUnlessUnreachable(ctx context.Context, unreachableTimeout time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
 	expiresMs := time.Now().Add(retention + retentionSlack).UnixMilli()
 	for _, r := range records {
--- a/daemon/quorum/health.go
+++ b/daemon/quorum/health.go
@@ -19,9 +19,9 @@
 	// partition mostly affects a whole data centre, and a host with few requests would detect
 	// it member by member, while its requests are refused and the balancer sends it more.
 	maxSilenceAfterFailure = 100 * time.Millisecond
-	// failureWindow is how long members must fail before requests are refused without sending
-	// to them. An isolated host then tells the balancer so without waiting for each request to
-	// time out, and its callers reach another host that much sooner.
+	// failureWindow is how long members must fail before requests are refused without sending to
+	// them. An isolated host then reports to the balancer that it is not ready, without waiting for
+	// each request to time out, and its callers reach another host that much sooner.
 	failureWindow = 60 * time.Millisecond
 	// onDemandProbeInterval is the interval between probes of a failing member outside the probe
 	// set. It is longer than probeInterval since each host that had a request for the member
--- a/daemon/quorum/probeset_test.go
+++ b/daemon/quorum/probeset_test.go
@@ -143,7 +143,7 @@
 
 // A failing member outside the probe set is probed at the longer interval, since all hosts that
 // had a request for it probe it.
-func TestUnprobedFailingMemberIsProbedSeldom(t *testing.T) {
+func TestFailingMemberOutsideProbeSetIsProbedAtLongerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute) // calls in flight end at their timeouts
 		c, m := newClient(t, 120, 6)
--- a/daemon/quorum/rank.go
+++ b/daemon/quorum/rank.go
@@ -109,8 +109,8 @@
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.hash, b.hash))
 	})
 	members := make([]string, len(ranked))
-	for i, p := range ranked {
-		members[i] = p.member
+	for i, r := range ranked {
+		members[i] = r.member
 	}
 	return members
 }
--- a/daemon/quorum/read.go
+++ b/daemon/quorum/read.go
@@ -122,11 +122,11 @@
 // not among the first. handle is called with each reply.
 func (c *Client) readReplicas(ctx context.Context, m *placement.Map, slot uint32, build func(member string, additional bool) *historypb.Read, handle func(string, *historypb.Reply)) error {
 	s := &m.Slots[slot]
-	missing := m.ReadQuorum(s)
+	repliesNeeded := m.ReadQuorum(s)
 	members := c.rankedReplicas(m, slot)
 	if former, needed := m.FormerMemberForRead(int(slot)); needed {
 		members = append(members, former)
-		missing = len(members)
+		repliesNeeded = len(members)
 	}
 	r := &round{
 		client: c, slotMap: m, slot: slot, members: members,
@@ -135,18 +135,18 @@
 		},
 		accept: func(member string, reply *historypb.Reply) bool {
 			handle(member, reply)
-			missing--
-			return missing == 0
+			repliesNeeded--
+			return repliesNeeded == 0
 		},
 	}
 	first := len(r.members)
 	if m.AllowsQuorumFirst(int(slot)) {
-		first = missing
+		first = repliesNeeded
 	}
 	if r.run(ctx, first) {
 		return nil
 	}
-	return incompleteError(r.lastErr, "%d more replies needed for a complete read of slot %d", missing, slot)
+	return incompleteError(r.lastErr, "%d more replies needed for a complete read of slot %d", repliesNeeded, slot)
 }
 
 // findTurn asks the replicas of a slot for a turn and the turns before it, and adds them to turns.
--- a/daemon/quorum/relay.go
+++ b/daemon/quorum/relay.go
@@ -28,7 +28,7 @@
 
 // AssignedPeers returns relay.Peers that have no relays until the slot map has assigned slots. A
 // seed, or the first members of a map, would have to answer all hosts that start together, and have
-// the capacity to serve the slot map only: everything else is asked of members once all are known.
+// the capacity to serve only the slot map: everything else is requested once all members are known.
 // Until then no host serves requests anyway.
 func (c *Client) AssignedPeers() relay.Peers { return assignedPeers{c} }
 
@@ -56,8 +56,8 @@
 func (c *Client) IsRelay() bool { return false }
 
 // Call implements relay.Peers: it sends a request that concerns no slot to one member, or to the
-// seed of that address. The answer may take wait. It fails with PeerUnavailable if the member is
-// unknown or does not answer, and with an error for which relay.Refused holds if the member
+// seed of that address. The reply may take up to wait. It fails with PeerUnavailable if the member
+// is unknown or does not answer, and with an error for which relay.IsRefusal holds if the member
 // answered but cannot serve the request; such a member does not count as failing.
 func (c *Client) Call(ctx context.Context, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
 	if slices.Contains(c.seeds, member) {
--- a/daemon/quorum/relay_test.go
+++ b/daemon/quorum/relay_test.go
@@ -47,7 +47,7 @@
 
 // A host that has received the answer of another member cancels its call to this one, which must
 // not mark this member as failing.
-func TestCanceledCallDoesNotMarkMemberFailing(t *testing.T) {
+func TestCancelledCallDoesNotMarkMemberFailing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
--- a/daemon/quorum/settlements.go
+++ b/daemon/quorum/settlements.go
@@ -29,7 +29,7 @@
 
 // ExtraRetention returns the time to add to a program's retention so that all its replicas hold it
 // until a next turn that lasts up to maxTurnDuration has ended. Replicas beyond the quorum are
-// not told when a turn begins, and would otherwise delete the earlier turns meanwhile.
+// not notified when a turn begins, and would otherwise delete the earlier turns meanwhile.
 func (c *Client) ExtraRetention(maxTurnDuration time.Duration) time.Duration {
 	if m := c.currentMap(); m == nil || !m.HasSpareReplicas() {
 		return 0
