--- a/daemon/relay/delta.go
+++ b/daemon/relay/delta.go
@@ -21,7 +21,7 @@
 	if e.delta == nil {
 		d, err := delta.Make(e.previous.Spec, e.Object.Spec)
 		if err != nil {
-			v.logger.Warn("difference not computed", "kind", v.kind.Name, "name", e.Object.Name, "revision", e.Object.Revision, "error", err.Error())
+			v.logger.Warn("delta not computed, object sent in full", "kind", v.kind.Name, "name", e.Object.Name, "revision", e.Object.Revision, "error", err.Error())
 			return encode(e.Event)
 		}
 		e.delta = d
--- a/daemon/relay/doc.go
+++ b/daemon/relay/doc.go
@@ -27,7 +27,7 @@
 // while the view is current: confirmed by its source within one watch. While its first list is
 // loading it replies STATUS_LIST_PENDING, and hosts that have no list either wait for it.
 //
-// A Source is an objects.Reader. It calls a relay, and the platform itself while no relay
+// A Source is an objects.Reader. It calls a relay, or the platform itself while no relay
 // answers. While relays answer that the platform is unavailable, it calls the platform rarely.
 //
 // Invariant: a Source never returns a list older than a revision that it has
--- a/daemon/relay/hostsubset.go
+++ b/daemon/relay/hostsubset.go
@@ -35,7 +35,7 @@
 	return &historypb.Holder{Host: h.holder.Host, DataCentre: h.holder.DataCentre, Steps: h.holder.Steps}
 }
 
-// replaceFromRelay takes a list that a relay has filtered by these halvings.
+// replaceFromRelay replaces the held objects by a list that a relay has filtered by these halvings.
 func (h *hostSubset) replaceFromRelay(s objects.Snapshot, halvings []*historypb.Step) {
 	if h == nil {
 		return
@@ -62,8 +62,8 @@
 	h.held[e.Object.Name], _ = h.platformIndex.groupOf(e.Object.Name, e.Object.Spec) // without a group: held until removed
 }
 
-// applyRelayChanges takes changes that a relay has filtered by these halvings and returns those to
-// apply. Relays send an object whose group has changed to the previous holders as well, and these
+// applyRelayChanges records changes that a relay has filtered by these halvings and returns those
+// to apply. Relays send an object whose group has changed also to its previous holders, which
 // remove it. If the subset as a whole has become smaller, the host removes what is no longer in
 // it.
 func (h *hostSubset) applyRelayChanges(c objects.Changes, halvings []*historypb.Step) objects.Changes {
@@ -119,7 +119,7 @@
 }
 
 // filterChanges returns the platform's changes that affect what the host holds. It adds new objects
-// only if the list in use came from the platform: a relay's list doesn't tell the host how many
+// only if the list in use came from the platform: a relay's list does not show how many
 // objects there are.
 func (h *hostSubset) filterChanges(c objects.Changes) objects.Changes {
 	if h == nil {
--- a/daemon/relay/message.go
+++ b/daemon/relay/message.go
@@ -83,9 +83,9 @@
 
 // setAsOf sets in a reply the time as of which its state was certainly the newest, relative to
 // the receipt of the request at receivedAt.
-func setAsOf(reply *historypb.Reply, state, receivedAt time.Time) {
-	if !state.IsZero() {
-		reply.AsOfUs = proto.Int64(state.Sub(receivedAt).Microseconds() - 1)
+func setAsOf(reply *historypb.Reply, asOf, receivedAt time.Time) {
+	if !asOf.IsZero() {
+		reply.AsOfUs = proto.Int64(asOf.Sub(receivedAt).Microseconds() - 1)
 	}
 }
 
@@ -93,7 +93,7 @@
 // at sentAt. The request was received after it was sent, so the result is never later than the
 // actual time. It returns the zero time if the reply carries none.
 //
-// sentAt is before the first call to any relay that failed.
+// If calls to other relays failed before, sentAt is before the first of them.
 func replyAsOf(reply *historypb.Reply, sentAt time.Time) time.Time {
 	if reply.AsOfUs == nil {
 		return time.Time{}
@@ -106,7 +106,7 @@
 // ListPending, PlatformUnavailable or PeerUnavailable for a reply whose status is not OK, and
 // those of client.CallWaiting otherwise.
 func Call(ctx context.Context, client *rpc.Client, member string, req *historypb.Request, wait time.Duration) (*historypb.Reply, error) {
-	clone := proto.CloneOf(req) // a previous one may still be in transmission
+	clone := proto.CloneOf(req) // req is sent to several relays, and a message in transmission must not change
 	clone.Member = member
 	reply, err := client.CallWaiting(ctx, clone, wait)
 	if err != nil {
--- a/daemon/relay/query.go
+++ b/daemon/relay/query.go
@@ -51,7 +51,7 @@
 
 const (
 	// maxPageBytes bounds a page of a list. A relay that sends thousands of targets at once is
-	// silent meanwhile for all its followers, and they take it for lost.
+	// silent meanwhile for all its followers, which then treat it as failed.
 	maxPageBytes = 128 << 10
 	// objectOverheadBytes is the size of an encoded object without its spec.
 	objectOverheadBytes = 64
--- a/daemon/relay/server.go
+++ b/daemon/relay/server.go
@@ -19,8 +19,8 @@
 // Kind configures how a kind of objects is relayed.
 type Kind struct {
 	Name string
-	// WatchTimeout is how long one watch of the platform waits for changes. Each watch is a
-	// priced call, and one that hangs delays changes by this time.
+	// WatchTimeout is how long one watch of the platform waits for changes. Each watch is
+	// billed as a call, and one that hangs delays changes by this time.
 	WatchTimeout time.Duration
 	// ForwardConfirmations forwards each answer of the platform at once, even one without
 	// changes, for followers that need to know as of when their state is current.
--- a/daemon/relay/source.go
+++ b/daemon/relay/source.go
@@ -17,7 +17,7 @@
 // Peers reaches the relays.
 type Peers interface {
 	// Relays returns the ids of the members to call, in order. The result is the same at all
-	// hosts as long as they see the same members alive. For a member that is a relay itself,
+	// hosts as long as the same members answer them. For a member that is a relay itself,
 	// it contains only the relays before it.
 	Relays() []string
 	// IsRelay reports whether this process is a relay itself.
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -31,8 +31,8 @@
 	return s, err
 }
 
-// startRelayChain starts relays of which the first follows the platform and each other one the
-// relay before it. The returned peers reach all of them and name the last.
+// startRelayChain starts relays, of which the first follows the platform and each other one the
+// relay before it. The returned peers reach all of them and have the last one as their only relay.
 func startRelayChain(ctx context.Context, p objects.Reader, names ...string) *fakePeers {
 	all := &fakePeers{servers: map[string]*Server{}}
 	previous := &fakePeers{servers: all.servers}
--- a/daemon/relay/subset.go
+++ b/daemon/relay/subset.go
@@ -32,7 +32,7 @@
 	return &subsetIndex{groupOf: groupOf, index: subset.NewIndex(subset.DefaultSizes()), groups: map[string]subset.Group{}}
 }
 
-// replace replaces all objects.
+// replace replaces all objects by those of a list.
 func (x *subsetIndex) replace(s objects.Snapshot) {
 	if x.groupOf == nil {
 		return
