--- a/wire/delta/delta.go
+++ b/wire/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta encodes a version of an object as its difference from an earlier version: a
-// Zstandard frame (RFC 8878) whose dictionary is the earlier version.
+// Package delta encodes a version of an object as a delta against an earlier version: a Zstandard
+// frame (RFC 8878) whose dictionary is the earlier version.
 package delta
 
 import (
@@ -20,12 +20,12 @@
 	minWindowBytes = 1 << 10
 )
 
-// Make returns the difference from base to next, for use with Apply.
+// Make returns the delta from base to next, for use with Apply.
 func Make(base, next []byte) ([]byte, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(dictionaryID, base), zstd.WithWindowSize(windowSize(len(base)+len(next))),
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithZeroFrames(true))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "encoder of differences")
+		return nil, failure.Wrap(err, failure.Internal, "delta encoder")
 	}
 	defer e.Close()
 	return e.EncodeAll(next, nil), nil
@@ -37,21 +37,21 @@
 	return min(max(minWindowBytes, 1<<bits.Len(uint(n))), zstd.MaxWindowSize)
 }
 
-// Apply returns the version that results from applying difference to base. A damaged
-// difference, or one whose result exceeds MaxBytes, is a failure of kind Corrupt.
-func Apply(base, difference []byte) ([]byte, error) {
-	if len(difference) == 0 {
-		return nil, failure.New(failure.Corrupt, "empty difference")
+// Apply returns the version that results from applying delta to base. A damaged delta, or one
+// whose result exceeds MaxBytes, is a failure of kind Corrupt.
+func Apply(base, delta []byte) ([]byte, error) {
+	if len(delta) == 0 {
+		return nil, failure.New(failure.Corrupt, "empty delta")
 	}
 	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(dictionaryID, base), zstd.WithDecoderMaxMemory(MaxBytes),
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "decoder of differences")
+		return nil, failure.Wrap(err, failure.Internal, "delta decoder")
 	}
 	defer d.Close()
-	next, err := d.DecodeAll(difference, nil)
+	next, err := d.DecodeAll(delta, nil)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "difference of %d bytes", len(difference))
+		return nil, failure.Wrap(err, failure.Corrupt, "delta of %d bytes", len(delta))
 	}
 	return next, nil
 }
--- a/wire/delta/delta_test.go
+++ b/wire/delta/delta_test.go
@@ -41,8 +41,8 @@
 	return b.Bytes()
 }
 
-// The size of the difference for a small change must not grow with the object.
-func TestSmallChangeHasSmallDifference(t *testing.T) {
+// The size of the delta for a small change must not grow with the object.
+func TestSmallChangeHasSmallDelta(t *testing.T) {
 	for _, entries := range []int{100, 1000, 10000} {
 		base, next := document(entries, -1, ""), document(entries, entries/3, "other")
 		d, err := Make(base, next)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestDamagedDifferenceIsCorrupt(t *testing.T) {
+func TestDamagedDeltaIsCorrupt(t *testing.T) {
 	base, next := document(100, -1, ""), document(100, 40, "other")
 	d, err := Make(base, next)
 	require.NoError(t, err)
--- a/wire/rpc/client.go
+++ b/wire/rpc/client.go
@@ -36,8 +36,8 @@
 	// wait for a slow disk, whereas a ping is answered at once. The ping also covers the case
 	// that this host itself was paused.
 	pingDelay = 120 * time.Millisecond
-	// maxQueuedRequests bounds the requests queued for writing on one link. Calls beyond it
-	// block until there is room.
+	// maxQueuedRequests bounds the requests queued for writing on one link. Further calls
+	// block until the queue has space.
 	maxQueuedRequests = 64
 )
 
@@ -302,7 +302,7 @@
 	l.mu.Unlock()
 	select {
 	case l.requests <- &historypb.Request{Id: id, Member: member, Call: &historypb.Request_Ping{Ping: &historypb.Ping{}}}:
-	default: // the queue is full of calls, whose replies show as well that the peer is alive
+	default: // the queue is full of calls, whose replies also show that the peer is alive
 	}
 }
 
--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -200,15 +200,15 @@
 	require.NoError(t, err)
 	first := c.link
 	p.CloseIdle(time.Hour)
-	require.False(t, first.ended(), "used lately")
+	require.False(t, first.ended(), "used within the idle time")
 	done := make(chan error, 1)
 	go func() {
 		_, err := c.CallWaiting(t.Context(), &historypb.Request{Slot: 1}, time.Minute)
 		done <- err
 	}()
-	require.Eventually(t, func() bool { return c.underWay() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return c.inFlight() == 1 }, time.Minute, time.Millisecond)
 	p.CloseIdle(0)
-	require.False(t, first.ended(), "a call is under way")
+	require.False(t, first.ended(), "a call is in flight")
 	close(release)
 	require.NoError(t, <-done)
 	p.CloseIdle(0)
@@ -217,8 +217,8 @@
 	require.NoError(t, err)
 }
 
-// underWay returns the number of calls in flight.
-func (c *Client) underWay() int {
+// inFlight returns the number of calls in flight.
+func (c *Client) inFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callsInFlight
--- a/wire/rpc/server.go
+++ b/wire/rpc/server.go
@@ -15,9 +15,9 @@
 )
 
 // Handler answers requests. It must not block for long: the requests of one stream
-// are passed to it one after the other. It must call answer exactly once, which it
+// are passed to it one after the other. It must call respond exactly once, which it
 // may do later and from any goroutine.
-type Handler func(req *historypb.Request, answer func(*historypb.Reply))
+type Handler func(req *historypb.Request, respond func(*historypb.Reply))
 
 // sessionConfig returns the yamux configuration of both ends. Keep-alives are off:
 // calls detect a silent peer sooner, and idle connections cause no traffic.
--- a/wire/targetpool/bytecounter.go
+++ b/wire/targetpool/bytecounter.go
@@ -3,7 +3,7 @@
 import "sync/atomic"
 
 // ByteCounter counts the bytes sent to and received from targets. Safe for concurrent use.
-// Request.Bytes may be nil, which counts nothing.
+// The bytes of a Request whose field Bytes is nil are not counted.
 type ByteCounter struct {
 	sent, received atomic.Int64
 }
