--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -116,7 +116,7 @@
 	return "HTTP/1.1 503 Busy\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.NotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 }
 
-// okStream is a whole chunked stream of events with ids from first.
+// okStream is a complete chunked stream of events with ids from first.
 func okStream(id string, first int, data ...string) string {
 	return streamHead(id) + eventChunks(first, data...) + "0\r\n\r\n"
 }
@@ -165,15 +165,15 @@
 
 func (m *member) setHandler(h rpc.Handler) { m.handler.Store(&h) }
 
-func (m *member) handle(req *historypb.Request, answer func(*historypb.Reply)) {
+func (m *member) handle(req *historypb.Request, respond func(*historypb.Reply)) {
 	if m.silent.Load() {
 		return
 	}
-	if other := m.handler.Load(); other != nil {
-		(*other)(req, answer)
+	if override := m.handler.Load(); override != nil {
+		(*override)(req, respond)
 		return
 	}
-	m.server.Handle(req, answer)
+	m.server.Handle(req, respond)
 }
 
 func discardLog() *log.Logger { return log.New(io.Discard) }
@@ -187,7 +187,7 @@
 const harnessTimeout = 20 * time.Second
 
 // newSystem starts a testSystem: an entry host with the routes /plain/ (idempotent), /once/,
-// /turn/ (retained) and /quick/ (resumable), all to service "s".
+// /turn/ (retained), /quick/ (resumable) and /short/ (a timeout of 30 ms), all to service "s".
 func newSystem(t *testing.T, targets ...*fakeTarget) *testSystem {
 	s := &testSystem{t: t, history: quorum.New(&net.Dialer{}, "dc1", discardLog(), nil)}
 	s.history.SetTimeouts(memberTimeout)
--- a/daemon/entry/hedge_test.go
+++ b/daemon/entry/hedge_test.go
@@ -157,8 +157,8 @@
 	s.host.Meter = meter.New()
 	body := make(chan answerBody, 1)
 	go func() { body <- answerBody(s.post("/plain/", "x", ownheaders.ID, "1").body) }()
-	decided := func() bool { return s.host.Meter.Value("second_sends_no_token") == 1 }
-	require.Eventually(t, decided, harnessTimeout, time.Millisecond)
+	tokenDenied := func() bool { return s.host.Meter.Value("second_sends_no_token") == 1 }
+	require.Eventually(t, tokenDenied, harnessTimeout, time.Millisecond)
 	require.Equal(t, 1, s.inFlight())
 	close(release)
 	require.EqualValues(t, "late", <-body)
@@ -210,8 +210,8 @@
 // send failed and may have run.
 func TestNotRunStatusIsWithheldWhileOtherSendMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
-		breaks bool
-		status int
+		disconnects bool
+		status      int
 	}{
 		"the first is in flight": {false, http.StatusOK},
 		"the first disconnects":  {true, http.StatusBadGateway},
@@ -224,7 +224,7 @@
 					return unmarkedRefusal(id), false
 				}
 				<-release
-				if c.breaks {
+				if c.disconnects {
 					return "", true
 				}
 				return okAnswer(id, "first"), false
@@ -270,12 +270,12 @@
 // If both targets fail, the route's attempts are used up and the caller gets an error.
 func TestBothSendsFail(t *testing.T) {
 	var requestCount atomic.Int32
-	both := make(chan struct{})
+	bothSent := make(chan struct{})
 	answer := func(int, received, string) (string, bool) {
 		if requestCount.Add(1) == 2 {
-			close(both)
+			close(bothSent)
 		}
-		<-both
+		<-bothSent
 		return "", true
 	}
 	s := newSystem(t, newFakeTarget(t, "t1", answer), newFakeTarget(t, "t2", answer), newFakeTarget(t, "t3", answer))
@@ -344,9 +344,9 @@
 	h.mu.Lock()
 	near, _ := h.registry.Target("t1")
 	far, _ := h.registry.Target("t2")
-	moved := far.TargetInfo
-	moved.DataCentre = "dc2"
-	h.registry.SetTarget(moved)
+	movedToOtherDataCentre := far.TargetInfo
+	movedToOtherDataCentre.DataCentre = "dc2"
+	h.registry.SetTarget(movedToOtherDataCentre)
 	near.RecordLoadReport(request.Load{Running: 4, Waiting: 40, Capacity: 4, Slowdown: 1.5}, h.now())
 	h.mu.Unlock()
 	require.Equal(t, http.StatusOK, s.post("/plain/", "x", ownheaders.ID, "1").status)
