--- a/daemon/quorum/client.go
+++ b/daemon/quorum/client.go
@@ -216,8 +216,8 @@
 // killed process to restart, and short against the time a caller waits.
 const retryDelay = 50 * time.Millisecond
 
-// retentionSlack allows for clocks of hosts that differ or jump by some seconds.
-const retentionSlack = 15 * time.Second
+// retentionMargin allows for clocks of hosts that differ or jump by some seconds.
+const retentionMargin = 15 * time.Second
 
 // Write makes records of one program durable. The program is stored for retention from now on.
 // Write retries until the context ends, and then returns the last failure, HistoryUnavailable.
@@ -233,7 +233,7 @@
 // for longer than unreachableTimeout, because of a network partition for instance: a caller that
 // receives the failure can try another host, while one that waits also loses that time.
 func (c *Client) WriteUnlessUnreachable(ctx context.Context, unreachableTimeout time.Duration, program string, retention time.Duration, records ...*historypb.Record) error {
-	expiresMs := time.Now().Add(retention + retentionSlack).UnixMilli()
+	expiresMs := time.Now().Add(retention + retentionMargin).UnixMilli()
 	for _, r := range records {
 		r.Program, r.ExpiresMs = program, expiresMs
 	}
