--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -182,7 +182,7 @@
 	server := p.servers[member]
 	p.mu.Unlock()
 	if server == nil {
-		return nil, failure.New(failure.PeerUnavailable, "%s is gone", member)
+		return nil, failure.New(failure.PeerUnavailable, "%s is unreachable", member)
 	}
 	replies := make(chan *historypb.Reply, 1)
 	server.Handle(req, func(r *historypb.Reply) { replies <- r })
@@ -190,7 +190,7 @@
 	case r := <-replies:
 		return r, statusError(r.Status, member)
 	case <-ctx.Done():
-		return nil, failure.Wrap(ctx.Err(), failure.PeerUnavailable, "ask")
+		return nil, failure.Wrap(ctx.Err(), failure.PeerUnavailable, "call")
 	}
 }
 
