--- a/wire/rpc/traffic_test.go
+++ b/wire/rpc/traffic_test.go
@@ -44,10 +44,10 @@
 			{Call: &historypb.Request_Read{Read: &historypb.Read{Program: "p"}}},
 			writeOf(&historypb.Record{Change: &historypb.Record_Turn{Turn: &historypb.Turn{Content: make([]byte, 1000)}}}),
 		} {
-			begun := time.Now()
+			startedAt := time.Now()
 			_, err := p.Client(l.Addr().String()).Call(t.Context(), req)
 			require.NoError(t, err)
-			if time.Since(begun) >= pingDelay {
+			if time.Since(startedAt) >= pingDelay {
 				slowCalls++
 			}
 		}
