--- a/daemon/history/controller.go
+++ b/daemon/history/controller.go
@@ -200,7 +200,7 @@
 	}
 	c.copyJoiningSlots(ctx, m)
 	c.peers.probe(ctx, m, c.membersToProbe(m))
-	c.peers.pool.Tidy(idleConnectionTimeout)
+	c.peers.pool.CloseIdle(idleConnectionTimeout)
 	c.adjustCrowdedSlots(ctx, m)
 	c.replaceMembers(ctx, c.server.Map())
 	c.removePlatformCopies(ctx, c.server.Map())
--- a/wire/rpc/client.go
+++ b/wire/rpc/client.go
@@ -36,8 +36,8 @@
 	// wait for a slow disk, whereas a ping is answered at once. The ping also covers the case
 	// that this host itself was paused.
 	pingDelay = 120 * time.Millisecond
-	// maxQueuedRequests bounds the requests queued for writing on one link. Calls beyond it
-	// block until there is room.
+	// maxQueuedRequests bounds the requests queued for writing on one link. Further calls
+	// block until the queue has space.
 	maxQueuedRequests = 64
 )
 
@@ -95,9 +95,9 @@
 	c.lastUsed = time.Now()
 }
 
-// Tidy closes the connection if there was no call for the duration idle. The next call dials
+// CloseIdle closes the connection if there was no call for the duration idle. The next call dials
 // again.
-func (c *Client) Tidy(idle time.Duration) {
+func (c *Client) CloseIdle(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link == nil || c.callsInFlight > 0 || time.Since(c.lastUsed) < idle {
@@ -302,7 +302,7 @@
 	l.mu.Unlock()
 	select {
 	case l.requests <- &historypb.Request{Id: id, Member: member, Call: &historypb.Request_Ping{Ping: &historypb.Ping{}}}:
-	default: // the queue is full of calls, whose replies show as well that the peer is alive
+	default: // the queue is full of calls, whose replies also show that the peer is alive
 	}
 }
 
--- a/wire/rpc/rpc_test.go
+++ b/wire/rpc/rpc_test.go
@@ -182,7 +182,7 @@
 	require.Less(t, each, int64(maxBytes))
 }
 
-// Tidy must close a connection without calls but not one with a call in flight, and the next
+// CloseIdle must close a connection without calls but not one with a call in flight, and the next
 // call must dial again.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	release := make(chan struct{})
@@ -199,26 +199,26 @@
 	_, err := c.Call(t.Context(), &historypb.Request{})
 	require.NoError(t, err)
 	first := c.link
-	p.Tidy(time.Hour)
-	require.False(t, first.ended(), "used lately")
+	p.CloseIdle(time.Hour)
+	require.False(t, first.ended(), "used within the idle time")
 	done := make(chan error, 1)
 	go func() {
 		_, err := c.CallWaiting(t.Context(), &historypb.Request{Slot: 1}, time.Minute)
 		done <- err
 	}()
-	require.Eventually(t, func() bool { return c.underWay() == 1 }, time.Minute, time.Millisecond)
-	p.Tidy(0)
-	require.False(t, first.ended(), "a call is under way")
+	require.Eventually(t, func() bool { return c.inFlight() == 1 }, time.Minute, time.Millisecond)
+	p.CloseIdle(0)
+	require.False(t, first.ended(), "a call is in flight")
 	close(release)
 	require.NoError(t, <-done)
-	p.Tidy(0)
+	p.CloseIdle(0)
 	require.True(t, first.ended())
 	_, err = c.Call(t.Context(), &historypb.Request{})
 	require.NoError(t, err)
 }
 
-// underWay returns the number of calls in flight.
-func (c *Client) underWay() int {
+// inFlight returns the number of calls in flight.
+func (c *Client) inFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callsInFlight
