--- a/daemon/wal/wal.go
+++ b/daemon/wal/wal.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	// rotationBytes is the size from which on a new segment is started: small enough that
-	// dropping a segment frees space soon, large enough that directory syncs are rare.
+	// rotationBytes is the size at which a segment is full and a new one is started: small enough
+	// that dropping a segment frees space soon, large enough that directory syncs are rare.
 	rotationBytes = 4 << 20
 	// maxRecordBytes bounds a record on replay; a longer one counts as damaged.
 	maxRecordBytes = 32 << 20
@@ -99,11 +99,12 @@
 	Offset int64
 }
 
-// Open creates dir if it is missing, passes each intact record of the log in it to apply, in the
-// order of writing, and returns the log ready for appends, with the damage found in its segments.
+// Open opens the log in dir, which it creates if it is missing. It passes each intact record to
+// apply, in the order of writing, and returns the log ready for appends, with the damage found in
+// its segments.
 func Open(dir string, create CreateFunc, apply func(*historypb.Record)) (*Log, []Damage, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, nil, failure.Wrap(err, failure.Corrupt, "data directory")
+		return nil, nil, failure.Wrap(err, failure.Corrupt, "create data directory")
 	}
 	names, err := segmentFiles(dir)
 	if err != nil {
@@ -135,7 +136,7 @@
 func segmentFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "data directory")
+		return nil, failure.Wrap(err, failure.Corrupt, "read data directory")
 	}
 	var names []string
 	for _, e := range entries {
--- a/daemon/wal/wal_test.go
+++ b/daemon/wal/wal_test.go
@@ -61,25 +61,25 @@
 }
 
 func TestTornTailIsReportedAndEarlierRecordsAreReplayed(t *testing.T) {
-	for _, cut := range []int{1, 7, 60} {
+	for _, tornBytes := range []int{1, 7, 60} {
 		dir := t.TempDir()
 		l, _, _ := open(t, dir)
-		require.NoError(t, appendWait(l, record("kept", 100)))
+		require.NoError(t, appendWait(l, record("intact", 100)))
 		require.NoError(t, appendWait(l, record("torn", 100)))
 		l.Close()
 		name := filepath.Join(dir, segments(t, dir)[0])
 		info, err := os.Stat(name)
 		require.NoError(t, err)
-		require.NoError(t, os.Truncate(name, info.Size()-int64(cut)))
+		require.NoError(t, os.Truncate(name, info.Size()-int64(tornBytes)))
 
 		l, replayed, damage := open(t, dir)
-		require.Equal(t, []string{"kept"}, replayed)
+		require.Equal(t, []string{"intact"}, replayed)
 		require.Len(t, damage, 1)
 		require.NoError(t, appendWait(l, record("after", 10)))
 		l.Close()
 		l, replayed, _ = open(t, dir)
 		l.Close()
-		require.Equal(t, []string{"kept", "after"}, replayed, "records after a torn tail are in a new segment")
+		require.Equal(t, []string{"intact", "after"}, replayed, "records after a torn tail are in a new segment")
 	}
 }
 
@@ -106,7 +106,7 @@
 	require.NoError(t, appendWait(l, record("a", 10)))
 	// Makes the next write fail, as on a disk with errors.
 	require.NoError(t, l.file.Close())
-	err := appendWait(l, record("refused", 10))
+	err := appendWait(l, record("failed", 10))
 	require.Equal(t, failure.Suspended, failure.From(err).Kind)
 	require.NoError(t, appendWait(l, record("b", 10)))
 	l.Close()
