--- a/daemon/history/admit.go
+++ b/daemon/history/admit.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// maxAdmitAttempts bounds the attempts of a member to admit itself before it asks another
-	// member to: of many members that start together, one updates the map ahead of all others
-	// each time, and each attempt costs the platform two calls.
+	// maxAdmitAttempts bounds the attempts of a member to admit itself before it sends an
+	// admission request to another member: of many members that start together, only one update
+	// of the map succeeds at a time, and each attempt costs the platform two calls.
 	maxAdmitAttempts = 1
-	// admissionTimeout is the time that a member then waits to be admitted: several reconcile
-	// intervals of the other member.
+	// admissionTimeout is how long a member waits after an admission request before it tries
+	// again: several reconcile intervals of the other member.
 	admissionTimeout = time.Second
 )
 
@@ -43,8 +43,8 @@
 	return members
 }
 
-// admitSelf adds this member to the map: by itself, or if other members update the map first each
-// time, through the member with the lowest ID, which admits all that ask it at once.
+// admitSelf adds this member to the map. If its own updates conflict with those of other members,
+// it asks the member with the lowest ID, which admits all requesters in one update.
 func (c *Controller) admitSelf(ctx context.Context, m *placement.Map) {
 	if time.Since(c.admissionRequestedAt) < admissionTimeout {
 		return
--- a/daemon/history/admit_test.go
+++ b/daemon/history/admit_test.go
@@ -41,7 +41,7 @@
 	return objects.Object{Name: MapName, Revision: s.revision, Spec: spec}, nil
 }
 
-// newMember returns the controller of a member that knows the map in the store. The first one
+// newMember returns the controller of a member that knows the map in the store. The first call
 // creates that map.
 func newMember(t *testing.T, store *mapStore, host, address string) *Controller {
 	server, err := OpenServer(Options{Dir: t.TempDir(), Logger: log.New(io.Discard)})
@@ -69,8 +69,8 @@
 	return l.Addr().String(), func(s *Server) { go func() { _ = rpc.Serve(l, s.Handle) }() }
 }
 
-// Members whose map updates conflict ask the first member, which admits all of them by one
-// update.
+// Members whose map updates conflict ask the member with the lowest ID, which admits all of them
+// in one update.
 func TestMembersWithConflictingUpdatesAreAdmittedTogether(t *testing.T) {
 	store := &mapStore{}
 	address, serve := listen(t)
@@ -109,8 +109,8 @@
 	require.NotContains(t, c.server.Map().Members, "earlier disk")
 }
 
-// A member that cannot reach the first member goes on trying to admit itself.
-func TestMemberAdmitsItselfWhenFirstMemberIsUnreachable(t *testing.T) {
+// A member that cannot reach the member with the lowest ID keeps trying to admit itself.
+func TestMemberAdmitsItselfWhenLowestMemberIsUnreachable(t *testing.T) {
 	store := &mapStore{}
 	address, _ := listen(t) // not served
 	newMember(t, store, "h0", address)
--- a/daemon/history/controller.go
+++ b/daemon/history/controller.go
@@ -34,7 +34,8 @@
 	// to those present: the hosts of one system start within 0.3 s, and members that admit
 	// themselves at the same time take turns of about 20 ms each.
 	minAssignDelay = 2 * time.Second
-	// coordinatorTimeout is how much longer the other members wait for the coordinator to do so.
+	// coordinatorTimeout is how much longer the other members wait for the coordinator to assign
+	// slots.
 	coordinatorTimeout = time.Second
 	// maxUpdateAttempts bounds the attempts at a map update that conflicts with those of other
 	// members. updateRetryJitter spreads the delay between attempts over members, from a quarter
@@ -48,11 +49,12 @@
 	storeTimeout = 2 * time.Second
 )
 
-// Retirements tells members which hosts are to be emptied, and takes reports of the progress.
+// Retirements lists the hosts that operators retire, that is, whose slots are to be moved to other
+// members, and accepts reports of the progress.
 type Retirements interface {
-	// Retiring returns the names of the hosts to be emptied.
+	// Retiring returns the names of the hosts to retire.
 	Retiring() []string
-	// Report tells the operators that the emptying of a host has started, or is done.
+	// Report notifies the operators that the retirement of a host has started, or is done.
 	Report(ctx context.Context, host string, done bool) error
 }
 
@@ -169,9 +171,9 @@
 	}
 }
 
-// reconcile takes the next steps that the map needs from this member. It creates the map, admits
-// this member and assigns slots in one call each; after that it copies joining slots, probes
-// other members and replaces silent or retiring ones.
+// reconcile takes the next steps that the map needs from this member. Creating the map, admitting
+// this member and assigning slots take one call each; later calls copy joining slots, probe other
+// members and replace silent or retiring ones.
 func (c *Controller) reconcile(ctx context.Context) {
 	c.mu.Lock()
 	known, revision := c.mapKnown, c.mapRevision
@@ -187,7 +189,7 @@
 	if m == nil {
 		return
 	}
-	if known, in := m.Members[c.self.ID]; !in || known != c.self {
+	if registered, in := m.Members[c.self.ID]; !in || registered != c.self {
 		c.admitSelf(ctx, m)
 		return
 	}
@@ -206,9 +208,9 @@
 	c.removePlatformCopies(ctx, c.server.Map())
 }
 
-// assignDelay returns how long after its start this member assigns slots: the coordinator waits
-// for the other members, which also wait for the coordinator, so that they do not all update the
-// map at once.
+// assignDelay returns how long after its start this member assigns slots. The coordinator waits
+// for the other members to join; those wait longer, so that they do not all update the map at
+// once.
 func (c *Controller) assignDelay(m *placement.Map) time.Duration {
 	if c.isCoordinator(m, c.peers.silenceDurations()) {
 		return minAssignDelay
--- a/daemon/history/guard.go
+++ b/daemon/history/guard.go
@@ -13,12 +13,12 @@
 // first probe, the hosts that remain after a network partition continue within 1.1 s.
 const demotionTimeout = 300 * time.Millisecond
 
-// adjustCrowdedSlots keeps slots available when a data centre is cut off. If all members answer,
-// the coordinator makes crowded slots spanning. Otherwise the replicas of a crowded data centre
+// adjustCrowdedSlots keeps slots available when a data centre is partitioned from the others. If
+// all members answer, the coordinator makes crowded slots spanning. Otherwise the replicas of a crowded data centre
 // that is silent are demoted, and the need for silent outside replicas ends.
 func (c *Controller) adjustCrowdedSlots(ctx context.Context, m *placement.Map) {
 	silentFor := c.peers.silenceDurations()
-	// Ignores members without slots: a host that was emptied and taken away stays silent.
+	// Ignores members without slots: a host that was retired and removed stays silent.
 	maps.DeleteFunc(silentFor, func(id string, _ time.Duration) bool { return !m.IsInUse(id) })
 	if len(silentFor) == 0 {
 		if c.isCoordinator(m, c.peers.silenceDurations()) {
--- a/daemon/history/join_test.go
+++ b/daemon/history/join_test.go
@@ -59,7 +59,7 @@
 	store := func(s *Server, names []string) {
 		for _, p := range names {
 			req := writeRequest(s, m.Epoch, p, "t"+p, 1<<60)
-			require.Equal(t, historypb.Status_STATUS_OK, ask(s, req).Status)
+			require.Equal(t, historypb.Status_STATUS_OK, call(s, req).Status)
 		}
 	}
 	store(servers[0], names[:30])
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 35, records, "40 programs less the 5 that the joiner has")
 	for _, p := range names {
-		require.Len(t, ask(joiner, readRequest(joiner, m.Epoch, p, "t"+p)).Chain, 1, p)
+		require.Len(t, call(joiner, readRequest(joiner, m.Epoch, p, "t"+p)).Chain, 1, p)
 	}
 	records, err = c.copySlot(t.Context(), m, slot)
 	require.NoError(t, err)
--- a/daemon/history/loads_test.go
+++ b/daemon/history/loads_test.go
@@ -20,15 +20,15 @@
 	s := openServer(t, dir)
 	r := loads.NewReporter(1)
 	r.Observe([]loads.Observation{{Key: 7, InFlight: 3}})
-	reply := ask(s, exchangeRequest(s.MemberID(), r.NextReport(0)))
+	reply := call(s, exchangeRequest(s.MemberID(), r.NextReport(0)))
 	require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 	require.True(t, r.HandleReply(loads.DecodeReply(reply.Loads), 0).Accepted)
 	require.Equal(t, 1, s.loadsState().ReporterCount)
-	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, exchangeRequest("other", r.NextReport(0))).Status)
+	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, call(s, exchangeRequest("other", r.NextReport(0))).Status)
 	before := s.loadsState().BoardID
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
 	require.NotEqual(t, before, s.loadsState().BoardID)
-	require.True(t, ask(s, exchangeRequest(s.MemberID(), r.NextReport(0))).Loads.Restart)
+	require.True(t, call(s, exchangeRequest(s.MemberID(), r.NextReport(0))).Loads.Restart)
 }
--- a/daemon/history/platform_copy.go
+++ b/daemon/history/platform_copy.go
@@ -16,8 +16,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// PlatformCopyKind is the kind of the objects in the platform's store with copies of records of
-// guarded slots, for the time in which only one disk holds these records.
+// PlatformCopyKind is the kind of the objects in the platform's store that hold copies of records
+// of guarded slots while only one disk stores these records.
 const PlatformCopyKind = "history-kept"
 
 const (
@@ -28,7 +28,7 @@
 	// hundreds that the platform can take.
 	platformCopyInterval = 40 * time.Millisecond
 	// maxCreateAttempts bounds the attempts to create one object if the reply is lost or an
-	// error; writers wait for less than a second.
+	// error, so that writers wait for less than a second.
 	maxCreateAttempts = 3
 )
 
--- a/daemon/history/platform_copy_test.go
+++ b/daemon/history/platform_copy_test.go
@@ -18,8 +18,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// fakeStore is an in-memory store. All creations fail while down is set; with loseFirst the first
-// one succeeds but its reply is lost.
+// fakeStore is an in-memory store. All Create calls fail while down is set; with loseFirst the
+// first one creates the object but its reply is lost.
 type fakeStore struct {
 	objects.Store
 	mu        sync.Mutex
--- a/daemon/history/replace.go
+++ b/daemon/history/replace.go
@@ -16,10 +16,10 @@
 	// probeTimeout bounds one round of probes, and a request for admission.
 	probeTimeout = 350 * time.Millisecond
 	// replaceTimeoutWithSpare is how long a member must be silent before a member without slots
-	// takes over its slots: since a spare exists, waiting longer would only save the copy for a
-	// host that merely restarts (1 to 1.5 s).
+	// takes over its slots. Waiting longer would save only the copy that is needless when the
+	// host merely restarts (1 to 1.5 s).
 	replaceTimeoutWithSpare = 2 * time.Second
-	// replaceTimeout is the same if only members with slots could take over: a slot stays
+	// replaceTimeout is the same if only members with slots could take over. A slot stays
 	// available with one silent replica, so there is time for the host to reboot.
 	replaceTimeout = 15 * time.Second
 )
@@ -172,7 +172,7 @@
 	return n > 1
 }
 
-// retiringMembers returns the IDs of the members on hosts to be emptied.
+// retiringMembers returns the IDs of the members on hosts to retire.
 func (c *Controller) retiringMembers(m *placement.Map) []string {
 	hosts := c.retirements.Retiring()
 	var ids []string
--- a/daemon/history/server.go
+++ b/daemon/history/server.go
@@ -51,7 +51,7 @@
 	slotHeldSince [placement.GlobalSlotCount]time.Duration
 	slotMap       *placement.Map
 	slotMapJSON   []byte
-	// refresh reads the newest map; it is called when a sender has a newer one.
+	// refresh reads the newest map; it is called after a request made with a newer one.
 	refresh func()
 	// refreshing is true while refreshMapOnce waits for a newer map or reads it.
 	refreshing bool
@@ -81,8 +81,8 @@
 	Elapsed func() time.Duration
 }
 
-// OpenServer replays the journal in the data directory and returns a server with the records, the
-// member ID and the slot map found there.
+// OpenServer replays the write-ahead log in the data directory and returns a server with the
+// records, the member ID and the slot map found there.
 func OpenServer(o Options) (*Server, error) {
 	if o.Create == nil {
 		o.Create = wal.CreateFile
@@ -262,13 +262,13 @@
 	return false
 }
 
-// mapRefreshDelay is the time allowed for a newer map to arrive through the relays after a sender
-// has shown that it exists; they need two more round trips between data centres than the sender
-// did.
+// mapRefreshDelay is the time allowed for a newer map to arrive through the relays after a request
+// made with it. That path can take two more round trips between data centres than the path to the
+// sender.
 const mapRefreshDelay = 40 * time.Millisecond
 
-// refreshMapOnce reads the newest map unless it arrives by itself. Only one read is in progress
-// at a time: otherwise each request with a newer map would make a call of its own while the
+// refreshMapOnce reads the newest map unless the relays deliver it first. Only one read is in
+// progress at a time: otherwise each request with a newer map would make a call of its own while the
 // platform is slow (541 in a second with 24 history hosts). The caller holds mu.
 func (s *Server) refreshMapOnce(epoch uint64) {
 	if s.refreshing {
--- a/daemon/history/server_test.go
+++ b/daemon/history/server_test.go
@@ -32,8 +32,8 @@
 	return m
 }
 
-// ask passes a request to the server and waits for the reply.
-func ask(s *Server, req *historypb.Request) *historypb.Reply {
+// call passes a request to the server and waits for the reply.
+func call(s *Server, req *historypb.Request) *historypb.Reply {
 	answer := make(chan *historypb.Reply, 1)
 	s.Handle(req, func(r *historypb.Reply) { answer <- r })
 	return <-answer
@@ -57,14 +57,14 @@
 	dir := t.TempDir()
 	s := openServer(t, dir)
 	m := adoptSingleMemberMap(t, s)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
+	require.Equal(t, historypb.Status_STATUS_OK, call(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
 	member := s.MemberID()
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
 	require.Equal(t, member, s.MemberID())
 	require.Equal(t, m.Epoch, s.Map().Epoch, "the map is read from disk, without the platform")
-	reply := ask(s, readRequest(s, m.Epoch, "p", "1"))
+	reply := call(s, readRequest(s, m.Epoch, "p", "1"))
 	require.Len(t, reply.Chain, 1)
 	require.Equal(t, "content of 1", string(reply.Chain[0].Content))
 }
@@ -72,16 +72,16 @@
 func TestRequestsForOtherMembersOrWithOldMapsAreRejected(t *testing.T) {
 	s := openServer(t, t.TempDir())
 	defer s.Close()
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, 9, "p", "1", 1)).Status, "no map yet")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, call(s, writeRequest(s, 9, "p", "1", 1)).Status, "no map yet")
 	m := adoptSingleMemberMap(t, s)
 	other := writeRequest(s, m.Epoch, "p", "1", 1)
 	other.Member = "other"
-	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, ask(s, other).Status)
-	reply := ask(s, writeRequest(s, m.Epoch-1, "p", "1", 1))
+	require.Equal(t, historypb.Status_STATUS_WRONG_MEMBER, call(s, other).Status)
+	reply := call(s, writeRequest(s, m.Epoch-1, "p", "1", 1))
 	require.Equal(t, historypb.Status_STATUS_STALE_EPOCH, reply.Status)
 	require.NotEmpty(t, reply.SlotMap, "the reply contains the newer map")
 	ahead := &historypb.Request{Member: s.MemberID(), Epoch: m.Epoch + 1, Call: &historypb.Request_Copy{Copy: &historypb.Copy{}}}
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, ahead).Status, "a source of a copy must have the map by which it rejects writers")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, call(s, ahead).Status, "a source of a copy must have the map by which it rejects writers")
 }
 
 // Many senders have a newer map while the platform answers slowly: the map must be read only once
@@ -97,7 +97,7 @@
 		<-answered
 	}
 	for range 20 {
-		ask(s, readRequest(s, m.Epoch+1, "p", ""))
+		call(s, readRequest(s, m.Epoch+1, "p", ""))
 	}
 	close(answered)
 	require.Eventually(t, func() bool {
@@ -106,7 +106,7 @@
 		return !s.refreshing
 	}, time.Second, time.Millisecond)
 	require.EqualValues(t, 1, reads.Load())
-	ask(s, readRequest(s, m.Epoch+1, "p", ""))
+	call(s, readRequest(s, m.Epoch+1, "p", ""))
 	require.Eventually(t, func() bool { return reads.Load() == 2 }, time.Second, time.Millisecond, "the next request causes another read")
 }
 
@@ -122,11 +122,11 @@
 		}
 		req := writeRequest(s, m.Epoch, p, "t"+p, 1<<60)
 		req.GetWrite().Records[0].GetTurn().Content = make([]byte, maxPageBytes/4)
-		require.Equal(t, historypb.Status_STATUS_OK, ask(s, req).Status)
+		require.Equal(t, historypb.Status_STATUS_OK, call(s, req).Status)
 		written++
 	}
 	copySlot := func(c *historypb.Copy) *historypb.Reply {
-		reply := ask(s, &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: c}})
+		reply := call(s, &historypb.Request{Member: s.MemberID(), Slot: slot, Epoch: m.Epoch, Call: &historypb.Request_Copy{Copy: c}})
 		require.Equal(t, historypb.Status_STATUS_OK, reply.Status)
 		return reply
 	}
@@ -149,19 +149,19 @@
 	dir := t.TempDir()
 	s := openServer(t, dir)
 	m := adoptSingleMemberMap(t, s)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "old", "1", 1000)).Status)
-	big := writeRequest(s, m.Epoch, "kept", "2", 1000)
+	require.Equal(t, historypb.Status_STATUS_OK, call(s, writeRequest(s, m.Epoch, "old", "1", 1000)).Status)
+	big := writeRequest(s, m.Epoch, "live", "2", 1000)
 	big.GetWrite().Records[0].GetTurn().Content = make([]byte, 5<<20) // fills the segment
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, big).Status)
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "kept", "3", 9000)).Status)
+	require.Equal(t, historypb.Status_STATUS_OK, call(s, big).Status)
+	require.Equal(t, historypb.Status_STATUS_OK, call(s, writeRequest(s, m.Epoch, "live", "3", 9000)).Status)
 	s.sweep(2000)
-	require.Empty(t, ask(s, readRequest(s, m.Epoch, "old", "1")).Chain)
+	require.Empty(t, call(s, readRequest(s, m.Epoch, "old", "1")).Chain)
 	s.Close()
 	s = openServer(t, dir)
 	defer s.Close()
-	require.Empty(t, ask(s, readRequest(s, m.Epoch, "old", "1")).Chain)
-	require.Len(t, ask(s, readRequest(s, m.Epoch, "kept", "2")).Chain, 1, "appended to the new segment again")
-	require.Len(t, ask(s, readRequest(s, m.Epoch, "kept", "3")).Chain, 1)
+	require.Empty(t, call(s, readRequest(s, m.Epoch, "old", "1")).Chain)
+	require.Len(t, call(s, readRequest(s, m.Epoch, "live", "2")).Chain, 1, "appended to the new segment again")
+	require.Len(t, call(s, readRequest(s, m.Epoch, "live", "3")).Chain, 1)
 }
 
 // The watch and the controller's own updates adopt maps concurrently: disk and memory must end
@@ -203,11 +203,11 @@
 	require.NoError(t, s.Adopt(m.Clone()))
 	require.True(t, m.Demote(map[string]bool{"a1": true, "a2": true}))
 
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "made with a map that the member does not have")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, call(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "the request was made with a map that the member does not have")
 	require.NoError(t, s.Adopt(m))
-	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "no platform copies yet")
+	require.Equal(t, historypb.Status_STATUS_UNAVAILABLE, call(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status, "no platform copies yet")
 	store := &fakeStore{items: map[string][]byte{}}
 	s.setPlatformCopyWriter(newPlatformCopyWriter(store, s.MemberID(), time.Unix(1, 0), s.epoch, log.New(io.Discard)))
-	require.Equal(t, historypb.Status_STATUS_OK, ask(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
+	require.Equal(t, historypb.Status_STATUS_OK, call(s, writeRequest(s, m.Epoch, "p", "1", 1<<60)).Status)
 	require.Len(t, store.items, 1)
 }
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -8,7 +8,7 @@
 	"github.com/pistachioarch/pistachioarch/core/quota"
 )
 
-// registerGauges registers the gauges of what the member holds.
+// registerGauges registers the gauges of the member's contents.
 func (s *Server) registerGauges() {
 	s.traffic.Register(s.meter, "served")
 	s.meter.Gauge("programs", func() int64 { return int64(s.contents().programs) })
@@ -18,8 +18,8 @@
 	s.meter.Gauge("slots_joining", func() int64 { return int64(s.contents().joining) })
 }
 
-// contents counts what a member holds: programs, bytes of turns, and slots by the state of the
-// replica.
+// contents is a summary of what a member stores: the number of programs, the bytes of turns, the
+// epoch of the slot map in use, and the numbers of slots by the state of this member's replica.
 type contents struct {
 	programs        int
 	bytes           int64
@@ -30,21 +30,21 @@
 func (s *Server) contents() contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := contents{programs: s.ledger.ProgramCount(), bytes: s.ledger.TurnBytes()}
+	held := contents{programs: s.ledger.ProgramCount(), bytes: s.ledger.TurnBytes()}
 	if s.slotMap == nil {
-		return h
+		return held
 	}
-	h.epoch = s.slotMap.Epoch
+	held.epoch = s.slotMap.Epoch
 	for i := range s.slotMap.Slots {
 		r, in := s.slotMap.Slots[i].Replica(s.memberID)
 		switch {
 		case in && r.Joining:
-			h.joining++
+			held.joining++
 		case in:
-			h.active++
+			held.active++
 		}
 	}
-	return h
+	return held
 }
 
 // State is a dump of a history host for operators. It holds no content of turns.
@@ -80,9 +80,9 @@
 
 // State returns a dump of the member.
 func (c *Controller) State() State {
-	h := c.server.contents()
+	held := c.server.contents()
 	s := State{
-		Quotas: c.server.quotaStates(), Loads: c.server.loadsState(), Member: c.self.ID, Epoch: h.epoch, SlotsActive: h.active, SlotsJoining: h.joining, Programs: h.programs, TurnBytes: h.bytes,
+		Quotas: c.server.quotaStates(), Loads: c.server.loadsState(), Member: c.self.ID, Epoch: held.epoch, SlotsActive: held.active, SlotsJoining: held.joining, Programs: held.programs, TurnBytes: held.bytes,
 		Retiring: c.retirements.Retiring(),
 	}
 	c.mu.Lock()
--- a/daemon/history/upstream.go
+++ b/daemon/history/upstream.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Relays implements relay.Peers. It returns the upstream of this member.
+// Relays implements relay.Peers. It returns the IDs of the upstream of this member.
 func (c *Controller) Relays() []string {
 	m := c.server.Map()
 	if m == nil {
@@ -28,11 +28,12 @@
 	return m.Upstream(c.self.ID, c.self.DataCentre, c.memberAnswers())
 }
 
-// AwaitsSlotAssignment implements relay.Peers. It is always false, since a member follows its upstream
-// whether slots are assigned or not.
+// AwaitsSlotAssignment implements relay.Peers. It is always false, since a member follows its
+// upstream whether slots are assigned or not.
 func (c *Controller) AwaitsSlotAssignment() bool { return false }
 
-// IsRelay implements relay.Peers. A member without a map or an upstream relays by itself.
+// IsRelay implements relay.Peers. A member without a map or an upstream reads the
+// platform directly, and so is a relay.
 func (c *Controller) IsRelay() bool {
 	m := c.server.Map()
 	if m == nil {
