--- a/ctl/player/callers.go
+++ b/ctl/player/callers.go
@@ -16,7 +16,8 @@
 	maxRetryDelayShare = 1.0 / 3
 	// maxTurnResends is how often a failed turn is sent again, with a new deadline.
 	maxTurnResends = 2
-	// A failed turn is sent again after a random delay within these bounds.
+	// minResendDelay and maxResendDelay bound the random delay before a failed turn is sent
+	// again.
 	minResendDelay, maxResendDelay = 100 * time.Millisecond, 400 * time.Millisecond
 	// lateObjectiveFactor times its latency objective is the longest that a program takes to
 	// count as late; beyond that it counts as failed.
@@ -95,7 +96,8 @@
 	return rates, c.sim.fleet.ProgramsPerS * factor
 }
 
-// classOf returns the class into whose part of the rates draw, in [0, sum of rates), falls.
+// classOf returns the class that a random number in [0, sum of rates) selects, in proportion to
+// the rates.
 func (c *callers) classOf(rates []float64, draw float64) *Class {
 	for i, rate := range rates {
 		if draw -= rate; draw < 0 {
@@ -120,7 +122,7 @@
 type program struct {
 	callers       *callers
 	id            int
-	rng           *rand.Rand // of its own, so that its turns are the same under every policy
+	rng           *rand.Rand // used by this program only, so that its turns are the same under every policy
 	class         *Class
 	dataCentre    string
 	subject       int // which shared prefix its prompts have
@@ -128,7 +130,7 @@
 	objective     time.Duration // of latency, from start to end
 	sequenceCount int           // of turns: its own and those of sub-agents
 	endless       bool
-	// runRecords maps the id of a prompt part to the target that last ran a turn which ended
+	// runRecords maps the ID of a prompt part to the target that last ran a turn which ended
 	// with that part.
 	runRecords map[string]string
 	leavesAt   time.Duration // when its caller leaves; 0 if it stays
@@ -175,11 +177,12 @@
 // callerLeft reports whether the caller has left.
 func (p *program) callerLeft() bool { return p.leavesAt > 0 && p.callers.sim.Now() >= p.leavesAt }
 
-// plannedTurn is the size of one turn, and what runs between it and the next one.
+// plannedTurn is the size of one turn, with the tool calls and the sub-agent that run between it
+// and the next one.
 type plannedTurn struct {
 	inputTokens, outputTokens int
 	tools                     []toolCall
-	subAgent                  *turnSequence // runs beside the tools; may be nil
+	subAgent                  *turnSequence // runs in parallel with the tools; may be nil
 }
 
 type toolCall struct {
@@ -296,8 +299,8 @@
 	}
 }
 
-// runTurn sends one turn. After a refusal it retries up to MaxRetries times within the
-// deadline; after a failure it sends the turn again, up to maxTurnResends times.
+// runTurn sends one turn. After an answer with notRun it retries up to MaxRetries times within
+// the deadline; after a failure it sends the turn again, up to maxTurnResends times.
 func (p *program) runTurn(planned plannedTurn, history []request.Part, part request.Part, done func(bool)) {
 	sim, class := p.callers.sim, p.class
 	parts := append([]request.Part{{ID: fmt.Sprintf("%s/%d", class.Name, p.subject), Tokens: class.SharedPrefixTokens}}, history...)
--- a/ctl/player/engine.go
+++ b/ctl/player/engine.go
@@ -16,7 +16,7 @@
 //     grows with the size of the batch, with the context tokens of the batch, and with the
 //     prompt tokens processed in the same step, at most PrefillChunkTokens.
 //   - The prefix cache holds parts of prompts and evicts the least recently used ones. It
-//     keeps at least as many parts as the prompt of the request added last has.
+//     keeps at least as many parts as the last added prompt has.
 type engine struct {
 	sim        *simulation
 	settings   EngineSettings
@@ -50,7 +50,8 @@
 	return &engine{sim: sim, settings: settings, id: id, dataCentre: dataCentre, slowdown: slowdown, noise: newNoise(sim, index), cache: newPrefixCache(settings.CacheTokens)}
 }
 
-// submit queues a request; false if the queue is full.
+// submit queues a request and reports whether there was space in the queue. A removed engine
+// refuses all requests.
 func (e *engine) submit(r *engineRequest) bool {
 	if e.removed || len(e.waiting) >= e.settings.MaxQueue {
 		return false
@@ -138,8 +139,8 @@
 // prefixCache holds parts of prompts, with LRU eviction.
 type prefixCache struct {
 	maxTokens, heldTokens int
-	tokensOf              map[string]int // by id of a part
-	lru                   []string       // ids of parts, least recently used first
+	tokensOf              map[string]int // by ID of a part
+	lru                   []string       // IDs of parts, least recently used first
 }
 
 func newPrefixCache(maxTokens int) prefixCache {
--- a/ctl/player/hedge.go
+++ b/ctl/player/hedge.go
@@ -16,7 +16,7 @@
 	closed        bool // its outcome is recorded
 }
 
-// markClosed closes the attempt; false if it was closed before.
+// markClosed closes the attempt and reports whether it was open.
 func (a *callAttempt) markClosed() bool {
 	wasClosed := a.closed
 	a.closed = true
@@ -43,8 +43,8 @@
 	}
 }
 
-// scheduleHedge schedules a second send of an idempotent call, after the hedge delay of its
-// kind, by which most calls have been answered.
+// scheduleHedge schedules a second send of an idempotent call after the hedge delay of its kind,
+// within which most calls are answered.
 func (c *call) scheduleHedge() {
 	h, sim := c.host, c.host.sim
 	if !sim.policy.HedgeCalls || !c.idempotent || len(c.tried) >= maxPlainAttempts {
--- a/ctl/player/host.go
+++ b/ctl/player/host.go
@@ -23,7 +23,7 @@
 	registry     *balance.Registry
 	dispatcher   *dispatch.Dispatcher
 	hedger       *hedge.Hedger
-	idleConns    map[string][]time.Duration // by target id, since when each connection is idle
+	idleConns    map[string][]time.Duration // by target ID, since when each connection is idle
 	openAttempts []*attempt                 // in the order of sending, so that runs are reproducible
 	reporter     *loads.Reporter
 }
@@ -31,8 +31,8 @@
 // outcome is the answer that a caller gets to one request; the zero value is a failure.
 type outcome struct {
 	ok bool
-	// notRun is true for a refusal: the request has not run, and may be sent again after
-	// retryDelay.
+	// notRun is true if the host rejected the request: it has not run, and may be sent again
+	// after retryDelay.
 	notRun     bool
 	retryDelay time.Duration
 }
@@ -108,15 +108,15 @@
 	maxAttempts    int
 	class          *Class
 	program        *program
-	tried          map[string]bool // ids of targets
+	tried          map[string]bool // IDs of targets
 	onReply        func(outcome)
 	finished       bool
 	attempt        *attempt // the one in flight, or nil
 }
 
-// serve starts a turn: it is routed after the read from history hosts. A host that a
-// partition has cut off refuses it, since it cannot reach them, with the time until the load
-// balancer sends callers elsewhere as retry delay.
+// serve starts a turn, which is routed after the read from history hosts. A host in a
+// partitioned data centre cannot reach those and rejects the turn; the retry delay is the time
+// until the load balancer sends callers elsewhere.
 func (t *turn) serve() {
 	sim := t.host.sim
 	t.tried = map[string]bool{}
@@ -163,7 +163,7 @@
 	}
 }
 
-// route sends the turn to a target, or refuses it.
+// route sends the turn to a target, or rejects it.
 func (t *turn) route() {
 	if t.finished {
 		return
@@ -217,8 +217,8 @@
 	})
 }
 
-// takeConnection takes an idle connection to a target, or opens one. It returns the time to
-// open: a round trip and 1 ms, 0 for an idle one.
+// takeConnection takes an idle connection to a target, or opens one. It returns the delay until
+// the connection is usable: 0 for an idle one, a round trip and 1 ms for a new one.
 func (h *host) takeConnection(targetID string, delay time.Duration) time.Duration {
 	idle := h.idleConns[targetID]
 	idleTimeout := simclock.Milliseconds(h.sim.fleet.IdleTimeoutMs)
@@ -317,7 +317,7 @@
 	startedAt  time.Duration
 	idempotent bool
 	attempts   []*callAttempt
-	tried      map[string]bool // ids of targets
+	tried      map[string]bool // IDs of targets
 	onReply    func(outcome)
 	finished   bool
 }
@@ -368,8 +368,8 @@
 	sendDelay := delay + h.takeConnection(choice.ID, delay)
 	sentAt := sim.Now()
 	recordOutcome := func(outcome balance.Outcome) {
-		if listed, ok := h.registry.Target(choice.ID); ok {
-			listed.RecordOutcome(outcome, sim.Now())
+		if registryTarget, ok := h.registry.Target(choice.ID); ok {
+			registryTarget.RecordOutcome(outcome, sim.Now())
 		}
 	}
 	a := &callAttempt{target: target, delay: delay, recordOutcome: recordOutcome}
@@ -380,8 +380,8 @@
 				return
 			}
 			c.cancelOpenAttempts()
-			if listed, ok := h.registry.Target(choice.ID); ok {
-				listed.RecordLoadReport(report, sim.Now())
+			if registryTarget, ok := h.registry.Target(choice.ID); ok {
+				registryTarget.RecordLoadReport(report, sim.Now())
 			}
 			recordOutcome(balance.Served)
 			h.registry.RecordDuration(choice.ID, c.tool.Name, sim.Now()-sentAt, sim.Now())
@@ -417,8 +417,8 @@
 	})
 }
 
-// hashDraw derives a number in [0, 1) from the work time. It differs between calls and
-// leaves the run's random source as it is.
+// hashDraw derives a number in [0, 1) from the work time. It differs between calls and does not
+// draw from the run's random source.
 func (c *call) hashDraw() float64 {
 	const prime = 1_000_003
 	return float64(int64(c.workTime)%prime) / prime
--- a/ctl/player/loads.go
+++ b/ctl/player/loads.go
@@ -24,7 +24,7 @@
 	return all
 }
 
-// nextReporterID returns an id for a board or a reporter. Ids are derived from a counter, not
+// nextReporterID returns an ID for a board or a reporter. IDs are derived from a counter, not
 // from the run's random source, so that other draws are the same with and without boards.
 func (sim *simulation) nextReporterID() uint64 {
 	const mix = 0x9e3779b97f4a7c15
@@ -73,9 +73,9 @@
 	})
 }
 
-// broadcastLoadReports sends the load reports of targets to all hosts, every
-// LoadReportIntervalMs: those of near targets in each round, those of far ones in every
-// farRounds-th.
+// broadcastLoadReports sends the load reports of targets to all hosts every
+// LoadReportIntervalMs: those of near targets in every round, those of far ones only in every
+// farRounds-th round.
 func (sim *simulation) broadcastLoadReports(round int) {
 	const farRounds = 4
 	interval := simclock.Milliseconds(sim.fleet.LoadReportIntervalMs)
--- a/ctl/player/noise.go
+++ b/ctl/player/noise.go
@@ -17,8 +17,8 @@
 	rng    *rand.Rand
 }
 
-// newNoise starts the noise of the target with an index. It draws from a random source of
-// its own, so that the rest of a run is the same with and without noise.
+// newNoise starts the noise of the target with an index. It draws from a separate random
+// source, so that the rest of a run is the same with and without noise.
 func newNoise(sim *simulation, index int) *noise {
 	n := &noise{sim: sim}
 	fleet := sim.fleet
--- a/ctl/player/plain.go
+++ b/ctl/player/plain.go
@@ -38,7 +38,7 @@
 	return p.noise.annotate(request.Load{Running: p.running, Waiting: len(p.waiting), Capacity: p.settings.Capacity})
 }
 
-// submit queues a job; false if the queue is full.
+// submit queues a job and reports whether there was space in the queue.
 func (p *plainTarget) submit(j *job) bool {
 	if len(p.waiting) >= p.settings.MaxQueue {
 		return false
--- a/ctl/player/player_test.go
+++ b/ctl/player/player_test.go
@@ -143,7 +143,7 @@
 
 // With 78 hosts and 45 engines in five data centres, a host gets a load report of an engine
 // only once in seconds. When old load reports decayed to zero and hosts used the engines of all
-// data centres alike, the score under high load was 0.70, and 0.49 after a sixth of the
+// data centres equally, the score under high load was 0.70, and 0.49 after a sixth of the
 // engines had left.
 func TestManyHostsServeHighLoad(t *testing.T) {
 	fleet := readFleet(t, "eighty")
--- a/ctl/player/result.go
+++ b/ctl/player/result.go
@@ -14,8 +14,8 @@
 	Policy  string `json:"policy"`
 	Seed    uint64 `json:"seed"`
 	// Programs counts the programs that started. InTime counts those that met their latency
-	// objective, Late those that met twice the objective, and Failed all
-	// others that ended. Endless programs and those whose caller leaves are not counted.
+	// objective, Late those that met only twice the objective, and Failed all others that ended.
+	// Endless programs and those whose caller leaves are not counted.
 	Programs, InTime, Late, Failed int
 	// TurnedAway counts turns rejected by a host without a send, Connections the connections
 	// opened to targets.
@@ -46,7 +46,7 @@
 	phasesEndAt                  time.Duration // end of the last phase
 	firstEventMs, stretchPercent *hdrhistogram.Histogram
 	callMs                       *hdrhistogram.Histogram
-	readPrefixes                 map[string]bool // ids of shared prefixes that an engine has processed
+	readPrefixes                 map[string]bool // IDs of shared prefixes that an engine has processed
 }
 
 // Quantiles are the 50th, 95th and 99th percentile of a distribution.
--- a/ctl/player/settings.go
+++ b/ctl/player/settings.go
@@ -33,7 +33,7 @@
 	Tools         []*Tool
 	// ProgramsPerS is the usual load: programs that start each second.
 	ProgramsPerS float64
-	// NoiseShare is the share of targets that are slowed down at any time, and say so in
+	// NoiseShare is the share of targets that are slowed down at any time, and report it in
 	// their load reports; 0: none are, and load reports carry no slowdown.
 	NoiseShare float64
 	// NoiseFactor is how many times longer work takes on a slowed target.
@@ -41,8 +41,8 @@
 	// NoiseDurationMs is the mean duration of a slowdown.
 	NoiseDurationMs float64 `ini:"noise_ms"`
 	// LoadReportIntervalMs is the interval at which hosts get the load reports of the targets
-	// of their data centre, besides those in answers to their own requests; those of other
-	// targets come less often (broadcastLoadReports). 0: never.
+	// of their data centre, in addition to those in answers to their own requests; those of
+	// other targets arrive less often (broadcastLoadReports). 0: never.
 	LoadReportIntervalMs float64 `ini:"words_ms"`
 }
 
@@ -51,8 +51,8 @@
 	Count    int
 	Capacity int `ini:"places"` // requests in a batch
 	MaxQueue int `ini:"queue"`  // requests that wait; more are refused
-	// StepMs is the time of a step of a batch of one; each further request adds the part
-	// StepGrowth of it.
+	// StepMs is the duration of a step with one request in the batch; each further request
+	// adds StepGrowth times StepMs.
 	StepMs, StepGrowth float64
 	// ContextMsPerKTokens is what a step takes longer for each thousand tokens of its batch.
 	ContextMsPerKTokens float64 `ini:"context_ms_per_k"`
@@ -86,12 +86,12 @@
 // Class describes one kind of program.
 type Class struct {
 	Name string
-	// Share is the class's part of all programs.
+	// Share is the class's share of all programs.
 	Share float64
 	// MeanTurns is the mean number of turns of a program.
 	MeanTurns float64 `ini:"turns"`
-	// SubAgentShare is the share of turns after which a sub-agent runs SubTurns turns beside
-	// the tools.
+	// SubAgentShare is the share of turns after which a sub-agent runs SubTurns turns in
+	// parallel with the tools.
 	SubAgentShare float64 `ini:"sub_agents"`
 	SubTurns      int
 	// SharedPrefixTokens is the length of the prefix that starts every prompt, one of
@@ -108,7 +108,7 @@
 	ObjectiveAllowanceMs float64 `ini:"objective_ms"`
 	DeadlineMs           float64 // timeout of a caller for one turn, retries included
 	MaxAttempts          int     `ini:"attempts"` // targets that a host tries for one turn
-	MaxRetries           int     `ini:"retries"`  // of a caller, after answers that say the turn has not run
+	MaxRetries           int     `ini:"retries"`  // of a caller, after answers with notRun
 }
 
 // Tool describes one kind of call between turns, to a plain target.
--- a/ctl/player/simulation.go
+++ b/ctl/player/simulation.go
@@ -18,8 +18,8 @@
 	// a target, or no longer does.
 	unreachableTimeout = 500 * time.Millisecond
 	// leaveRotationDelay is the time from the start of a partition until the load balancer
-	// sends no more callers to the hosts of the data centre that it cuts off, and
-	// rejoinRotationDelay the time from its end until it does so again.
+	// sends no more callers to the hosts of the partitioned data centre, and
+	// rejoinRotationDelay the time from its end until it sends callers there again.
 	leaveRotationDelay  = 2200 * time.Millisecond
 	rejoinRotationDelay = 1500 * time.Millisecond
 	// completionWindow is how long a run continues after the arrivals of programs end.
@@ -45,12 +45,12 @@
 	engines       map[string]*engine
 	plainTargets  map[string]*plainTarget
 	targetIDs     []string                 // in a fixed order, so that runs are reproducible
-	partitionedAt map[string]time.Duration // by data centre that is cut off now
-	healedAt      map[string]time.Duration // by data centre, end of its last partition
+	partitionedAt map[string]time.Duration // start of the current partition, by data centre
+	healedAt      map[string]time.Duration // end of the last partition, by data centre
 	result        *Result
 	seed          uint64
 	boards        boards // nil without load exchange
-	reporterCount uint64 // boards and reporters that have got an id
+	reporterCount uint64 // boards and reporters that have an ID
 }
 
 func newSimulation(fleet *Fleet, pattern *Pattern, policy Policy, seed uint64) *simulation {
@@ -96,7 +96,7 @@
 	return sim.targetInfo(targetID).DataCentre
 }
 
-// isPartitioned reports whether a partition separates two data centres.
+// isPartitioned reports whether two data centres are separated by a partition of either of them.
 func (sim *simulation) isPartitioned(a, b string) bool {
 	return a != b && (sim.isCutOff(a) || sim.isCutOff(b))
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// partition cuts a data centre off from the others.
+// partition separates a data centre from the others.
 func (sim *simulation) partition(dataCentre string) {
 	sim.partitionedAt[dataCentre] = sim.Now()
 	for _, h := range sim.hosts {
--- a/ctl/player/uneven_fleet_test.go
+++ b/ctl/player/uneven_fleet_test.go
@@ -65,8 +65,8 @@
 	return totals
 }
 
-// Engines of three speeds and many plain targets, of which 15 % are slow at any time and say
-// so in their load reports. With the choice by predicted finish more programs are in time,
+// Engines of three speeds and many plain targets, of which 15 % are slow at any time and report
+// it in their load reports. With the choice by predicted finish more programs are in time,
 // calls are shorter, few requests go to another data centre, and connections stay below 1.1
 // times those of the baseline, whether hosts get load reports with answers only or periodically
 // from all targets.
