--- a/ctl/capacity/capacity_test.go
+++ b/ctl/capacity/capacity_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// runPlatformOp executes an operation of the platform's object store; nil for a watch, which
-// never reports.
+// runPlatformOp executes an operation of the platform's object store and returns the reply, or
+// nil for a watch, which never gets one.
 func (h *benchHost) runPlatformOp(op host.PlatformOp) *host.PlatformReply {
 	reply := &host.PlatformReply{ID: op.ID}
 	object, found := h.objects[op.Key]
@@ -124,8 +124,8 @@
 	return reply
 }
 
-// declarationText returns a declaration with so many targets, callers and rules. No rule
-// matches.
+// declarationText returns a declaration with the given numbers of targets, callers and rules. No
+// rule matches.
 func declarationText(targets, callers, rules int) string {
 	var text strings.Builder
 	text.WriteString("[service \"llm\"]\nqueue_limit = 1000000\nrepeat_limit = 0\nidle_timeout = 23h\n")
@@ -163,7 +163,7 @@
 	}
 }
 
-// BenchmarkCallRules measures the same with rules that do not match.
+// BenchmarkCallRules measures one complete call with rules that do not match.
 func BenchmarkCallRules(b *testing.B) {
 	for _, rules := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("rules=%d", rules), func(b *testing.B) { benchmarkCall(b, 10, rules) })
--- a/ctl/capacity/fleet_test.go
+++ b/ctl/capacity/fleet_test.go
@@ -24,15 +24,15 @@
 	maxGrowthPower = 0.1
 )
 
-// hostCosts is what single hosts of a fleet hold and do.
+// hostCosts are the costs of single hosts of a fleet.
 type hostCosts struct {
-	// heldTargets is the maximum of targets that an entry host holds and gets changes of.
+	// heldTargets is the maximum number of targets that an entry host holds and gets changes of.
 	heldTargets float64
-	// probedByHost is the maximum of history hosts that an entry host probes, probedByMember
-	// the mean of those that a history host probes.
+	// probedByHost is the maximum number of history hosts that an entry host probes,
+	// probedByMember the mean number that a history host probes.
 	probedByHost, probedByMember float64
-	// maxFollowers is the number of hosts that learn the platform's state from the history host
-	// with the most such followers.
+	// maxFollowers is the largest number of hosts that follow one history host, that is, read
+	// the platform's state from it.
 	maxFollowers float64
 	// mapChangeBytes is the size of the slot map's delta that a host gets after a history host
 	// has joined.
@@ -51,7 +51,7 @@
 
 func dataCentreOf(i int) string { return fmt.Sprintf("dc%d", i%dataCentreCount) }
 
-// measureFleet returns the costs in a fleet with a number of hosts.
+// measureFleet returns the costs in a fleet with the given number of hosts.
 func measureFleet(t *testing.T, hosts int) hostCosts {
 	var costs hostCosts
 	slotMap := placement.New(toleratedFaults)
@@ -67,15 +67,15 @@
 	}
 	var targets []target
 	for i := range hosts * targetsPerHost {
-		listed := target{fmt.Sprintf("t%d", i), subset.Group{Service: fmt.Sprintf("s%d", i%2), DataCentre: dataCentreOf(i / 2)}}
-		targets = append(targets, listed)
-		index.Add(listed.Group)
+		next := target{fmt.Sprintf("t%d", i), subset.Group{Service: fmt.Sprintf("s%d", i%2), DataCentre: dataCentreOf(i / 2)}}
+		targets = append(targets, next)
+		index.Add(next.Group)
 	}
 	for i := range sampledHosts {
 		name, dataCentre := fmt.Sprintf("e%d", i), dataCentreOf(i)
 		held := 0
-		for _, listed := range targets {
-			if index.Holds(name, dataCentre, listed.Group, listed.id) {
+		for _, candidate := range targets {
+			if index.Holds(name, dataCentre, candidate.Group, candidate.id) {
 				held++
 			}
 		}
@@ -115,9 +115,9 @@
 	return len(d)
 }
 
-// The costs of a host do not grow with the fleet: from 1,000 to 4,000 hosts at most with the
+// The costs of a host must hardly grow with the fleet: from 1,000 to 4,000 hosts by at most the
 // power 0.1 of its size. Smaller fleets are measured only for the log: where a data centre has
-// few history hosts, more of them follow each other than the hosts they serve need.
+// few history hosts, more of them follow each other than its entry hosts require.
 func TestHostCostsDoNotGrowWithFleet(t *testing.T) {
 	sizes := []int{1000, 2000, 4000}
 	costs := map[int]map[string]float64{}
