--- a/ctl/replicas/cluster_test.go
+++ b/ctl/replicas/cluster_test.go
@@ -55,7 +55,7 @@
 // of the member that answers.
 const roundTripTime = 2 * time.Millisecond
 
-// tenMembers are the data centres of ten history hosts.
+// tenMembers are the data centres of a cluster of ten history hosts, for newCluster.
 var tenMembers = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
 
 // newCluster starts one history host for each entry of dataCentres; maxFaults is the number of
@@ -143,7 +143,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// memberByID returns the member with the given id, or nil.
+// memberByID returns the member with the given ID, or nil.
 func (c *cluster) memberByID(id string) *member {
 	for _, m := range c.members {
 		if m.id == id {
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -204,9 +204,9 @@
 	})
 }
 
-// A program whose requests arrive at another data centre than before finds its chain at a
-// replica that both data centres write to: only that replica and the nearest one are asked for
-// the chain.
+// If the requests of a program arrive at another data centre than before, the chain is read from
+// a replica that both data centres write to: only that replica and the nearest one are asked for
+// it.
 func TestChainIsFoundFromAnotherDataCentre(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		c := newCluster(t, 2, tenMembers...)
--- a/ctl/replicas/retention_test.go
+++ b/ctl/replicas/retention_test.go
@@ -12,7 +12,8 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// membersSentTurnAndReservation returns the members that were sent a turn of the program and a reservation.
+// membersSentTurnAndReservation returns the members that were sent both a turn of the program and
+// a reservation.
 func (c *cluster) membersSentTurnAndReservation(program string) (list []*member) {
 	sentTo := func(match func(*historypb.Record) bool) []*member {
 		return c.membersAsked(func(r *historypb.Request) bool {
--- a/ctl/replicas/traffic_test.go
+++ b/ctl/replicas/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/pistachioarch/pistachioarch/daemon/quorum"
 )
 
-// turnDriver runs turns as an entry host does, with ids and prompt parts as long as those of a
+// turnDriver runs turns as an entry host does, with IDs and prompt parts as long as those of a
 // deployment.
 type turnDriver struct {
 	t          *testing.T
--- a/ctl/replicas/write_test.go
+++ b/ctl/replicas/write_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// Writes go to all replicas of a slot that has only three of them, that a replica is joining,
-// that is crowded by a data centre, that spans or that is guarded.
+// Writes go to all replicas of a slot with only three of them, of one with a joining replica, and
+// of a crowded, spanning or guarded slot.
 func TestWriteGoesToAllReplicasWithoutQuorumFirst(t *testing.T) {
 	cases := map[string]struct {
 		maxFaults, wantReplicas int
