--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -86,14 +86,14 @@
 	entryHosts    []*entryHost
 	historyHosts  []*historyHost
 	retirements   *retirements
-	// crowded places h1 in the data centre of h0.
+	// crowded is set if h1 is in the data centre of h0.
 	crowded bool
 	// maxFaults is the number of disks that may be lost at once; 0 means 1.
 	maxFaults int
 	// customers are the customers in the configuration; if there are none, callers need no keys.
 	customers []routing.Customer
-	// requiresKeys is set if callers need keys; it bounds the delay of key removals on all hosts
-	// to maxRemovalDelay.
+	// requiresKeys is set if callers need keys; then the delay of key removals is bounded to
+	// maxRemovalDelay on all hosts.
 	requiresKeys bool
 	// seeds are the addresses of the initial history hosts.
 	seeds   []string
@@ -101,7 +101,7 @@
 	stops   sync.WaitGroup
 }
 
-// retirements is the operators' list of history hosts to retire.
+// retirements is the operators' list of history hosts to retire, with those that have completed.
 type retirements struct {
 	mu    sync.Mutex
 	hosts []string
@@ -182,17 +182,17 @@
 	return "dc" + name[1:]
 }
 
-// cutCrowdedDataCentre separates the data centre dc0 of a crowded cluster, which holds two
+// partitionCrowdedDataCentre separates the data centre dc0 of a crowded cluster, which holds two
 // history hosts, an entry host and targets, from all other hosts and from the platform, or
-// joins them again. Callers reach both sides.
-func (c *cluster) cutCrowdedDataCentre(cut bool) {
+// reconnects it if partitioned is false. Callers reach both sides.
+func (c *cluster) partitionCrowdedDataCentre(partitioned bool) {
 	inside := []string{"10.2.0.0", "10.2.0.1", "10.1.0.0", "10.3.7.0", "10.3.6.0"}
 	outside := []string{"10.2.0.2", "10.1.0.1", "10.1.0.2", "10.1.0.3", "10.3.7.1", "10.3.6.1", "10.3.7.2", "10.3.6.2"}
 	for _, a := range inside {
 		for _, b := range outside {
-			c.net.Cut(a, b, cut)
+			c.net.Cut(a, b, partitioned)
 		}
-		c.store.Cut(a, cut)
+		c.store.Cut(a, partitioned)
 	}
 }
 
@@ -205,15 +205,15 @@
 	h.stop, h.done = cancel, make(chan struct{})
 	store := c.store.At(h.ip)
 	self := placement.Member{ID: server.MemberID(), Host: h.name, Address: h.ip + ":1", DataCentre: c.dataCentre(h.name)}
-	keeper := history.NewController(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
-	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
+	controller := history.NewController(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
+	source := func() objects.Reader { return relay.NewSource(h.name, store, controller, logger()) }
 	relays := relay.NewServer(ctx, source, logger(),
 		relay.Kind{Name: configKind, WatchTimeout: c.configWatchTimeout(300 * time.Millisecond), ForwardConfirmations: c.requiresKeys}, relay.Kind{Name: targetKind, WatchTimeout: watchTimeout},
 		relay.Kind{Name: evacuationKind, WatchTimeout: watchTimeout}, relay.Kind{Name: history.MapKind, WatchTimeout: watchTimeout})
 	server.SetRelayHandler(relays.Handle)
 	go func() {
 		defer close(h.done)
-		keeper.Run(ctx, relays.Reader())
+		controller.Run(ctx, relays.Reader())
 	}()
 	go server.Sweep(ctx.Done())
 	go func() { _ = rpc.Serve(h.listener, server.Handle) }()
@@ -257,7 +257,7 @@
 	return s
 }
 
-// putTarget writes a target's entry to the platform's list of targets.
+// putTarget writes a target's object to the platform's store.
 func (c *cluster) putTarget(id, service, ip string, i int, draining bool) {
 	text, err := json.Marshal(balance.TargetInfo{ID: id, Service: service, Address: ip + ":80", DataCentre: fmt.Sprintf("dc%d", i), Capacity: 8, Draining: draining})
 	require.NoError(c.t, err)
@@ -265,9 +265,9 @@
 }
 
 func decodeTarget(id string, spec []byte) (balance.TargetInfo, error) {
-	var l balance.TargetInfo
-	err := json.Unmarshal(spec, &l)
-	return l, err
+	var info balance.TargetInfo
+	err := json.Unmarshal(spec, &info)
+	return info, err
 }
 
 // configSpec is the spec of the configuration object of the tests.
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -99,15 +99,16 @@
 }
 
 // isolateEntryHost separates an entry host from the platform and from all history hosts, or
-// joins them again. Callers and targets reach it all the time.
-func (c *cluster) isolateEntryHost(e *entryHost, cut bool) {
-	c.store.Cut(e.ip, cut)
+// reconnects it if isolated is false. It stays connected to callers and targets.
+func (c *cluster) isolateEntryHost(e *entryHost, isolated bool) {
+	c.store.Cut(e.ip, isolated)
 	for _, h := range c.historyHosts {
-		c.net.Cut(e.ip, h.ip, cut)
+		c.net.Cut(e.ip, h.ip, isolated)
 	}
 }
 
-// customerFault is a fault that is injected around a configuration change or under load.
+// customerFault is a fault that is injected before a configuration change or under load, and
+// repaired afterwards.
 type customerFault struct {
 	name   string
 	inject func(c *cluster)
@@ -165,7 +166,7 @@
 	// executed are the calls that targets ran, by customer.
 	executed map[string][]executedCall
 	// changedAt is the time of the operator's configuration change, repairedAt a time at which
-	// the fault has been over for a while, and duration the time for which load was sent.
+	// the fault has been repaired for a while, and duration the time for which load was sent.
 	changedAt, repairedAt time.Time
 	duration              time.Duration
 }
--- a/ctl/roles/evacuation_test.go
+++ b/ctl/roles/evacuation_test.go
@@ -11,9 +11,9 @@
 
 const (
 	// maxEvacuationDelay is the time after which hosts connected to the platform send nothing to
-	// an evacuated data centre; minContact is the time for which they must have been connected.
+	// an evacuated data centre; minConnectedTime is the time for which they must have been connected.
 	maxEvacuationDelay = 3 * time.Second
-	minContact         = 4 * time.Second
+	minConnectedTime   = 4 * time.Second
 )
 
 // evacuationOutcome is the result of an evacuation during a fault.
@@ -43,7 +43,7 @@
 		time.Sleep(5 * time.Second)
 		f.repair(c)
 		if o.effectiveAt = o.requestedAt.Add(maxEvacuationDelay); !f.staysConnected {
-			o.effectiveAt = time.Now().Add(minContact + maxEvacuationDelay)
+			o.effectiveAt = time.Now().Add(minConnectedTime + maxEvacuationDelay)
 		}
 		time.Sleep(time.Until(o.effectiveAt) + 3*time.Second)
 		o.revertedAt = time.Now()
--- a/ctl/roles/faults_test.go
+++ b/ctl/roles/faults_test.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	// clockJump is the distance of clock jumps: most of the extra time for which turns are
-	// stored beyond their retention.
+	// clockJump is the size of clock jumps: most of the extra time for which turns are stored
+	// beyond their retention.
 	clockJump = 12 * time.Second
 	// sweepDuration is long enough for history hosts to remove expired records.
 	sweepDuration = 6 * time.Second
@@ -221,40 +221,40 @@
 		wait(sweepDuration)
 	}},
 	{name: "crowded data centre partitioned", crowded: true, inject: func(c *cluster) {
-		c.cutCrowdedDataCentre(true)
+		c.partitionCrowdedDataCentre(true)
 		wait(5 * time.Second)
-		c.cutCrowdedDataCentre(false)
+		c.partitionCrowdedDataCentre(false)
 		wait(3 * time.Second)
 	}},
 	{name: "crowded data centre partitioned twice", crowded: true, inject: func(c *cluster) {
 		for range 2 {
-			c.cutCrowdedDataCentre(true)
+			c.partitionCrowdedDataCentre(true)
 			wait(3 * time.Second)
-			c.cutCrowdedDataCentre(false)
+			c.partitionCrowdedDataCentre(false)
 			wait(400 * time.Millisecond)
 		}
 		wait(3 * time.Second)
 	}},
 	{name: "outside replica's disk lost while crowded data centre is partitioned", crowded: true, inject: func(c *cluster) {
-		c.cutCrowdedDataCentre(true)
+		c.partitionCrowdedDataCentre(true)
 		wait(3 * time.Second)
 		h := c.killHistoryHost(2)
 		c.restartHistoryHost(&historyHost{name: h.name, ip: h.ip, dir: c.t.TempDir()})
 		wait(2 * time.Second)
-		c.cutCrowdedDataCentre(false)
+		c.partitionCrowdedDataCentre(false)
 		wait(4 * time.Second)
 	}},
 	{name: "outside replica's disk lost 200 ms after partition of crowded data centre healed", crowded: true, inject: func(c *cluster) {
-		c.cutCrowdedDataCentre(true)
+		c.partitionCrowdedDataCentre(true)
 		wait(3 * time.Second)
-		c.cutCrowdedDataCentre(false)
+		c.partitionCrowdedDataCentre(false)
 		wait(200 * time.Millisecond)
 		h := c.killHistoryHost(2)
 		c.restartHistoryHost(&historyHost{name: h.name, ip: h.ip, dir: c.t.TempDir()})
 		wait(4 * time.Second)
 	}},
 	{name: "all history hosts killed while crowded data centre is partitioned", crowded: true, inject: func(c *cluster) {
-		c.cutCrowdedDataCentre(true)
+		c.partitionCrowdedDataCentre(true)
 		wait(3 * time.Second)
 		for i := range c.historyHosts {
 			c.killHistoryHost(i)
@@ -263,17 +263,17 @@
 			c.restartHistoryHost(h)
 		}
 		wait(2 * time.Second)
-		c.cutCrowdedDataCentre(false)
+		c.partitionCrowdedDataCentre(false)
 		wait(3 * time.Second)
 	}},
 	{name: "platform down while crowded data centre is partitioned", crowded: true, inject: func(c *cluster) {
-		c.cutCrowdedDataCentre(true)
+		c.partitionCrowdedDataCentre(true)
 		wait(2 * time.Second)
 		c.store.SetDown(true)
 		wait(2 * time.Second)
 		c.store.SetDown(false)
 		wait(time.Second)
-		c.cutCrowdedDataCentre(false)
+		c.partitionCrowdedDataCentre(false)
 		wait(3 * time.Second)
 	}},
 	{name: "outside history host killed and restarted", crowded: true, inject: func(c *cluster) {
@@ -292,12 +292,13 @@
 	}},
 }
 
-// splitHistoryHosts partitions the history hosts into two halves, or joins them again.
-func (c *cluster) splitHistoryHosts(cut bool) {
+// splitHistoryHosts partitions the history hosts into two halves, or reconnects the halves if
+// partitioned is false.
+func (c *cluster) splitHistoryHosts(partitioned bool) {
 	for i, a := range c.historyHosts {
 		for j, b := range c.historyHosts {
 			if i%2 == 0 && j%2 == 1 {
-				c.net.Cut(a.ip, b.ip, cut)
+				c.net.Cut(a.ip, b.ip, partitioned)
 			}
 		}
 	}
--- a/ctl/roles/invariants_test.go
+++ b/ctl/roles/invariants_test.go
@@ -61,7 +61,7 @@
 	largeStart largeStartOutcome
 	// outageAttempt is a turn sent to an entry host that started during a platform outage.
 	outageAttempt attempt
-	// selectedCase, from the environment, limits the tables to the cases of this name.
+	// selectedCase is the value of ROLES_CASE; if it is set, only the cases of this name run.
 	selectedCase = os.Getenv("ROLES_CASE")
 )
 
@@ -72,7 +72,7 @@
 func runAllCases(t *testing.T) {
 	runOnce.Do(func() {
 		synctest.Test(t, func(t *testing.T) {
-			// Watches that wait at a relay end by themselves after history.MapWatch.
+			// Watches that wait at a relay end by themselves after history.MapWatchTimeout.
 			defer time.Sleep(history.MapWatchTimeout)
 			for _, fc := range allCases() {
 				if selectedCase == "" || selectedCase == fc.name {
@@ -212,7 +212,7 @@
 	})
 }
 
-func TestAlwaysNotRunStatusIsTrue(t *testing.T) {
+func TestAlwaysNotRunStatusMeansRequestDidNotRun(t *testing.T) {
 	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
 		for _, a := range o.attempts {
 			switch a.Status {
--- a/ctl/roles/partition_test.go
+++ b/ctl/roles/partition_test.go
@@ -33,16 +33,16 @@
 		work.Go(func() { k.runProgram(n, turnsPerProgram, stopTurns) })
 	}
 	time.Sleep(time.Second)
-	c.cutCrowdedDataCentre(true)
-	cutAt := time.Now()
+	c.partitionCrowdedDataCentre(true)
+	partitionedAt := time.Now()
 	time.Sleep(5 * time.Second)
-	healed := time.Now()
+	healedAt := time.Now()
 	o := &partitionOutcome{copiesDuringPartition: c.store.Names(history.PlatformCopyKind)}
-	c.cutCrowdedDataCentre(false)
+	c.partitionCrowdedDataCentre(false)
 	time.Sleep(3 * time.Second)
 	close(stopTurns)
 	work.Wait()
-	o.copiesAfterHealing, o.longestGap = c.store.Names(history.PlatformCopyKind), k.longestGap(cutAt, healed)
+	o.copiesAfterHealing, o.longestGap = c.store.Names(history.PlatformCopyKind), k.longestGap(partitionedAt, healedAt)
 	return o
 }
 
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -120,8 +120,8 @@
 	return idle
 }
 
-// Every history host must get slots. If one has none while others have twice their share, those
-// are slow to copy their slots after the loss of a disk.
+// Every history host must get slots. If one has none, others have twice their share and are slow
+// to copy their slots after the loss of a disk.
 func TestAllHistoryHostsGetSlotsWhenStartedTogether(t *testing.T) {
 	runAllCases(t)
 	if selectedCase == "" {
@@ -157,8 +157,8 @@
 const (
 	// largeHistoryHostCount is the number of history hosts that are started together.
 	largeHistoryHostCount = 48
-	// maxCallsPerHost is the bound on the mean number of platform calls of a starting host: a
-	// list and some watches of the slot map, two attempts to change it and some reads after those.
+	// maxCallsPerHost bounds the mean number of platform calls of a starting host: a list and
+	// some watches of the slot map, two attempts to change it and some reads after those.
 	maxCallsPerHost = 20
 )
 
