--- a/ctl/player/simulation.go
+++ b/ctl/player/simulation.go
@@ -222,12 +222,12 @@
 	Name    string // as FindPolicy takes it
 	Weights balance.Weights
 	Limits  dispatch.Limits
-	// RunRecords: hosts get from history hosts which targets ran the turns of a program, also
-	// of turns sent by other hosts.
+	// RunRecords is set if hosts get from history hosts which targets ran the turns of a
+	// program, also those of turns that other hosts sent.
 	RunRecords bool
-	// HedgeCalls: idempotent calls without an answer after the hedge delay are sent a second
-	// time.
+	// HedgeCalls is set if idempotent calls without an answer after the hedge delay are sent a
+	// second time.
 	HedgeCalls bool
-	// ExchangeLoads: hosts exchange their observations of targets through boards.
+	// ExchangeLoads is set if hosts exchange their observations of targets through boards.
 	ExchangeLoads bool
 }
