--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -39,9 +39,10 @@
 	// retention is short enough that history hosts with clock jumps could drop records that are
 	// still needed.
 	retention = 3 * time.Second
-	// budget is more than a program of the tests needs; loopBudget stops a looping program after
-	// a few turns.
-	budget, loopBudget     = 20_000, 200
+	// budget, in tokens, is more than a program of the tests needs; loopBudget stops a looping
+	// program after a few turns.
+	budget, loopBudget = 20_000, 200
+	// maxTokens is the maximum output that a turn requests, eventTokens the output per event.
 	maxTokens, eventTokens = 30, 3
 )
 
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -210,8 +210,8 @@
 	})
 }
 
-// Quotas of runQuotaCase: customer hot sends calls at eight times its rate, customer calm at
-// five eighths of its rate.
+// Quotas of runQuotaCase, in calls per second and calls: customer hot sends calls at eight times
+// its rate, customer calm at five eighths of its rate.
 const (
 	hotRate, hotBurst = 20, 20
 	calmRate          = 16
--- a/ctl/roles/partition_test.go
+++ b/ctl/roles/partition_test.go
@@ -12,7 +12,7 @@
 	"github.com/pistachioarch/pistachioarch/daemon/history"
 )
 
-// maxTurnGap is the longest time during a partition in which no turn may complete.
+// maxTurnGap bounds the time during a partition in which no turn completes.
 const maxTurnGap = 1500 * time.Millisecond
 
 // partitionOutcome is the result of a partition of the crowded data centre. The copies are the
