--- a/daemon/history/controller.go
+++ b/daemon/history/controller.go
@@ -72,9 +72,11 @@
 	retryDelay  time.Duration // between attempts at a map update
 	probeCursor int           // index in the sorted IDs of the member that the coordinator probed last
 
-	mu                  sync.Mutex
-	mapRevision         uint64 // of the map object; 0 if the object does not exist
-	mapKnown            bool   // whether the map object, or its absence, has been read
+	mu          sync.Mutex
+	mapRevision uint64 // of the map object; 0 if the object does not exist
+	mapKnown    bool   // whether the map object, or its absence, has been read
+
+	// Used by reconcile only, without mu.
 	reportedRetirements map[string]bool
 	// admissionRequestedAt is when this member last asked another one to admit it.
 	admissionRequestedAt time.Time
--- a/daemon/history/state.go
+++ b/daemon/history/state.go
@@ -47,7 +47,8 @@
 	return held
 }
 
-// State is a dump of a history host for operators. It holds no content of turns.
+// State is a dump of a history host for operators. Member is the member's ID, Epoch that of the
+// slot map in use. The dump holds no content of turns.
 type State struct {
 	Member       string `json:"member"`
 	Epoch        uint64 `json:"epoch"`
