--- a/ctl/always/always_test.go
+++ b/ctl/always/always_test.go
@@ -182,7 +182,7 @@
 	for name, e := range c.engines {
 		o.calls[name] = e.Calls()
 		if c.net.Listening(enginePlace(name) + ":80") {
-			o.cached[name] = e.Cached()
+			o.cached[name] = e.CachedPrograms()
 		}
 	}
 	for name, n := range c.live() {
--- a/ctl/always/cluster_test.go
+++ b/ctl/always/cluster_test.go
@@ -75,7 +75,7 @@
 	c.serve(servicePlace, c.service.Handler())
 	for _, name := range engineNames {
 		c.engines[name] = standin.NewEngine(standin.EngineConfig{
-			Batch: 4, CacheTokens: 4000, OutputTokens: 12, Prefill: 20 * time.Microsecond, Decode: 5 * time.Millisecond,
+			BatchSize: 4, CacheTokens: 4000, OutputTokens: 12, PrefillPerToken: 20 * time.Microsecond, DecodePerToken: 5 * time.Millisecond,
 			ChecksFencing: name != "e3", ReportLag: 500 * time.Millisecond,
 		})
 		c.serve(enginePlace(name), c.engines[name].Handler())
--- a/ctl/always/faults_test.go
+++ b/ctl/always/faults_test.go
@@ -115,12 +115,12 @@
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "replies of writes lost", inject: func(c *cluster) {
-		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 3})
+		c.platform.SetFaults(standin.PlatformFaults{LoseReplyEvery: 3})
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "stale reads", inject: func(c *cluster) {
-		c.platform.SetFaults(standin.PlatformFaults{StaleReads: 2})
+		c.platform.SetFaults(standin.PlatformFaults{StaleReadEvery: 2})
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
@@ -161,7 +161,7 @@
 		wait(firstFault)
 		c.stopServer(enginePlace("e1"))
 		wait(time.Second)
-		c.engines["e1"].Restart()
+		c.engines["e1"].ClearCache()
 		c.serve(enginePlace("e1"), c.engines["e1"].Handler())
 	}},
 	{name: "target hangs", inject: func(c *cluster) {
@@ -171,11 +171,11 @@
 		c.engines["e1"].SetFaults(standin.EngineFaults{})
 	}},
 	{name: "answers broken off", inject: func(c *cluster) {
-		c.engines["e1"].SetFaults(standin.EngineFaults{Break: 5})
-		c.engines["e3"].SetFaults(standin.EngineFaults{Break: 7})
+		c.engines["e1"].SetFaults(standin.EngineFaults{BreakEvery: 5})
+		c.engines["e3"].SetFaults(standin.EngineFaults{BreakEvery: 7})
 	}},
 	{name: "answers crossed", inject: func(c *cluster) {
-		c.engines["e1"].SetFaults(standin.EngineFaults{Cross: 6})
+		c.engines["e1"].SetFaults(standin.EngineFaults{CrossEvery: 6})
 	}},
 	{name: "target refuses", inject: func(c *cluster) {
 		c.engines["e1"].SetFaults(standin.EngineFaults{Refuse: true})
@@ -184,7 +184,7 @@
 	}},
 	{name: "orders to targets lost and cache reports with gaps", inject: func(c *cluster) {
 		for _, e := range c.engines {
-			e.SetFaults(standin.EngineFaults{LoseOrders: 2, HideCache: 3})
+			e.SetFaults(standin.EngineFaults{FailReleaseEvery: 2, HideCacheEvery: 3})
 		}
 		wait(20 * time.Second)
 	}},
@@ -194,7 +194,7 @@
 		c.kill("h1")
 	}},
 	{name: "plain service loses replies", unknownOrders: 16, inject: func(c *cluster) {
-		c.service.SetFaults(standin.ServiceFaults{LoseReply: 2})
+		c.service.SetFaults(standin.ServiceFaults{LoseReplyEvery: 2})
 	}},
 	{name: "plain service refuses", unknownOrders: 0, inject: func(c *cluster) {
 		c.service.SetFaults(standin.ServiceFaults{Refuse: true})
@@ -223,14 +223,14 @@
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "replies lost and a host killed", unknownOrders: 8, inject: func(c *cluster) {
-		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 2})
+		c.platform.SetFaults(standin.PlatformFaults{LoseReplyEvery: 2})
 		wait(firstFault)
 		c.kill("h1")
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "stale reads and a host killed", unknownOrders: 8, inject: func(c *cluster) {
-		c.platform.SetFaults(standin.PlatformFaults{StaleReads: 2})
+		c.platform.SetFaults(standin.PlatformFaults{StaleReadEvery: 2})
 		wait(firstFault)
 		c.kill("h1")
 		wait(30 * time.Second)
@@ -253,7 +253,7 @@
 		c.stopping.Wait()
 	}},
 	{name: "lost replies and operators racing in a slow platform", inject: func(c *cluster) {
-		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 2, SlowMS: 100})
+		c.platform.SetFaults(standin.PlatformFaults{LoseReplyEvery: 2, SlowMS: 100})
 		go c.apply("e2", "racer")
 		c.apply("e2", "other racer")
 		wait(10 * time.Second)
--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -41,7 +41,7 @@
 }
 
 func newBed(b *testing.B) *bed {
-	engine := standin.NewEngine(standin.EngineConfig{Batch: 4096, CacheTokens: 1 << 40, OutputTokens: 1, Prefill: 1, Decode: 1})
+	engine := standin.NewEngine(standin.EngineConfig{BatchSize: 4096, CacheTokens: 1 << 40, OutputTokens: 1, PrefillPerToken: 1, DecodePerToken: 1})
 	plat := httptest.NewServer(standin.NewPlatform().Handler())
 	eng := httptest.NewServer(engine.Handler())
 	b.Cleanup(plat.Close)
--- a/ctl/command/standin.go
+++ b/ctl/command/standin.go
@@ -79,7 +79,7 @@
 // Execute implements flags.Commander.
 func (c *standinEngine) Execute([]string) error {
 	return c.serve(standin.NewEngine(standin.EngineConfig{
-		Batch: c.Batch, CacheTokens: c.Cache, Prefill: c.Prefill, Decode: c.Decode, OutputTokens: c.Tokens,
+		BatchSize: c.Batch, CacheTokens: c.Cache, PrefillPerToken: c.Prefill, DecodePerToken: c.Decode, OutputTokens: c.Tokens,
 		ReportLag: c.ReportLag, ChecksFencing: !c.NoFencing,
 	}).Handler())
 }
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -192,7 +192,7 @@
 		for _, b := range outside {
 			c.net.Cut(a, b, cut)
 		}
-		c.store.Cut(a, cut)
+		c.store.SetPartitioned(a, cut)
 	}
 }
 
@@ -203,7 +203,7 @@
 	h.listener = c.net.Listen(h.ip + ":1")
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop, h.done = cancel, make(chan struct{})
-	store := c.store.At(h.ip)
+	store := c.store.ViewFrom(h.ip)
 	self := placement.Member{ID: server.Member(), Host: h.name, Address: h.ip + ":1", DataCentre: c.dataCentre(h.name)}
 	keeper := history.NewKeeper(server, store, self, max(1, c.maxFaults), c.retirements, vnet.Dialer{Net: c.net, From: h.ip}, logger())
 	source := func() objects.Reader { return relay.NewSource(h.name, store, keeper, logger()) }
@@ -243,7 +243,7 @@
 }
 
 func (c *cluster) startTarget(service string, i int) *standin.TurnEngine {
-	e := &standin.TurnEngine{ID: fmt.Sprintf("%s-%d", service, i), Places: 8, Events: 5, Step: 20 * time.Millisecond}
+	e := &standin.TurnEngine{ID: fmt.Sprintf("%s-%d", service, i), Capacity: 8, Events: 5, EventDelay: 20 * time.Millisecond}
 	ip := fmt.Sprintf("10.3.%d.%d", len(service), i)
 	c.targetServers[e.ID] = c.serve(ip, e)
 	c.putTarget(e.ID, service, ip, i, false)
@@ -323,7 +323,7 @@
 		KeyRules: c.keyRules(), QuotaTolerance: quotaTolerance,
 	})
 	e.stop = cancel
-	store := c.store.At(e.ip)
+	store := c.store.ViewFrom(e.ip)
 	source := func() *relay.Source {
 		return relay.NewSource(e.name, store, e.historyClient.AssignedPeers(), logger()).WithStartTimeout(relay.MembersStartTimeout)
 	}
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -101,7 +101,7 @@
 // isolateEntryHost separates an entry host from the platform and from all history hosts, or
 // joins them again. Callers and targets reach it all the time.
 func (c *cluster) isolateEntryHost(e *entryHost, cut bool) {
-	c.store.Cut(e.ip, cut)
+	c.store.SetPartitioned(e.ip, cut)
 	for _, h := range c.historyHosts {
 		c.net.Cut(e.ip, h.ip, cut)
 	}
@@ -122,17 +122,17 @@
 	{"entry host isolated from platform and history hosts", func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], true) }, func(c *cluster) { c.isolateEntryHost(c.entryHosts[0], false) }, false},
 	{"platform unreachable from all hosts but one history host", func(c *cluster) {
 		for _, e := range c.entryHosts {
-			c.store.Cut(e.ip, true)
+			c.store.SetPartitioned(e.ip, true)
 		}
 		for _, h := range c.historyHosts[1:] {
-			c.store.Cut(h.ip, true)
+			c.store.SetPartitioned(h.ip, true)
 		}
 	}, func(c *cluster) {
 		for _, e := range c.entryHosts {
-			c.store.Cut(e.ip, false)
+			c.store.SetPartitioned(e.ip, false)
 		}
 		for _, h := range c.historyHosts {
-			c.store.Cut(h.ip, false)
+			c.store.SetPartitioned(h.ip, false)
 		}
 	}, false},
 	{"one history host killed and restarted", func(c *cluster) {
--- a/ctl/roles/faults_test.go
+++ b/ctl/roles/faults_test.go
@@ -104,12 +104,12 @@
 	}},
 	{name: "history host replaced while frozen, then resumed", inject: func(c *cluster) {
 		c.net.Freeze("10.2.0.1", true)
-		c.store.Cut("10.2.0.1", true)
+		c.store.SetPartitioned("10.2.0.1", true)
 		c.startHistoryHost(&historyHost{name: "h9", ip: "10.2.0.9", dir: c.t.TempDir()})
 		wait(6 * time.Second)
 		c.net.Freeze("10.2.0.1", false)
 		wait(time.Second)
-		c.store.Cut("10.2.0.1", false)
+		c.store.SetPartitioned("10.2.0.1", false)
 	}},
 	{name: "history hosts partitioned into halves", inject: func(c *cluster) {
 		c.splitHistoryHosts(true)
@@ -156,7 +156,7 @@
 		h := c.killHistoryHost(0)
 		h.dir = c.t.TempDir()
 		c.restartHistoryHost(h)
-		c.store.Forget()
+		c.store.DropHistory()
 		wait(3 * time.Second)
 	}},
 	{name: "history host retired", inject: func(c *cluster) {
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -22,12 +22,12 @@
 	{"no fault", func(*cluster) {}},
 	{"platform unreachable from entry hosts", func(c *cluster) {
 		for _, e := range c.entryHosts {
-			c.store.Cut(e.ip, true)
+			c.store.SetPartitioned(e.ip, true)
 		}
 	}},
 	{"platform unreachable from history hosts", func(c *cluster) {
 		for _, h := range c.historyHosts {
-			c.store.Cut(h.ip, true)
+			c.store.SetPartitioned(h.ip, true)
 		}
 	}},
 	{"all history hosts frozen", func(c *cluster) {
@@ -40,7 +40,7 @@
 			c.killHistoryHost(i)
 		}
 	}},
-	{"platform loses its watch history", func(c *cluster) { c.store.Forget() }},
+	{"platform loses its watch history", func(c *cluster) { c.store.DropHistory() }},
 }
 
 // relayOutcome is the result of one of relayCases.
--- a/ctl/standin/engine.go
+++ b/ctl/standin/engine.go
@@ -17,35 +17,35 @@
 
 // EngineConfig is the size and speed of an Engine.
 type EngineConfig struct {
-	Batch         int           // calls run at once
-	CacheTokens   int64         // size of the prefix cache
-	Prefill       time.Duration // per prompt token that is not cached
-	Decode        time.Duration // per output token
-	OutputTokens  int64         // of an answer, if the request allows as many
-	ChecksFencing bool
-	ReportLag     time.Duration // age of load reports
+	BatchSize       int           // calls run at once
+	CacheTokens     int64         // size of the prefix cache
+	PrefillPerToken time.Duration // per prompt token that is not cached
+	DecodePerToken  time.Duration // per output token
+	OutputTokens    int64         // of an answer, if the request allows as many
+	ChecksFencing   bool
+	ReportLag       time.Duration // age of load reports
 }
 
 // EngineFaults are the switches of an Engine.
 type EngineFaults struct {
 	// Refuse answers 503 with the proof that nothing was started.
 	Refuse bool `json:"refuse"`
-	// Break breaks the connection in the middle of each n-th answer.
-	Break int `json:"break"`
+	// BreakEvery breaks the connection in the middle of each n-th answer.
+	BreakEvery int `json:"break"`
 	// Freeze lets every request hang.
 	Freeze bool `json:"freeze"`
 	// SlowMS delays every answer.
 	SlowMS int64 `json:"slow_ms"`
-	// Cross sends each n-th call the answer, with its call id, of the one
+	// CrossEvery sends each n-th call the answer, with its call id, of the one
 	// before it.
-	Cross int `json:"cross"`
-	// LoseOrders answers each n-th order (release) with an error after doing
+	CrossEvery int `json:"cross"`
+	// FailReleaseEvery answers each n-th order (release) with an error after doing
 	// nothing.
-	LoseOrders int `json:"lose_orders"`
-	// HideCache leaves each n-th program out of the cache report.
-	HideCache int `json:"hide_cache"`
-	// LateMS adds to the age of load reports.
-	LateMS int64 `json:"late_ms"`
+	FailReleaseEvery int `json:"lose_orders"`
+	// HideCacheEvery leaves each n-th program out of the cache report.
+	HideCacheEvery int `json:"hide_cache"`
+	// ExtraReportLagMS adds to the age of load reports.
+	ExtraReportLagMS int64 `json:"late_ms"`
 	// IgnoreFencing accepts old fencing tokens.
 	IgnoreFencing bool `json:"ignore_fencing"`
 }
@@ -92,8 +92,8 @@
 
 // NewEngine returns an idle engine.
 func NewEngine(cfg EngineConfig) *Engine {
-	if cfg.Batch == 0 {
-		cfg.Batch = 8
+	if cfg.BatchSize == 0 {
+		cfg.BatchSize = 8
 	}
 	if cfg.CacheTokens == 0 {
 		cfg.CacheTokens = 120_000
@@ -126,15 +126,15 @@
 	return slices.Clone(e.calls)
 }
 
-// Cached returns the programs whose cache is kept.
-func (e *Engine) Cached() []string {
+// CachedPrograms returns the programs whose cache is kept.
+func (e *Engine) CachedPrograms() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.order)
 }
 
-// Restart forgets the cache, as a new process would.
-func (e *Engine) Restart() {
+// ClearCache forgets the cache, as a new process would.
+func (e *Engine) ClearCache() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache, e.order = map[string]int64{}, nil
@@ -180,9 +180,9 @@
 	return e.counted[what]%n == 0
 }
 
-// Tokens is the number of tokens the stand-ins count in a text: one for every
+// CountTokens is the number of tokens the stand-ins count in a text: one for every
 // four bytes, and no more than there are bytes.
-func Tokens(text string) int64 { return int64(len(text)+3) / 4 }
+func CountTokens(text string) int64 { return int64(len(text)+3) / 4 }
 
 // Digest is what the engine says of a conversation, so that its client can
 // verify that the whole history came, and no other.
@@ -201,7 +201,7 @@
 
 func answerPieces(messages []api.Message, tokens int64) []string {
 	pieces := []string{"digest=" + Digest(messages)}
-	for i := Tokens(pieces[0]); i < tokens; i++ {
+	for i := CountTokens(pieces[0]); i < tokens; i++ {
 		pieces = append(pieces, " abc") // one token
 	}
 	return pieces
@@ -249,7 +249,7 @@
 	e.mu.Lock()
 	e.queued++
 	e.noteLoad()
-	for e.running >= e.cfg.Batch {
+	for e.running >= e.cfg.BatchSize {
 		room := e.room
 		e.mu.Unlock()
 		select {
@@ -282,22 +282,22 @@
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, c *target.Completion, epoch uint64) {
 	prompt := int64(0)
 	for _, m := range c.Messages {
-		prompt += Tokens(m.Content)
+		prompt += CountTokens(m.Content)
 	}
 	output := min(e.cfg.OutputTokens, c.MaxTokens)
 	id := r.Header.Get(target.CallHeader)
 	number, cached := e.begin(id, c.Program, epoch, prompt)
 	e.mu.Lock()
-	breaks := e.each("break", e.faults.Break)
+	breaks := e.each("break", e.faults.BreakEvery)
 	slow := time.Duration(e.faults.SlowMS) * time.Millisecond
 	pieces := answerPieces(c.Messages, output)
-	if e.each("cross", e.faults.Cross) && e.lastID != "" {
+	if e.each("cross", e.faults.CrossEvery) && e.lastID != "" {
 		id, pieces, e.lastID, e.lastPieces = e.lastID, e.lastPieces, id, pieces
 	} else {
 		e.lastID, e.lastPieces = id, pieces
 	}
 	e.mu.Unlock()
-	if !pause(r.Context(), slow+e.cfg.Prefill*time.Duration(prompt-cached)) {
+	if !pause(r.Context(), slow+e.cfg.PrefillPerToken*time.Duration(prompt-cached)) {
 		return
 	}
 	out := json.NewEncoder(&sse{w})
@@ -306,7 +306,7 @@
 		if breaks && i > 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if !pause(r.Context(), e.cfg.Decode) {
+		if !pause(r.Context(), e.cfg.DecodePerToken) {
 			return
 		}
 		_ = out.Encode(target.CompletionChunk{ID: id, Choices: []target.CompletionDelta{{Delta: api.Message{Role: "assistant", Content: piece}}}})
--- a/ctl/standin/engine_cache.go
+++ b/ctl/standin/engine_cache.go
@@ -36,7 +36,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.each("orders", e.faults.LoseOrders) {
+	if e.each("orders", e.faults.FailReleaseEvery) {
 		http.Error(w, "lost", http.StatusInternalServerError)
 		return
 	}
@@ -58,7 +58,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var last target.Load
-	limit := time.Now().Add(-e.cfg.ReportLag - time.Duration(e.faults.LateMS)*time.Millisecond)
+	limit := time.Now().Add(-e.cfg.ReportLag - time.Duration(e.faults.ExtraReportLagMS)*time.Millisecond)
 	n := 0
 	for n < len(e.load) && !e.load[n].at.After(limit) {
 		last = e.load[n].load
@@ -74,7 +74,7 @@
 	defer e.mu.Unlock()
 	var programs []string
 	for _, p := range e.order {
-		if !e.each("hide", e.faults.HideCache) {
+		if !e.each("hide", e.faults.HideCacheEvery) {
 			programs = append(programs, p)
 		}
 	}
--- a/ctl/standin/objects.go
+++ b/ctl/standin/objects.go
@@ -40,8 +40,8 @@
 	return &Objects{kinds: map[string]map[string]objects.Object{}, changed: make(chan struct{}), cut: map[string]bool{}, calls: map[string]int{}}
 }
 
-// At is the store as the host at a place sees it.
-func (s *Objects) At(place string) objects.Store { return &objectsAt{s, place} }
+// ViewFrom is the store as the host at a place sees it.
+func (s *Objects) ViewFrom(place string) objects.Store { return &objectsAt{s, place} }
 
 // SetDown lets every call fail, or serves again.
 func (s *Objects) SetDown(down bool) {
@@ -51,8 +51,8 @@
 	s.wake()
 }
 
-// Cut turns the calls from a place away, or serves them again.
-func (s *Objects) Cut(place string, on bool) {
+// SetPartitioned turns the calls from a place away, or serves them again.
+func (s *Objects) SetPartitioned(place string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[place] = on
@@ -73,8 +73,8 @@
 	s.loseNext = n
 }
 
-// Forget drops the history: watches from before get HistoryGone.
-func (s *Objects) Forget() {
+// DropHistory drops the history: watches from before get HistoryGone.
+func (s *Objects) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.revision
--- a/ctl/standin/platform.go
+++ b/ctl/standin/platform.go
@@ -21,11 +21,11 @@
 	Down bool `json:"down"`
 	// SlowMS delays every request.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseReply loses the reply of each n-th write after it took effect; 0 = never.
-	LoseReply int `json:"lose_reply"`
-	// StaleReads answers each n-th read from the state before the last write
+	// LoseReplyEvery loses the reply of each n-th write after it took effect; 0 = never.
+	LoseReplyEvery int `json:"lose_reply"`
+	// StaleReadEvery answers each n-th read from the state before the last write
 	// of the object.
-	StaleReads int `json:"stale_reads"`
+	StaleReadEvery int `json:"stale_reads"`
 	// StuckWatch leaves watches without an answer until they time out.
 	StuckWatch bool `json:"stuck_watch"`
 }
@@ -186,11 +186,11 @@
 
 // stale reports whether this read is to be answered from the past.
 func (p *Platform) stale() bool {
-	if p.faults.StaleReads == 0 {
+	if p.faults.StaleReadEvery == 0 {
 		return false
 	}
 	p.reads++
-	return p.reads%p.faults.StaleReads == 0
+	return p.reads%p.faults.StaleReadEvery == 0
 }
 
 func setETag(w http.ResponseWriter, version uint64) {
@@ -260,11 +260,11 @@
 }
 
 func (p *Platform) losesReply() bool {
-	if p.faults.LoseReply == 0 {
+	if p.faults.LoseReplyEvery == 0 {
 		return false
 	}
 	p.writes++
-	return p.writes%p.faults.LoseReply == 0
+	return p.writes%p.faults.LoseReplyEvery == 0
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
--- a/ctl/standin/service.go
+++ b/ctl/standin/service.go
@@ -15,8 +15,8 @@
 type ServiceFaults struct {
 	// Refuse answers 503 with the proof that nothing was started.
 	Refuse bool `json:"refuse"`
-	// LoseReply loses each n-th reply after the order was executed.
-	LoseReply int `json:"lose_reply"`
+	// LoseReplyEvery loses each n-th reply after the order was executed.
+	LoseReplyEvery int `json:"lose_reply"`
 	// Freeze lets every request hang after it was executed.
 	Freeze bool `json:"freeze"`
 	// SlowMS delays the reply.
@@ -93,7 +93,7 @@
 	id := r.Header.Get(target.CallHeader)
 	s.orders = append(s.orders, Order{Call: id, Body: body})
 	s.count++
-	lose := f.LoseReply > 0 && s.count%f.LoseReply == 0
+	lose := f.LoseReplyEvery > 0 && s.count%f.LoseReplyEvery == 0
 	s.mu.Unlock()
 	if f.Freeze {
 		<-r.Context().Done()
--- a/ctl/standin/turnengine.go
+++ b/ctl/standin/turnengine.go
@@ -26,11 +26,11 @@
 type TurnEngine struct {
 	// ID is its identity; a request that names another is refused.
 	ID string
-	// Places is how many requests run at once; more are refused as not run.
-	Places int
+	// Capacity is how many requests run at once; more are refused as not run.
+	Capacity int
 	// Events is the number of events in a stream, Step the time to each.
-	Events int
-	Step   time.Duration
+	Events     int
+	EventDelay time.Duration
 
 	mu     sync.Mutex
 	active int
@@ -74,7 +74,7 @@
 	}
 	defer e.end()
 	if lost {
-		time.Sleep(e.Step)
+		time.Sleep(e.EventDelay)
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(ownheaders.Signature, "s-"+id)
@@ -88,7 +88,7 @@
 func (e *TurnEngine) begin(run Run) (lost, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.active >= e.Places {
+	if e.active >= e.Capacity {
 		return false, false
 	}
 	e.active++
@@ -108,7 +108,7 @@
 
 func (e *TurnEngine) plain(w http.ResponseWriter, r *http.Request, id string) {
 	select {
-	case <-time.After(e.Step):
+	case <-time.After(e.EventDelay):
 	case <-r.Context().Done():
 		return
 	}
@@ -124,7 +124,7 @@
 	flush := http.NewResponseController(w)
 	for i := after + 1; i <= e.Events; i++ {
 		select {
-		case <-time.After(e.Step):
+		case <-time.After(e.EventDelay):
 		case <-r.Context().Done():
 			return
 		}
--- a/ctl/system/api_test.go
+++ b/ctl/system/api_test.go
@@ -51,7 +51,7 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	x := &fixture{t: t, engine: standin.NewEngine(standin.EngineConfig{OutputTokens: 12, Decode: time.Microsecond}), service: standin.NewService()}
+	x := &fixture{t: t, engine: standin.NewEngine(standin.EngineConfig{OutputTokens: 12, DecodePerToken: time.Microsecond}), service: standin.NewService()}
 	serve := func(h http.Handler) string {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
@@ -219,7 +219,7 @@
 		require.NoError(t, ask(desk, q.Program, n, fmt.Sprint("turn ", n), 20))
 	}
 	assert.True(t, failure.Is(ask(desk, q.Program, 6, "one more", 20), failure.TurnLimit))
-	assert.Eventually(t, func() bool { return len(x.engine.Cached()) == 0 }, settled, 10*time.Millisecond, "ended programs hold no cache")
+	assert.Eventually(t, func() bool { return len(x.engine.CachedPrograms()) == 0 }, settled, 10*time.Millisecond, "ended programs hold no cache")
 }
 
 func TestBudgetIsKeptWithSubAgents(t *testing.T) {
