--- a/ctl/standin/doc.go
+++ b/ctl/standin/doc.go
@@ -1,9 +1,9 @@
-// Package standin holds small stand-ins for what pistachioarch meets: the
-// platform's object API, a model engine, a plain service. They speak the
-// published protocols, keep what they saw for later checks, and have faults that
-// a person or a test can switch while they run:
+// Package standin provides test doubles of the external systems that pistachioarch
+// talks to: the platform's object API, a model engine and a plain service. They
+// serve the published protocols, record what they received for later checks, and
+// have faults that an operator or a test can change while they run:
 //
-//	GET  /faults          the switches
+//	GET  /faults          returns the active faults (JSON)
 //	PUT  /faults          replaces them (JSON)
-//	PUT  /faults/die      ends the process at once (pistachioctl standin)
+//	PUT  /faults/die      ends the process at once (only in pistachioctl standin)
 package standin
--- a/ctl/standin/engine.go
+++ b/ctl/standin/engine.go
@@ -15,77 +15,81 @@
 	"github.com/pistachioarch/pistachioarch/wire/target"
 )
 
-// EngineConfig is the size and speed of an Engine.
+// EngineConfig sets the capacity and speed of an Engine.
 type EngineConfig struct {
-	BatchSize       int           // calls run at once
-	CacheTokens     int64         // size of the prefix cache
-	PrefillPerToken time.Duration // per prompt token that is not cached
-	DecodePerToken  time.Duration // per output token
-	OutputTokens    int64         // of an answer, if the request allows as many
-	ChecksFencing   bool
+	BatchSize       int           // calls that run at once; 0 means 8
+	CacheTokens     int64         // size of the prefix cache, in tokens; 0 means 120,000
+	PrefillPerToken time.Duration // time per prompt token that is not cached
+	DecodePerToken  time.Duration // time per output token
+	OutputTokens    int64         // length of an answer, bounded by the request; 0 means 16
+	ChecksFencing   bool          // refuses requests with an old fencing token
 	ReportLag       time.Duration // age of load reports
 }
 
-// EngineFaults are the switches of an Engine.
+// EngineFaults are the faults that an Engine can show. In fields that select each
+// n-th event, 0 means never.
 type EngineFaults struct {
-	// Refuse answers 503 with the proof that nothing was started.
+	// Refuse answers calls with 503 and the header that states that the call was
+	// not started.
 	Refuse bool `json:"refuse"`
 	// BreakEvery breaks the connection in the middle of each n-th answer.
 	BreakEvery int `json:"break"`
-	// Freeze lets every request hang.
+	// Freeze leaves every request without an answer.
 	Freeze bool `json:"freeze"`
-	// SlowMS delays every answer.
+	// SlowMS is the delay added to every answer, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// CrossEvery sends each n-th call the answer, with its call id, of the one
-	// before it.
+	// CrossEvery answers each n-th call with the answer and the call id of the
+	// call before it.
 	CrossEvery int `json:"cross"`
-	// FailReleaseEvery answers each n-th order (release) with an error after doing
-	// nothing.
+	// FailReleaseEvery answers each n-th cache release with an error and leaves
+	// the cache as it is.
 	FailReleaseEvery int `json:"lose_orders"`
-	// HideCacheEvery leaves each n-th program out of the cache report.
+	// HideCacheEvery omits each n-th program from the cache report.
 	HideCacheEvery int `json:"hide_cache"`
-	// ExtraReportLagMS adds to the age of load reports.
+	// ExtraReportLagMS is added to the age of load reports, in milliseconds.
 	ExtraReportLagMS int64 `json:"late_ms"`
 	// IgnoreFencing accepts old fencing tokens.
 	IgnoreFencing bool `json:"ignore_fencing"`
 }
 
-// EngineCall is what an Engine saw of one call that it started.
+// EngineCall is the record of one call that an Engine started. Its field names are
+// keys of the JSON that GET /v1/calls returns.
 type EngineCall struct {
-	ID       string
+	ID       string // as received from the host
 	Program  string
-	Sequence int
-	Epoch    uint64
-	At       time.Time
-	Done     bool
-	Prompt   int64
-	Output   int64
+	Sequence int       // second part of ID; -1 if ID does not have three
+	Epoch    uint64    // of the fencing token; 0 without one
+	At       time.Time // start
+	Done     bool      // ran to its end
+	Prompt   int64     // tokens
+	Output   int64     // tokens; 0 until Done
 }
 
-// Engine is a stand-in for a model engine with continuous batching and a
-// limited prefix cache.
+// Engine is a stand-in for a model engine with continuous batching and a prefix
+// cache of limited size.
 type Engine struct {
 	cfg EngineConfig
 
-	mu      sync.Mutex
-	faults  EngineFaults
-	running int
-	queued  int
-	room    chan struct{} // closed and replaced when a place gets free
-	cache   map[string]int64
-	order   []string // least recently used first
-	fences  map[string]uint64
-	calls   []EngineCall
-	lastID  string
-	// lastPieces is the answer that went with lastID.
-	lastPieces []string
-	counted    map[string]int // for the "each n-th" switches
-	load       []loadAt
-	hits       int64
-	misses     int64
+	mu             sync.Mutex
+	faults         EngineFaults
+	running        int
+	queued         int
+	capacityFreed  chan struct{}     // closed and replaced when a call leaves the batch
+	cache          map[string]int64  // tokens by program
+	recentPrograms []string          // cached programs, least recently used first
+	fencingEpochs  map[string]uint64 // highest epoch received, by slot
+	calls          []EngineCall
+	lastID         string // call id of the latest call, for CrossEvery
+	// lastChunks is the answer of the call lastID.
+	lastChunks  []string
+	faultCounts map[string]int // events by fault that affects each n-th one
+	loadHistory []loadSample   // oldest first
+	cacheHits   int64          // prompt tokens found in the cache
+	cacheMisses int64          // prompt tokens not found in it
 }
 
-type loadAt struct {
+// loadSample is the engine's load from one instant on.
+type loadSample struct {
 	at   time.Time
 	load target.Load
 }
@@ -102,11 +106,11 @@
 		cfg.OutputTokens = 16
 	}
 	return &Engine{
-		cfg: cfg, room: make(chan struct{}), cache: map[string]int64{}, fences: map[string]uint64{}, counted: map[string]int{},
+		cfg: cfg, capacityFreed: make(chan struct{}), cache: map[string]int64{}, fencingEpochs: map[string]uint64{}, faultCounts: map[string]int{},
 	}
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the active faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,73 +123,78 @@
 	return e.faults
 }
 
-// Calls returns what the engine has started, in order.
+// Calls returns the calls that the engine has started, in order of their start.
 func (e *Engine) Calls() []EngineCall {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.calls)
 }
 
-// CachedPrograms returns the programs whose cache is kept.
+// CachedPrograms returns the programs in the prefix cache, least recently used
+// first.
 func (e *Engine) CachedPrograms() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.order)
+	return slices.Clone(e.recentPrograms)
 }
 
-// ClearCache forgets the cache, as a new process would.
+// ClearCache empties the prefix cache, as a restart of the process does.
 func (e *Engine) ClearCache() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cache, e.order = map[string]int64{}, nil
+	e.cache, e.recentPrograms = map[string]int64{}, nil
 }
 
-// Handler serves the protocol.
+// Handler returns the handler of the engine protocol (package wire/target), of the
+// recorded calls and of the faults.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
+	mux.HandleFunc("POST /v1/chat/completions", e.handleCompletion)
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, r *http.Request) {
-		if e.frozen(r) {
+		if e.hangIfFrozen(r) {
 			return
 		}
-		reply(w, e.report())
+		writeJSON(w, e.reportedLoad())
 	})
 	mux.HandleFunc("GET /v1/cache", func(w http.ResponseWriter, r *http.Request) {
-		if e.frozen(r) {
+		if e.hangIfFrozen(r) {
 			return
 		}
-		reply(w, target.Cache{Programs: e.reported()})
+		writeJSON(w, target.Cache{Programs: e.reportedPrograms()})
 	})
-	mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Calls()) })
-	mux.HandleFunc("DELETE /v1/cache/{program}", e.release)
-	handleFaults(mux, e.currentFaults, e.SetFaults)
+	mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Calls()) })
+	mux.HandleFunc("DELETE /v1/cache/{program}", e.handleRelease)
+	registerFaultHandlers(mux, e.currentFaults, e.SetFaults)
 	return mux
 }
 
-// frozen lets a request hang until its client gives up.
-func (e *Engine) frozen(r *http.Request) bool {
-	f := e.currentFaults().Freeze
-	if f {
+// hangIfFrozen reports whether the engine is frozen; if so, it first blocks until
+// the client ends the request.
+func (e *Engine) hangIfFrozen(r *http.Request) bool {
+	frozen := e.currentFaults().Freeze
+	if frozen {
 		<-r.Context().Done()
 	}
-	return f
+	return frozen
 }
 
-// each reports whether this is the n-th time since the last.
-func (e *Engine) each(what string, n int) bool {
+// isNthTime counts an event of a fault and reports whether it is an n-th one; 0
+// means never. The caller holds mu.
+func (e *Engine) isNthTime(fault string, n int) bool {
 	if n == 0 {
 		return false
 	}
-	e.counted[what]++
-	return e.counted[what]%n == 0
+	e.faultCounts[fault]++
+	return e.faultCounts[fault]%n == 0
 }
 
-// CountTokens is the number of tokens the stand-ins count in a text: one for every
-// four bytes, and no more than there are bytes.
+// CountTokens returns the number of tokens that the stand-ins count in a text: one
+// for every four bytes, rounded up, and so no more than there are bytes.
 func CountTokens(text string) int64 { return int64(len(text)+3) / 4 }
 
-// Digest is what the engine says of a conversation, so that its client can
-// verify that the whole history came, and no other.
+// Digest returns the digest of a conversation with which the engine begins its
+// answer. It lets the client verify that the engine received the complete history
+// and no other.
 func Digest(messages []api.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -194,66 +203,70 @@
 	return strconv.FormatUint(ident.Hash([]byte(b.String())), 16)
 }
 
-// Answer is the engine's whole answer to a conversation with so many tokens.
+// Answer returns the engine's complete answer to a conversation, of the given number
+// of tokens or of the digest alone if that is longer.
 func Answer(messages []api.Message, tokens int64) string {
-	return strings.Join(answerPieces(messages, tokens), "")
+	return strings.Join(answerChunks(messages, tokens), "")
 }
 
-func answerPieces(messages []api.Message, tokens int64) []string {
-	pieces := []string{"digest=" + Digest(messages)}
-	for i := CountTokens(pieces[0]); i < tokens; i++ {
-		pieces = append(pieces, " abc") // one token
+// answerChunks returns the answer in the chunks that the engine streams.
+func answerChunks(messages []api.Message, tokens int64) []string {
+	chunks := []string{"digest=" + Digest(messages)}
+	for i := CountTokens(chunks[0]); i < tokens; i++ {
+		chunks = append(chunks, " abc") // one token
 	}
-	return pieces
+	return chunks
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var c target.Completion
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if e.frozen(r) {
+	if e.hangIfFrozen(r) {
 		return
 	}
 	e.mu.Lock()
-	refuse, f := e.faults.Refuse, e.faults
-	slot, epoch := splitFence(r.Header.Get(target.FencingTokenHeader))
-	stale := epoch < e.fences[slot]
-	e.fences[slot] = max(e.fences[slot], epoch)
+	refuse, faults := e.faults.Refuse, e.faults
+	slot, epoch := parseFencingToken(r.Header.Get(target.FencingTokenHeader))
+	stale := epoch < e.fencingEpochs[slot]
+	e.fencingEpochs[slot] = max(e.fencingEpochs[slot], epoch)
 	e.mu.Unlock()
 	if refuse {
 		w.Header().Set(target.NotStartedHeader, "true")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	if stale && e.cfg.ChecksFencing && !f.IgnoreFencing {
+	if stale && e.cfg.ChecksFencing && !faults.IgnoreFencing {
 		http.Error(w, "old fencing token", http.StatusPreconditionFailed)
 		return
 	}
-	if !e.enter(r) {
+	if !e.acquireCapacity(r) {
 		return
 	}
-	defer e.leave()
-	e.run(w, r, &c, epoch)
+	defer e.releaseCapacity()
+	e.execute(w, r, &c, epoch)
 }
 
-func splitFence(token string) (slot string, epoch uint64) {
-	slot, number, _ := strings.Cut(token, ":")
-	epoch, _ = strconv.ParseUint(number, 10, 64) // a missing token is epoch 0
+// parseFencingToken splits a token of the form slot:epoch.
+func parseFencingToken(token string) (slot string, epoch uint64) {
+	slot, epochText, _ := strings.Cut(token, ":")
+	epoch, _ = strconv.ParseUint(epochText, 10, 64) // a missing token means epoch 0
 	return slot, epoch
 }
 
-// enter waits for a place in the batch.
-func (e *Engine) enter(r *http.Request) bool {
+// acquireCapacity waits until the batch has room for a call and adds it. It returns
+// false if the client ends the request first.
+func (e *Engine) acquireCapacity(r *http.Request) bool {
 	e.mu.Lock()
 	e.queued++
-	e.noteLoad()
+	e.recordLoad()
 	for e.running >= e.cfg.BatchSize {
-		room := e.room
+		freed := e.capacityFreed
 		e.mu.Unlock()
 		select {
-		case <-room:
+		case <-freed:
 		case <-r.Context().Done():
 			e.mu.Lock()
 			e.queued--
@@ -264,63 +277,64 @@
 	}
 	e.queued--
 	e.running++
-	e.noteLoad()
+	e.recordLoad()
 	e.mu.Unlock()
 	return true
 }
 
-func (e *Engine) leave() {
+// releaseCapacity removes a call from the batch and wakes the queued calls.
+func (e *Engine) releaseCapacity() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	e.noteLoad()
-	close(e.room)
-	e.room = make(chan struct{})
+	e.recordLoad()
+	close(e.capacityFreed)
+	e.capacityFreed = make(chan struct{})
 }
 
-// run executes one call: prefill of what is not cached, then the output.
-func (e *Engine) run(w http.ResponseWriter, r *http.Request, c *target.Completion, epoch uint64) {
+// execute runs one call: prefill of the uncached tokens, then the output.
+func (e *Engine) execute(w http.ResponseWriter, r *http.Request, c *target.Completion, epoch uint64) {
 	prompt := int64(0)
 	for _, m := range c.Messages {
 		prompt += CountTokens(m.Content)
 	}
 	output := min(e.cfg.OutputTokens, c.MaxTokens)
 	id := r.Header.Get(target.CallHeader)
-	number, cached := e.begin(id, c.Program, epoch, prompt)
+	index, cached := e.startCall(id, c.Program, epoch, prompt)
 	e.mu.Lock()
-	breaks := e.each("break", e.faults.BreakEvery)
-	slow := time.Duration(e.faults.SlowMS) * time.Millisecond
-	pieces := answerPieces(c.Messages, output)
-	if e.each("cross", e.faults.CrossEvery) && e.lastID != "" {
-		id, pieces, e.lastID, e.lastPieces = e.lastID, e.lastPieces, id, pieces
+	breakConnection := e.isNthTime("break", e.faults.BreakEvery)
+	delay := time.Duration(e.faults.SlowMS) * time.Millisecond
+	chunks := answerChunks(c.Messages, output)
+	if e.isNthTime("cross", e.faults.CrossEvery) && e.lastID != "" {
+		id, chunks, e.lastID, e.lastChunks = e.lastID, e.lastChunks, id, chunks
 	} else {
-		e.lastID, e.lastPieces = id, pieces
+		e.lastID, e.lastChunks = id, chunks
 	}
 	e.mu.Unlock()
-	if !pause(r.Context(), slow+e.cfg.PrefillPerToken*time.Duration(prompt-cached)) {
+	if !sleep(r.Context(), delay+e.cfg.PrefillPerToken*time.Duration(prompt-cached)) {
 		return
 	}
-	out := json.NewEncoder(&sse{w})
+	events := json.NewEncoder(&eventWriter{w})
 	w.Header().Set("Content-Type", "text/event-stream")
-	for i, piece := range pieces {
-		if breaks && i > 0 {
+	for i, chunk := range chunks {
+		if breakConnection && i > 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if !pause(r.Context(), e.cfg.DecodePerToken) {
+		if !sleep(r.Context(), e.cfg.DecodePerToken) {
 			return
 		}
-		_ = out.Encode(target.CompletionChunk{ID: id, Choices: []target.CompletionDelta{{Delta: api.Message{Role: "assistant", Content: piece}}}})
-		_ = http.NewResponseController(w).Flush() // a client that has gone away ends the pause
+		_ = events.Encode(target.CompletionChunk{ID: id, Choices: []target.CompletionDelta{{Delta: api.Message{Role: "assistant", Content: chunk}}}})
+		_ = http.NewResponseController(w).Flush() // a disconnected client ends the next sleep
 	}
-	e.end(number, c.Program, prompt, output)
-	_ = out.Encode(target.CompletionChunk{ID: id, Usage: &target.CompletionUsage{PromptTokens: prompt, CompletionTokens: output, CachedTokens: cached}})
+	e.finishCall(index, c.Program, prompt, output)
+	_ = events.Encode(target.CompletionChunk{ID: id, Usage: &target.CompletionUsage{PromptTokens: prompt, CompletionTokens: output, CachedTokens: cached}})
 	_, _ = w.Write([]byte("data: " + target.DoneMarker + "\n\n"))
 }
 
-// sse frames each JSON value as an event.
-type sse struct{ w http.ResponseWriter }
+// eventWriter frames each JSON value as a server-sent event.
+type eventWriter struct{ w http.ResponseWriter }
 
-func (s *sse) Write(b []byte) (int, error) {
+func (s *eventWriter) Write(b []byte) (int, error) {
 	if _, err := s.w.Write([]byte("data: ")); err != nil {
 		return 0, err
 	}
@@ -331,26 +345,30 @@
 	return len(b), err
 }
 
-func (e *Engine) begin(id, program string, epoch uint64, prompt int64) (number int, cached int64) {
+// startCall records a call and caches its prompt. It returns the call's index in
+// calls and the number of its prompt tokens that were cached before.
+func (e *Engine) startCall(id, program string, epoch uint64, prompt int64) (index int, cached int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sequence := -1
 	if parts := strings.Split(id, "/"); len(parts) == 3 {
-		sequence, _ = strconv.Atoi(parts[1]) // the call id of a host is well formed
+		sequence, _ = strconv.Atoi(parts[1]) // hosts send well-formed call ids
 	}
 	cached = min(e.cache[program], prompt)
-	e.hits += cached
-	e.misses += prompt - cached
+	e.cacheHits += cached
+	e.cacheMisses += prompt - cached
 	e.calls = append(e.calls, EngineCall{ID: id, Program: program, Sequence: sequence, Epoch: epoch, At: time.Now(), Prompt: prompt})
-	e.keep(program, prompt)
+	e.cacheProgram(program, prompt)
 	return len(e.calls) - 1, cached
 }
 
-func (e *Engine) end(number int, program string, prompt, output int64) {
+// finishCall records that a call ran to its end, and caches its output unless the program was
+// evicted meanwhile.
+func (e *Engine) finishCall(index int, program string, prompt, output int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.calls[number].Done, e.calls[number].Output = true, output
-	if _, kept := e.cache[program]; kept {
-		e.keep(program, prompt+output)
+	e.calls[index].Done, e.calls[index].Output = true, output
+	if _, cached := e.cache[program]; cached {
+		e.cacheProgram(program, prompt+output)
 	}
 }
--- a/ctl/standin/engine_cache.go
+++ b/ctl/standin/engine_cache.go
@@ -8,73 +8,80 @@
 	"github.com/pistachioarch/pistachioarch/wire/target"
 )
 
-// keep puts a program's cache in, and evicts the least recently used.
-func (e *Engine) keep(program string, tokens int64) {
-	e.drop(program)
+// cacheProgram sets a program's cached tokens and evicts the least recently used
+// programs while the cache is too large. It never evicts the program itself. The
+// caller holds mu.
+func (e *Engine) cacheProgram(program string, tokens int64) {
+	e.evict(program)
 	e.cache[program] = tokens
-	e.order = append(e.order, program)
+	e.recentPrograms = append(e.recentPrograms, program)
 	total := int64(0)
 	for _, t := range e.cache {
 		total += t
 	}
-	for total > e.cfg.CacheTokens && len(e.order) > 1 {
-		total -= e.cache[e.order[0]]
-		e.drop(e.order[0])
+	for total > e.cfg.CacheTokens && len(e.recentPrograms) > 1 {
+		total -= e.cache[e.recentPrograms[0]]
+		e.evict(e.recentPrograms[0])
 	}
 }
 
-func (e *Engine) drop(program string) {
+// evict removes a program from the cache; the caller holds mu.
+func (e *Engine) evict(program string) {
 	delete(e.cache, program)
-	if i := slices.Index(e.order, program); i >= 0 {
-		e.order = slices.Delete(e.order, i, i+1)
+	if i := slices.Index(e.recentPrograms, program); i >= 0 {
+		e.recentPrograms = slices.Delete(e.recentPrograms, i, i+1)
 	}
 }
 
-func (e *Engine) release(w http.ResponseWriter, r *http.Request) {
-	if e.frozen(r) {
+// handleRelease serves the release of a program's cache.
+func (e *Engine) handleRelease(w http.ResponseWriter, r *http.Request) {
+	if e.hangIfFrozen(r) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.each("orders", e.faults.FailReleaseEvery) {
+	if e.isNthTime("orders", e.faults.FailReleaseEvery) {
 		http.Error(w, "lost", http.StatusInternalServerError)
 		return
 	}
-	slot, epoch := splitFence(r.Header.Get(target.FencingTokenHeader))
-	if epoch < e.fences[slot] && e.cfg.ChecksFencing && !e.faults.IgnoreFencing {
+	slot, epoch := parseFencingToken(r.Header.Get(target.FencingTokenHeader))
+	if epoch < e.fencingEpochs[slot] && e.cfg.ChecksFencing && !e.faults.IgnoreFencing {
 		http.Error(w, "old fencing token", http.StatusPreconditionFailed)
 		return
 	}
-	e.drop(r.PathValue("program"))
+	e.evict(r.PathValue("program"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) noteLoad() {
-	e.load = append(e.load, loadAt{time.Now(), target.Load{Running: e.running, Queued: e.queued}})
+// recordLoad records the current load; the caller holds mu.
+func (e *Engine) recordLoad() {
+	e.loadHistory = append(e.loadHistory, loadSample{time.Now(), target.Load{Running: e.running, Queued: e.queued}})
 }
 
-// report is the load as it was ReportLag ago.
-func (e *Engine) report() target.Load {
+// reportedLoad returns the load as it was ReportLag and ExtraReportLagMS ago, and
+// discards the older samples.
+func (e *Engine) reportedLoad() target.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var last target.Load
-	limit := time.Now().Add(-e.cfg.ReportLag - time.Duration(e.faults.ExtraReportLagMS)*time.Millisecond)
+	var latest target.Load
+	reportedAt := time.Now().Add(-e.cfg.ReportLag - time.Duration(e.faults.ExtraReportLagMS)*time.Millisecond)
 	n := 0
-	for n < len(e.load) && !e.load[n].at.After(limit) {
-		last = e.load[n].load
+	for n < len(e.loadHistory) && !e.loadHistory[n].at.After(reportedAt) {
+		latest = e.loadHistory[n].load
 		n++
 	}
-	e.load = e.load[max(0, n-1):]
-	return last
+	e.loadHistory = e.loadHistory[max(0, n-1):]
+	return latest
 }
 
-// reported is the cache as the engine reports it.
-func (e *Engine) reported() []string {
+// reportedPrograms returns the cached programs as the engine reports them, without
+// those that HideCacheEvery omits.
+func (e *Engine) reportedPrograms() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var programs []string
-	for _, p := range e.order {
-		if !e.each("hide", e.faults.HideCacheEvery) {
+	for _, p := range e.recentPrograms {
+		if !e.isNthTime("hide", e.faults.HideCacheEvery) {
 			programs = append(programs, p)
 		}
 	}
--- a/ctl/standin/objects.go
+++ b/ctl/standin/objects.go
@@ -11,84 +11,88 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// objectLatency is the time of one call: a few milliseconds, as the users' store.
-const objectLatency = 4 * time.Millisecond
+// storeLatency is the duration of one call: a few milliseconds, as in the stores that
+// users run.
+const storeLatency = 4 * time.Millisecond
 
-// Objects is an object store in memory; it implements objects.Store. Views of it
-// are handed out by At, so that each host can be cut off by itself.
+// Objects is an object store in memory. ViewFrom returns the objects.Store of one host,
+// so that hosts can be separated from the store one by one.
 type Objects struct {
-	mu       sync.Mutex
-	revision uint64
-	kinds    map[string]map[string]objects.Object
-	history  []change
-	oldest   uint64 // watches from before it get HistoryGone
-	changed  chan struct{}
-	down     bool
-	cut      map[string]bool
-	loseNext int
-	calls    map[string]int // by place
+	mu             sync.Mutex
+	revision       uint64
+	kinds          map[string]map[string]objects.Object // by kind and name
+	history        []change
+	oldestRevision uint64        // watches from an earlier revision fail with HistoryGone
+	changed        chan struct{} // closed and replaced by each change
+	down           bool
+	partitioned    map[string]bool // by IP address of the host
+	answersToLose  int             // writes
+	calls          map[string]int  // by IP address of the host
 }
 
+// change is one change in the watch history.
 type change struct {
-	kind  string
-	event objects.Event
-	at    uint64
+	kind     string
+	event    objects.Event
+	revision uint64
 }
 
 // NewObjects returns an empty store.
 func NewObjects() *Objects {
-	return &Objects{kinds: map[string]map[string]objects.Object{}, changed: make(chan struct{}), cut: map[string]bool{}, calls: map[string]int{}}
+	return &Objects{kinds: map[string]map[string]objects.Object{}, changed: make(chan struct{}), partitioned: map[string]bool{}, calls: map[string]int{}}
 }
 
-// ViewFrom is the store as the host at a place sees it.
-func (s *Objects) ViewFrom(place string) objects.Store { return &objectsAt{s, place} }
+// ViewFrom returns the store as the host with an IP address (without a port) uses it.
+func (s *Objects) ViewFrom(ip string) objects.Store { return &storeView{s, ip} }
 
-// SetDown lets every call fail, or serves again.
+// SetDown makes every call fail, or ends that fault.
 func (s *Objects) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wake()
+	s.wakeWatches()
 }
 
-// SetPartitioned turns the calls from a place away, or serves them again.
-func (s *Objects) SetPartitioned(place string, on bool) {
+// SetPartitioned makes the calls of one host fail, or ends that fault.
+func (s *Objects) SetPartitioned(ip string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[place] = on
-	s.wake()
+	s.partitioned[ip] = partitioned
+	s.wakeWatches()
 }
 
-// Calls is the number of calls from a place so far.
-func (s *Objects) Calls(place string) int {
+// Calls returns the number of calls of one host so far.
+func (s *Objects) Calls(ip string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[place]
+	return s.calls[ip]
 }
 
-// LoseAnswers lets the next n writes be done and not answered.
+// LoseAnswers makes the store apply the next n writes and report an error for them.
 func (s *Objects) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext = n
+	s.answersToLose = n
 }
 
-// DropHistory drops the history: watches from before get HistoryGone.
+// DropHistory drops the watch history: watches from an earlier revision fail with
+// HistoryGone.
 func (s *Objects) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.oldest = nil, s.revision
-	s.wake()
+	s.history, s.oldestRevision = nil, s.revision
+	s.wakeWatches()
 }
 
-// Put writes an object as an operator or a target does.
+// Put writes an object without latency or faults, in ip of an operator or a target.
 func (s *Objects) Put(kind, name string, spec []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set(kind, objects.Object{Name: name, Spec: spec})
+	s.putObject(kind, objects.Object{Name: name, Spec: spec})
 }
 
-// Remove removes an object as its owner does.
+// Remove removes an object, if there is one, without latency or faults, in ip of its
+// owner.
 func (s *Objects) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,33 +100,34 @@
 	if !ok {
 		return
 	}
-	s.remove(kind, o)
+	s.removeObject(kind, o)
 }
 
-// remove removes an object; the caller holds mu.
-func (s *Objects) remove(kind string, o objects.Object) {
+// removeObject removes an object; the caller holds mu.
+func (s *Objects) removeObject(kind string, o objects.Object) {
 	delete(s.kinds[kind], o.Name)
 	s.revision++
 	o.Revision = s.revision
 	s.history = append(s.history, change{kind, objects.Event{Object: o, Removed: true}, s.revision})
-	s.wake()
+	s.wakeWatches()
 }
 
-// Names returns the names of the objects of a kind.
+// Names returns the sorted names of the objects of a kind.
 func (s *Objects) Names(kind string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.kinds[kind]))
 }
 
-// Status returns the status of an object.
+// Status returns the status of an object, empty if there is none.
 func (s *Objects) Status(kind, name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.kinds[kind][name].Status)
 }
 
-func (s *Objects) set(kind string, o objects.Object) objects.Object {
+// putObject stores an object under a new revision and returns it; the caller holds mu.
+func (s *Objects) putObject(kind string, o objects.Object) objects.Object {
 	s.revision++
 	o.Revision = s.revision
 	if s.kinds[kind] == nil {
@@ -130,156 +135,158 @@
 	}
 	s.kinds[kind][o.Name] = o
 	s.history = append(s.history, change{kind, objects.Event{Object: o}, s.revision})
-	s.wake()
+	s.wakeWatches()
 	return o
 }
 
-func (s *Objects) wake() {
+func (s *Objects) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// objectsAt implements objects.Store for one place.
-type objectsAt struct {
-	s     *Objects
-	place string
+// storeView implements objects.Store for one host.
+type storeView struct {
+	store *Objects
+	ip    string
 }
 
-// enter counts a call, waits for its latency and refuses it where the store is away.
-func (v *objectsAt) enter(ctx context.Context) error {
-	v.s.mu.Lock()
-	v.s.calls[v.place]++
-	v.s.mu.Unlock()
-	return v.arrive(ctx)
+// beginCall counts a call, waits for the latency of the store and locks it. It fails
+// while the store is unavailable to the host.
+func (v *storeView) beginCall(ctx context.Context) error {
+	v.store.mu.Lock()
+	v.store.calls[v.ip]++
+	v.store.mu.Unlock()
+	return v.lockAfterLatency(ctx)
 }
 
-// arrive is enter without the count, for a call that looks again.
-func (v *objectsAt) arrive(ctx context.Context) error {
+// lockAfterLatency is beginCall without the count, for a watch that reads again.
+func (v *storeView) lockAfterLatency(ctx context.Context) error {
 	select {
-	case <-time.After(objectLatency):
+	case <-time.After(storeLatency):
 	case <-ctx.Done():
 		return failure.Wrap(ctx.Err(), failure.PlatformUnavailable, "store")
 	}
-	v.s.mu.Lock()
-	if v.s.down || v.s.cut[v.place] {
-		v.s.mu.Unlock()
-		return failure.New(failure.PlatformUnavailable, "store is away")
+	v.store.mu.Lock()
+	if v.store.down || v.store.partitioned[v.ip] {
+		v.store.mu.Unlock()
+		return failure.New(failure.PlatformUnavailable, "store unavailable")
 	}
 	return nil
 }
 
-// leave ends a write; its answer may be lost.
-func (v *objectsAt) leave(o objects.Object, err error) (objects.Object, error) {
-	defer v.s.mu.Unlock()
-	if err == nil && v.s.loseNext > 0 {
-		v.s.loseNext--
-		return objects.Object{}, failure.New(failure.PlatformUnavailable, "answer lost")
+// finishWrite unlocks the store after a write and returns its result, or an error if
+// the answer is to be lost.
+func (v *storeView) finishWrite(o objects.Object, err error) (objects.Object, error) {
+	defer v.store.mu.Unlock()
+	if err == nil && v.store.answersToLose > 0 {
+		v.store.answersToLose--
+		return objects.Object{}, failure.New(failure.PlatformUnavailable, "write applied, answer lost")
 	}
 	return o, err
 }
 
-func (v *objectsAt) Get(ctx context.Context, kind, name string) (objects.Object, error) {
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) Get(ctx context.Context, kind, name string) (objects.Object, error) {
+	if err := v.beginCall(ctx); err != nil {
 		return objects.Object{}, err
 	}
-	defer v.s.mu.Unlock()
-	o, ok := v.s.kinds[kind][name]
+	defer v.store.mu.Unlock()
+	o, ok := v.store.kinds[kind][name]
 	if !ok {
 		return o, failure.New(failure.NotFound, "%s/%s", kind, name)
 	}
 	return o, nil
 }
 
-func (v *objectsAt) Create(ctx context.Context, kind, name string, spec []byte) (objects.Object, error) {
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) Create(ctx context.Context, kind, name string, spec []byte) (objects.Object, error) {
+	if err := v.beginCall(ctx); err != nil {
 		return objects.Object{}, err
 	}
-	if _, ok := v.s.kinds[kind][name]; ok {
-		return v.leave(objects.Object{}, failure.New(failure.Conflict, "%s/%s exists", kind, name))
+	if _, ok := v.store.kinds[kind][name]; ok {
+		return v.finishWrite(objects.Object{}, failure.New(failure.Conflict, "%s/%s exists", kind, name))
 	}
-	return v.leave(v.s.set(kind, objects.Object{Name: name, Spec: spec}), nil)
+	return v.finishWrite(v.store.putObject(kind, objects.Object{Name: name, Spec: spec}), nil)
 }
 
-func (v *objectsAt) Update(ctx context.Context, kind, name string, revision uint64, spec []byte) (objects.Object, error) {
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) Update(ctx context.Context, kind, name string, revision uint64, spec []byte) (objects.Object, error) {
+	if err := v.beginCall(ctx); err != nil {
 		return objects.Object{}, err
 	}
-	o, ok := v.s.kinds[kind][name]
+	o, ok := v.store.kinds[kind][name]
 	if !ok || o.Revision != revision {
-		return v.leave(objects.Object{}, failure.New(failure.Conflict, "%s/%s is at %d", kind, name, o.Revision))
+		return v.finishWrite(objects.Object{}, failure.New(failure.Conflict, "%s/%s is at %d", kind, name, o.Revision))
 	}
 	o.Spec = spec
-	return v.leave(v.s.set(kind, o), nil)
+	return v.finishWrite(v.store.putObject(kind, o), nil)
 }
 
-func (v *objectsAt) UpdateStatus(ctx context.Context, kind, name string, status []byte) error {
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) UpdateStatus(ctx context.Context, kind, name string, status []byte) error {
+	if err := v.beginCall(ctx); err != nil {
 		return err
 	}
-	o, ok := v.s.kinds[kind][name]
+	o, ok := v.store.kinds[kind][name]
 	if !ok {
-		_, err := v.leave(o, failure.New(failure.NotFound, "%s/%s", kind, name))
+		_, err := v.finishWrite(o, failure.New(failure.NotFound, "%s/%s", kind, name))
 		return err
 	}
 	o.Status = status
-	_, err := v.leave(v.s.set(kind, o), nil)
+	_, err := v.finishWrite(v.store.putObject(kind, o), nil)
 	return err
 }
 
-func (v *objectsAt) Delete(ctx context.Context, kind, name string) error {
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) Delete(ctx context.Context, kind, name string) error {
+	if err := v.beginCall(ctx); err != nil {
 		return err
 	}
-	o, ok := v.s.kinds[kind][name]
+	o, ok := v.store.kinds[kind][name]
 	if !ok {
-		_, err := v.leave(o, failure.New(failure.NotFound, "%s/%s", kind, name))
+		_, err := v.finishWrite(o, failure.New(failure.NotFound, "%s/%s", kind, name))
 		return err
 	}
-	v.s.remove(kind, o)
-	_, err := v.leave(o, nil)
+	v.store.removeObject(kind, o)
+	_, err := v.finishWrite(o, nil)
 	return err
 }
 
-func (v *objectsAt) List(ctx context.Context, kind string) (objects.Snapshot, error) {
-	asked := time.Now()
-	if err := v.enter(ctx); err != nil {
+func (v *storeView) List(ctx context.Context, kind string) (objects.Snapshot, error) {
+	sentAt := time.Now()
+	if err := v.beginCall(ctx); err != nil {
 		return objects.Snapshot{}, err
 	}
-	defer v.s.mu.Unlock()
-	snapshot := objects.Snapshot{Revision: v.s.revision, AsOf: asked}
-	for _, name := range slices.Sorted(maps.Keys(v.s.kinds[kind])) {
-		snapshot.Items = append(snapshot.Items, v.s.kinds[kind][name])
+	defer v.store.mu.Unlock()
+	snapshot := objects.Snapshot{Revision: v.store.revision, AsOf: sentAt}
+	for _, name := range slices.Sorted(maps.Keys(v.store.kinds[kind])) {
+		snapshot.Items = append(snapshot.Items, v.store.kinds[kind][name])
 	}
 	return snapshot, nil
 }
 
-func (v *objectsAt) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
-	asked := time.Now()
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	for look := v.enter; ; look = v.arrive {
-		if err := look(ctx); err != nil {
+func (v *storeView) Watch(ctx context.Context, kind string, revision uint64, maxWait time.Duration) (objects.Changes, error) {
+	sentAt := time.Now()
+	timeout := time.NewTimer(maxWait)
+	defer timeout.Stop()
+	for lock := v.beginCall; ; lock = v.lockAfterLatency {
+		if err := lock(ctx); err != nil {
 			return objects.Changes{}, err
 		}
-		if revision < v.s.oldest {
-			v.s.mu.Unlock()
+		if revision < v.store.oldestRevision {
+			v.store.mu.Unlock()
 			return objects.Changes{}, failure.New(failure.HistoryGone, "revision %d", revision)
 		}
-		found := objects.Changes{Revision: v.s.revision, AsOf: asked}
-		for _, c := range v.s.history {
-			if c.kind == kind && c.at > revision {
-				found.Events = append(found.Events, c.event)
+		changes := objects.Changes{Revision: v.store.revision, AsOf: sentAt}
+		for _, c := range v.store.history {
+			if c.kind == kind && c.revision > revision {
+				changes.Events = append(changes.Events, c.event)
 			}
 		}
-		changed := v.s.changed
-		v.s.mu.Unlock()
-		if len(found.Events) > 0 {
-			return found, nil
+		changed := v.store.changed
+		v.store.mu.Unlock()
+		if len(changes.Events) > 0 {
+			return changes, nil
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			return found, nil
+		case <-timeout.C:
+			return changes, nil
 		case <-ctx.Done():
 			return objects.Changes{}, failure.Wrap(ctx.Err(), failure.PlatformUnavailable, "watch")
 		}
--- a/ctl/standin/platform.go
+++ b/ctl/standin/platform.go
@@ -15,22 +15,24 @@
 	"github.com/pistachioarch/pistachioarch/wire/platform"
 )
 
-// PlatformFaults are the switches of a Platform.
+// PlatformFaults are the faults that a Platform can show. In fields that select each
+// n-th event, 0 means never.
 type PlatformFaults struct {
-	// Down refuses every request.
+	// Down refuses every request with 503.
 	Down bool `json:"down"`
-	// SlowMS delays every request.
+	// SlowMS is the delay added to every request, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseReplyEvery loses the reply of each n-th write after it took effect; 0 = never.
+	// LoseReplyEvery breaks the connection of each n-th write after the write took
+	// effect.
 	LoseReplyEvery int `json:"lose_reply"`
-	// StaleReadEvery answers each n-th read from the state before the last write
-	// of the object.
+	// StaleReadEvery answers each n-th read with the object as it was before its last
+	// write.
 	StaleReadEvery int `json:"stale_reads"`
-	// StuckWatch leaves watches without an answer until they time out.
+	// StuckWatch withholds changes from watches until they time out.
 	StuckWatch bool `json:"stuck_watch"`
 }
 
-// PlatformCounts counts the calls of a Platform.
+// PlatformCounts are the numbers of requests that a Platform received.
 type PlatformCounts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
@@ -38,49 +40,50 @@
 	Watches uint64 `json:"watches"`
 }
 
-// Platform is a stand-in for the platform's object API; package wire/platform
-// describes the protocol.
+// Platform is an in-memory stand-in for the platform's object API; package
+// wire/platform describes the protocol.
 type Platform struct {
-	mu       sync.Mutex
-	objects  map[string]*object
-	revision uint64
-	changed  chan struct{} // closed and replaced at each write
-	faults   PlatformFaults
-	counts   PlatformCounts
-	reads    int
-	writes   int
-	history  map[string][]Write
+	mu          sync.Mutex
+	objects     map[string]*object
+	revision    uint64
+	changed     chan struct{} // closed and replaced by each write
+	faults      PlatformFaults
+	counts      PlatformCounts
+	faultReads  int                // reads counted for StaleReadEvery
+	faultWrites int                // writes counted for LoseReplyEvery
+	history     map[string][]Write // by key, oldest first
 }
 
-// object keeps its version when it is deleted, so that versions only go up.
+// object is a stored object. A deleted one is kept for its version, so that the
+// versions of a key never decrease.
 type object struct {
-	version  uint64
-	revision uint64
-	body     []byte
-	deleted  bool
-	previous []byte
-	before   uint64 // version of previous, 0 for none
+	version         uint64 // of the object
+	revision        uint64 // of the platform at the last write
+	body            []byte
+	deleted         bool
+	previousBody    []byte // before the last write
+	previousVersion uint64 // of previousBody; 0 if the object did not exist
 }
 
-// Write is one write that took effect, for checks.
+// Write is the record of one write that took effect.
 type Write struct {
 	At      time.Time
 	Version uint64
 	Body    []byte
 }
 
-// watchWait is how long a watch waits for a change.
-const watchWait = 30 * time.Second
+// watchTimeout bounds the time that a watch waits for a change.
+const watchTimeout = 30 * time.Second
 
-// historyKeys are the prefixes of which every write is kept for checks.
-var historyKeys = []string{"shared/"}
+// historyPrefixes are the key prefixes whose writes are recorded.
+var historyPrefixes = []string{"shared/"}
 
 // NewPlatform returns an empty platform.
 func NewPlatform() *Platform {
 	return &Platform{objects: map[string]*object{}, changed: make(chan struct{}), history: map[string][]Write{}}
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the active faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,21 +96,22 @@
 	return p.faults
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of requests so far.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// History returns the writes of an object below shared/.
+// History returns the writes of an object whose key begins with shared/, oldest
+// first. Writes of other objects are not recorded.
 func (p *Platform) History(key string) []Write {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.history[key])
 }
 
-// Keys lists the objects below a prefix.
+// Keys returns the sorted keys of the objects whose key begins with a prefix.
 func (p *Platform) Keys(prefix string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,27 +124,28 @@
 	return keys
 }
 
-// Handler serves the protocol.
+// Handler returns the handler of the object API, of the request counts and of the
+// faults.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/objects/{key...}", p.guard(p.get))
-	mux.HandleFunc("PUT /v1/objects/{key...}", p.guard(p.put))
-	mux.HandleFunc("DELETE /v1/objects/{key...}", p.guard(p.remove))
-	mux.HandleFunc("GET /v1/list", p.guard(p.list))
-	mux.HandleFunc("GET /v1/watch", p.guard(p.watch))
-	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Counts()) })
-	handleFaults(mux, p.currentFaults, p.SetFaults)
+	mux.HandleFunc("GET /v1/objects/{key...}", p.withFaults(p.get))
+	mux.HandleFunc("PUT /v1/objects/{key...}", p.withFaults(p.put))
+	mux.HandleFunc("DELETE /v1/objects/{key...}", p.withFaults(p.remove))
+	mux.HandleFunc("GET /v1/list", p.withFaults(p.list))
+	mux.HandleFunc("GET /v1/watch", p.withFaults(p.watch))
+	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
+	registerFaultHandlers(mux, p.currentFaults, p.SetFaults)
 	return mux
 }
 
-// guard applies the faults that concern every request.
-func (p *Platform) guard(serve http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler with the faults that affect every request.
+func (p *Platform) withFaults(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f := p.currentFaults()
-		if f.SlowMS > 0 && !pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+		faults := p.currentFaults()
+		if faults.SlowMS > 0 && !sleep(r.Context(), time.Duration(faults.SlowMS)*time.Millisecond) {
 			return
 		}
-		if f.Down {
+		if faults.Down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
@@ -148,8 +153,9 @@
 	}
 }
 
-// pause waits, or reports that the context ended. A wait that is over makes no timer.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if the context ended first. Without a
+// positive duration it creates no timer.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -172,25 +178,26 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	version, body, gone := o.version, o.body, o.deleted
-	if p.stale() {
-		version, body, gone = o.before, o.previous, o.before == 0
+	version, body, deleted := o.version, o.body, o.deleted
+	if p.isStaleRead() {
+		version, body, deleted = o.previousVersion, o.previousBody, o.previousVersion == 0
 	}
-	if gone {
+	if deleted {
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
 	setETag(w, version)
-	_, _ = w.Write(body) // a client that has gone away
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
-// stale reports whether this read is to be answered from the past.
-func (p *Platform) stale() bool {
+// isStaleRead counts a read and reports whether it gets the object's previous state. The
+// caller holds mu.
+func (p *Platform) isStaleRead() bool {
 	if p.faults.StaleReadEvery == 0 {
 		return false
 	}
-	p.reads++
-	return p.reads%p.faults.StaleReadEvery == 0
+	p.faultReads++
+	return p.faultReads%p.faults.StaleReadEvery == 0
 }
 
 func setETag(w http.ResponseWriter, version uint64) {
@@ -211,45 +218,48 @@
 	if o != nil && !o.deleted {
 		current = o.version
 	}
-	want, ok := condition(r)
-	if !ok || want != current {
+	required, ok := requiredVersion(r)
+	if !ok || required != current {
 		p.mu.Unlock()
 		http.Error(w, "another version", http.StatusPreconditionFailed)
 		return
 	}
-	version := p.store(key, body, false)
-	lose := p.losesReply()
+	version := p.writeObject(key, body, false)
+	loseReply := p.losesReply()
 	p.mu.Unlock()
-	if lose {
+	if loseReply {
 		panic(http.ErrAbortHandler) // the connection breaks without a reply
 	}
 	setETag(w, version)
 	w.WriteHeader(http.StatusOK)
 }
 
-// condition reads the version that a write requires, 0 for a new object.
-func condition(r *http.Request) (uint64, bool) {
+// requiredVersion returns the version that a write requires the object to have, 0 if
+// it must not exist; false means that the request states none.
+func requiredVersion(r *http.Request) (uint64, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
-	v, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
-	return v, err == nil
+	version, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
+	return version, err == nil
 }
 
-func (p *Platform) store(key string, body []byte, deleted bool) uint64 {
+// writeObject stores or deletes an object, wakes the watches and returns the new
+// version. The caller holds mu.
+func (p *Platform) writeObject(key string, body []byte, deleted bool) uint64 {
 	o := p.objects[key]
 	if o == nil {
 		o = &object{}
 		p.objects[key] = o
 	}
 	p.revision++
-	o.before, o.previous = o.version, o.body
+	o.previousVersion, o.previousBody = o.version, o.body
 	if o.deleted {
-		o.before = 0
+		o.previousVersion = 0
 	}
 	o.version++
 	o.revision, o.body, o.deleted = p.revision, body, deleted
-	for _, prefix := range historyKeys {
+	for _, prefix := range historyPrefixes {
 		if strings.HasPrefix(key, prefix) {
 			p.history[key] = append(p.history[key], Write{At: time.Now(), Version: o.version, Body: body})
 		}
@@ -259,12 +269,14 @@
 	return o.version
 }
 
+// losesReply counts a write and reports whether its reply is lost. The caller holds
+// mu.
 func (p *Platform) losesReply() bool {
 	if p.faults.LoseReplyEvery == 0 {
 		return false
 	}
-	p.writes++
-	return p.writes%p.faults.LoseReplyEvery == 0
+	p.faultWrites++
+	return p.faultWrites%p.faults.LoseReplyEvery == 0
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
@@ -276,55 +288,56 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	p.store(r.PathValue("key"), nil, true)
+	p.writeObject(r.PathValue("key"), nil, true)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.counts.Lists++
-	list := p.since(r.URL.Query().Get("prefix"), 0, r.URL.Query().Get("bodies") != "")
+	list := p.changedSince(r.URL.Query().Get("prefix"), 0, r.URL.Query().Get("bodies") != "")
 	p.mu.Unlock()
-	reply(w, list)
+	writeJSON(w, list)
 }
 
-// since lists the objects below a prefix that changed after a revision.
-func (p *Platform) since(prefix string, revision uint64, bodies bool) platform.List {
+// changedSince lists the objects below a prefix that changed after a revision,
+// without deleted ones. The caller holds mu.
+func (p *Platform) changedSince(prefix string, revision uint64, bodies bool) platform.List {
 	list := platform.List{Revision: p.revision}
 	for _, key := range slices.Sorted(maps.Keys(p.objects)) {
 		o := p.objects[key]
 		if !strings.HasPrefix(key, prefix) || o.deleted || o.revision <= revision {
 			continue
 		}
-		one := platform.Object{Key: key, Version: o.version}
+		item := platform.Object{Key: key, Version: o.version}
 		if bodies {
-			one.Body = o.body
+			item.Body = o.body
 		}
-		list.Objects = append(list.Objects, one)
+		list.Objects = append(list.Objects, item)
 	}
 	return list
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
-	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // none is from the beginning
+	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // without one, the watch starts at revision 0
 	prefix := r.URL.Query().Get("prefix")
-	limit := time.NewTimer(watchWait)
-	defer limit.Stop()
+	timeout := time.NewTimer(watchTimeout)
+	defer timeout.Stop()
 	p.mu.Lock()
 	p.counts.Watches++
 	p.mu.Unlock()
 	for {
 		p.mu.Lock()
-		list, changed, stuck := p.since(prefix, since, true), p.changed, p.faults.StuckWatch
+		list, changed, stuck := p.changedSince(prefix, since, true), p.changed, p.faults.StuckWatch
 		p.mu.Unlock()
 		if len(list.Objects) > 0 && !stuck {
-			reply(w, list)
+			writeJSON(w, list)
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
-			reply(w, platform.List{Revision: since})
+		case <-timeout.C:
+			writeJSON(w, platform.List{Revision: since})
 			return
 		case <-r.Context().Done():
 			return
@@ -332,23 +345,23 @@
 	}
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone away
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// handleFaults adds the switches to a stand-in.
-func handleFaults[F any](mux *http.ServeMux, get func() F, set func(F)) {
-	mux.HandleFunc("GET /faults", func(w http.ResponseWriter, _ *http.Request) { reply(w, get()) })
+// registerFaultHandlers adds the endpoints that read and replace a stand-in's faults.
+func registerFaultHandlers[F any](mux *http.ServeMux, get func() F, set func(F)) {
+	mux.HandleFunc("GET /faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, get()) })
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
-		var f F
-		d := json.NewDecoder(r.Body)
-		d.DisallowUnknownFields()
-		if err := d.Decode(&f); err != nil {
+		var faults F
+		decoder := json.NewDecoder(r.Body)
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		set(f)
-		reply(w, get())
+		set(faults)
+		writeJSON(w, get())
 	})
 }
--- a/ctl/standin/service.go
+++ b/ctl/standin/service.go
@@ -11,37 +11,40 @@
 	"github.com/pistachioarch/pistachioarch/wire/target"
 )
 
-// ServiceFaults are the switches of a Service.
+// ServiceFaults are the faults that a Service can show.
 type ServiceFaults struct {
-	// Refuse answers 503 with the proof that nothing was started.
+	// Refuse answers orders with 503 and the header that states that the order was
+	// not started.
 	Refuse bool `json:"refuse"`
-	// LoseReplyEvery loses each n-th reply after the order was executed.
+	// LoseReplyEvery breaks the connection of each n-th order after it was executed;
+	// 0 means never.
 	LoseReplyEvery int `json:"lose_reply"`
-	// Freeze lets every request hang after it was executed.
+	// Freeze leaves every order without a reply after it was executed.
 	Freeze bool `json:"freeze"`
-	// SlowMS delays the reply.
+	// SlowMS is the delay added to every reply, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
 }
 
-// Order is one executed request of a Service.
+// Order is the record of one request that a Service executed.
 type Order struct {
-	Call string          `json:"call"`
+	Call string          `json:"call"` // call id
 	Body json.RawMessage `json:"body"`
 }
 
-// Service is a stand-in for a plain service whose calls must not be repeated:
-// it executes every request it gets, and remembers them (GET /v1/orders).
+// Service is a stand-in for a plain service whose calls must not be repeated: it
+// executes every request that it receives, also repeated ones, and records them
+// (GET /v1/orders).
 type Service struct {
-	mu     sync.Mutex
-	faults ServiceFaults
-	orders []Order
-	count  int
+	mu       sync.Mutex
+	faults   ServiceFaults
+	orders   []Order
+	executed int
 }
 
-// NewService returns a service without orders.
+// NewService returns a service that has executed no orders.
 func NewService() *Service { return &Service{} }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the active faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,23 +57,23 @@
 	return s.faults
 }
 
-// Orders returns what was executed, in order.
+// Orders returns the executed orders, in order of execution.
 func (s *Service) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.orders)
 }
 
-// Handler serves the protocol.
+// Handler returns the handler of orders, of the recorded orders and of the faults.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /", s.execute)
-	mux.HandleFunc("GET /v1/orders", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Orders()) })
-	handleFaults(mux, s.currentFaults, s.SetFaults)
+	mux.HandleFunc("GET /v1/orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Orders()) })
+	registerFaultHandlers(mux, s.currentFaults, s.SetFaults)
 	return mux
 }
 
-// receipt is the reply to an order.
+// receipt is the reply to an executed order.
 type receipt struct {
 	Confirmed bool   `json:"confirmed"`
 	Call      string `json:"call"`
@@ -79,12 +82,12 @@
 func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || !json.Valid(body) {
-		http.Error(w, "an order is JSON", http.StatusBadRequest)
+		http.Error(w, "order is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	f := s.faults
-	if f.Refuse {
+	faults := s.faults
+	if faults.Refuse {
 		s.mu.Unlock()
 		w.Header().Set(target.NotStartedHeader, "true")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
@@ -92,19 +95,19 @@
 	}
 	id := r.Header.Get(target.CallHeader)
 	s.orders = append(s.orders, Order{Call: id, Body: body})
-	s.count++
-	lose := f.LoseReplyEvery > 0 && s.count%f.LoseReplyEvery == 0
+	s.executed++
+	loseReply := faults.LoseReplyEvery > 0 && s.executed%faults.LoseReplyEvery == 0
 	s.mu.Unlock()
-	if f.Freeze {
+	if faults.Freeze {
 		<-r.Context().Done()
 		return
 	}
-	if !pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+	if !sleep(r.Context(), time.Duration(faults.SlowMS)*time.Millisecond) {
 		return
 	}
-	if lose {
+	if loseReply {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(target.CallHeader, id)
-	reply(w, receipt{Confirmed: true, Call: id})
+	writeJSON(w, receipt{Confirmed: true, Call: id})
 }
--- /dev/null
+++ b/ctl/standin/turn_engine.go
@@ -0,0 +1,146 @@
+package standin
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/pistachioarch/pistachioarch/wire/ownheaders"
+)
+
+// Run is the record of one request that a TurnEngine ran.
+type Run struct {
+	ID      string // request id
+	Program string
+	Body    string
+	At      time.Time // start
+	// Customer is the customer that the system names in its headers.
+	Customer string
+}
+
+// TurnEngine is a stand-in for a model engine or plain service behind entry hosts. It
+// refuses requests for another target (421) and requests above its capacity (503),
+// streams events, and records the requests that it ran.
+type TurnEngine struct {
+	// ID is the target id; a request that names another target is refused.
+	ID string
+	// Capacity is the number of requests that run at once; others are refused as
+	// not run.
+	Capacity int
+	// Events is the number of events of a stream; EventDelay is the time before each
+	// event, and before a plain answer.
+	Events     int
+	EventDelay time.Duration
+
+	mu     sync.Mutex
+	active int // requests under way
+	runs   []Run
+	// answersToLose is the number of requests whose connection breaks after they ran.
+	answersToLose int
+}
+
+// LoseAnswers makes the engine run the next n requests and break their connections
+// without an answer.
+func (e *TurnEngine) LoseAnswers(n int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.answersToLose = n
+}
+
+// Runs returns the requests that ran so far, in order of their start.
+func (e *TurnEngine) Runs() []Run {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]Run(nil), e.runs...)
+}
+
+// ServeHTTP implements http.Handler. A request with a token limit gets a stream of
+// events, any other a plain answer.
+func (e *TurnEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	id := r.Header.Get(ownheaders.ID)
+	w.Header().Set(ownheaders.ID, id)
+	if r.Header.Get(ownheaders.Target) != e.ID {
+		w.Header().Set(ownheaders.NotRun, "1")
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	loseAnswer, ok := e.startRun(Run{ID: id, Program: r.Header.Get(ownheaders.Program), Body: string(body), At: time.Now(), Customer: r.Header.Get(ownheaders.Customer)})
+	if !ok {
+		w.Header().Set(ownheaders.NotRun, "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	defer e.finishRun()
+	if loseAnswer {
+		time.Sleep(e.EventDelay)
+		panic(http.ErrAbortHandler)
+	}
+	w.Header().Set(ownheaders.Signature, "s-"+id)
+	if r.Header.Get(ownheaders.MaxTokens) == "" {
+		e.answerPlain(w, r, id)
+		return
+	}
+	e.streamEvents(w, r, id)
+}
+
+// startRun records a request that starts. ok is false if the engine is at capacity;
+// loseAnswer says that the connection must break instead of an answer.
+func (e *TurnEngine) startRun(run Run) (loseAnswer, ok bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.active >= e.Capacity {
+		return false, false
+	}
+	e.active++
+	e.runs = append(e.runs, run)
+	if e.answersToLose > 0 {
+		e.answersToLose--
+		return true, true
+	}
+	return false, true
+}
+
+func (e *TurnEngine) finishRun() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.active--
+}
+
+func (e *TurnEngine) answerPlain(w http.ResponseWriter, r *http.Request, id string) {
+	select {
+	case <-time.After(e.EventDelay):
+	case <-r.Context().Done():
+		return
+	}
+	_, _ = io.WriteString(w, "done "+id)
+}
+
+// streamEvents streams the events after the last one that the caller has received.
+func (e *TurnEngine) streamEvents(w http.ResponseWriter, r *http.Request, id string) {
+	w.Header().Set("Content-Type", "text/event-stream")
+	lastEvent, err := strconv.Atoi(r.Header.Get(ownheaders.LastEvent))
+	if err != nil {
+		lastEvent = 0
+	}
+	controller := http.NewResponseController(w)
+	for i := lastEvent + 1; i <= e.Events; i++ {
+		select {
+		case <-time.After(e.EventDelay):
+		case <-r.Context().Done():
+			return
+		}
+		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s.%d\n\n", i, id, i); err != nil {
+			return
+		}
+		if err := controller.Flush(); err != nil {
+			return
+		}
+	}
+}
