--- a/ctl/always/always_test.go
+++ b/ctl/always/always_test.go
@@ -243,7 +243,7 @@
 		for _, calls := range o.calls {
 			all = append(all, calls...)
 		}
-		assert.Empty(t, load.OrderViolations(all))
+		assert.Empty(t, load.SequenceViolations(all))
 	})
 }
 
@@ -301,9 +301,9 @@
 		if !fc.planned {
 			t.Skip("not a planned stop")
 		}
-		assert.Zero(t, o.report.Cut)
+		assert.Zero(t, o.report.Interrupted)
 		assert.Equal(t, o.report.Calls, o.report.Answered)
-		t.Log(o.report.Line("stops"), "cut", o.report.Cut)
+		t.Log(o.report.Summary("stops"), "cut", o.report.Interrupted)
 	})
 }
 
--- a/ctl/always/cluster_test.go
+++ b/ctl/always/cluster_test.go
@@ -271,15 +271,15 @@
 // plan is the callers' side: short and long programs, streamed and not, with
 // sub-agents and orders that must not be repeated.
 func (c *cluster) plan(programs int, seed uint64) load.Plan {
-	kind := load.Kind{Caller: "crew", Token: token, Service: "agent-llm", Words: 8, Pause: 200 * time.Millisecond, MaxTokens: 40}
+	kind := load.Kind{Caller: "crew", Token: token, Service: "agent-llm", QuestionWords: 8, Pause: 200 * time.Millisecond, MaxTokens: 40}
 	short, long, order := kind, kind, kind
 	short.Name, short.Turns = "short", 3
-	long.Name, long.Turns, long.Stream, long.SubAgent = "long", 10, true, 2
-	order.Name, order.Turns, order.Order = "order", 4, "orders"
+	long.Name, long.Turns, long.Stream, long.SubAgentTurns = "long", 10, true, 2
+	order.Name, order.Turns, order.OrderService = "order", 4, "orders"
 	return load.Plan{
 		Hosts: c.callerAddresses(), Kinds: []load.Kind{short, long, order}, Programs: programs, Parallel: 12, Seed: seed,
-		Patience: 10 * time.Minute, Client: c.client,
-		Orders: []string{"http://" + servicePlace + ":80"},
+		RetryTimeout: 10 * time.Minute, Client: c.client,
+		OrderServices: []string{"http://" + servicePlace + ":80"},
 	}
 }
 
--- a/ctl/command/load.go
+++ b/ctl/command/load.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	plan := load.Plan{
-		Hosts: c.CallerHosts, Kinds: kinds, Programs: c.Programs, Parallel: c.Parallel, Seed: c.Seed, Patience: c.Patience,
+		Hosts: c.CallerHosts, Kinds: kinds, Programs: c.Programs, Parallel: c.Parallel, Seed: c.Seed, RetryTimeout: c.Patience,
 		Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Parallel}},
 	}
 	if err := c.standins(&plan); err != nil {
@@ -45,7 +45,7 @@
 	defer func() { _ = progress.Close() }() // each line was checked
 	plan.Progress = func(done int, r load.ProgramResult) {
 		line := fmt.Sprintf("program %s kind=%s calls=%d answered=%d not_run=%d unknown=%d ms=%d",
-			r.Program, r.Kind, r.Calls, r.Answered, r.NotRun, r.Unknown, r.Took.Milliseconds())
+			r.Program, r.Kind, r.Calls, r.Answered, r.NotRun, r.Unknown, r.Duration.Milliseconds())
 		fmt.Fprintln(progress, line)
 		c.app.progress("%d of %d programs", done, c.Programs)
 	}
@@ -76,7 +76,7 @@
 			return err
 		}
 	} else {
-		fmt.Fprintln(c.app.out, r.Line(c.Name))
+		fmt.Fprintln(c.app.out, r.Summary(c.Name))
 	}
 	if len(r.Violations) > 0 {
 		return missed("%d violations", len(r.Violations))
@@ -98,7 +98,7 @@
 		if set.Services[t.Service].Kind == decl.Engine {
 			plan.Engines = append(plan.Engines, url)
 		} else {
-			plan.Orders = append(plan.Orders, url)
+			plan.OrderServices = append(plan.OrderServices, url)
 		}
 	}
 	return nil
--- a/ctl/load/check.go
+++ b/ctl/load/check.go
@@ -14,11 +14,11 @@
 
 // checkOrders compares what callers were told with what was executed.
 func (r *runner) checkOrders(ctx context.Context, report *Report) {
-	if len(r.plan.Orders) == 0 {
+	if len(r.plan.OrderServices) == 0 {
 		return
 	}
 	executed := map[string]int{}
-	for _, url := range r.plan.Orders {
+	for _, url := range r.plan.OrderServices {
 		var orders []standin.Order
 		if err := r.get(ctx, url+"/v1/orders", &orders); err != nil {
 			report.Violations = append(report.Violations, "orders of "+url+" cannot be read: "+err.Error())
@@ -57,7 +57,7 @@
 			calls = append(calls, some...)
 		}
 	}
-	report.Violations = append(report.Violations, OrderViolations(calls)...)
+	report.Violations = append(report.Violations, SequenceViolations(calls)...)
 	limit := time.Now().Add(releaseWithin)
 	for {
 		left := r.heldCache(ctx)
@@ -74,8 +74,8 @@
 	}
 }
 
-// OrderViolations finds calls of a program that were started after a later one.
-func OrderViolations(calls []standin.EngineCall) []string {
+// SequenceViolations finds calls of a program that were started after a later one.
+func SequenceViolations(calls []standin.EngineCall) []string {
 	sort.SliceStable(calls, func(i, j int) bool { return calls[i].At.Before(calls[j].At) })
 	last := map[string]standin.EngineCall{}
 	var bad []string
--- a/ctl/load/kinds.go
+++ b/ctl/load/kinds.go
@@ -29,8 +29,8 @@
 		}
 		k := Kind{
 			Name: strings.Trim(name, `"`), Caller: s.Key("caller").String(), Token: s.Key("token").String(),
-			Service: s.Key("service").String(), Order: s.Key("order").String(),
-			Turns: s.Key("turns").MustInt(1), Words: s.Key("words").MustInt(20), SubAgent: s.Key("sub_agent").MustInt(0),
+			Service: s.Key("service").String(), OrderService: s.Key("order").String(),
+			Turns: s.Key("turns").MustInt(1), QuestionWords: s.Key("words").MustInt(20), SubAgentTurns: s.Key("sub_agent").MustInt(0),
 			Pause: s.Key("pause").MustDuration(50 * time.Millisecond), MaxTokens: s.Key("max_tokens").MustInt64(256),
 			Stream: s.Key("stream").MustBool(false),
 		}
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -24,20 +24,20 @@
 
 // Kind is one sort of agent program.
 type Kind struct {
-	Name      string
-	Caller    string
-	Token     string
-	Service   string
-	Turns     int
-	Words     int // of each question
-	Pause     time.Duration
-	MaxTokens int64
-	Stream    bool
-	// SubAgent starts a sub-agent of so many turns after the first turn.
-	SubAgent int
-	// Order, when set, is the plain service at which the last turn places a
+	Name          string
+	Caller        string
+	Token         string
+	Service       string
+	Turns         int
+	QuestionWords int // of each question
+	Pause         time.Duration
+	MaxTokens     int64
+	Stream        bool
+	// SubAgentTurns starts a sub-agent of so many turns after the first turn.
+	SubAgentTurns int
+	// OrderService, when set, is the plain service at which the last turn places a
 	// non-idempotent order.
-	Order string
+	OrderService string
 }
 
 // Plan is what Run does.
@@ -49,11 +49,11 @@
 	Programs int
 	Parallel int
 	Seed     uint64
-	// Patience bounds how long one call is tried again.
-	Patience time.Duration
-	// Engines and Orders are URLs of stand-ins to check afterwards.
-	Engines, Orders []string
-	Client          *http.Client
+	// RetryTimeout bounds how long one call is tried again.
+	RetryTimeout time.Duration
+	// Engines and OrderServices are URLs of stand-ins to check afterwards.
+	Engines, OrderServices []string
+	Client                 *http.Client
 	// Progress is called after each program.
 	Progress func(done int, r ProgramResult)
 }
@@ -63,32 +63,32 @@
 	Program                          string
 	Kind                             string
 	Calls, Answered, NotRun, Unknown int
-	// Cut counts requests whose connection broke before they were answered.
-	Cut        int
-	Took       time.Duration // without pauses
-	Violations []string
+	// Interrupted counts requests whose connection broke before they were answered.
+	Interrupted int
+	Duration    time.Duration // without pauses
+	Violations  []string
 	// Failures are the errors that ended calls for good.
 	Failures []string
 }
 
 // Report is the sum of a run.
 type Report struct {
-	Programs   int      `json:"programs"`
-	Calls      int      `json:"calls"`
-	Answered   int      `json:"answered"`
-	NotRun     int      `json:"not_run"`
-	Unknown    int      `json:"unknown"`
-	Cut        int      `json:"cut"`
-	Violations []string `json:"violations"`
-	Failures   []string `json:"failures"`
+	Programs    int      `json:"programs"`
+	Calls       int      `json:"calls"`
+	Answered    int      `json:"answered"`
+	NotRun      int      `json:"not_run"`
+	Unknown     int      `json:"unknown"`
+	Interrupted int      `json:"cut"`
+	Violations  []string `json:"violations"`
+	Failures    []string `json:"failures"`
 	// Times are of whole programs, without tool pauses, in milliseconds.
 	P50MS int64 `json:"program_p50_ms"`
 	P95MS int64 `json:"program_p95_ms"`
 	P99MS int64 `json:"program_p99_ms"`
 }
 
-// Line is the closing line of a run.
-func (r *Report) Line(name string) string {
+// Summary is the closing line of a run.
+func (r *Report) Summary(name string) string {
 	return fmt.Sprintf("%s: programs=%d calls=%d answered=%d not_run=%d unknown=%d violations=%d",
 		name, r.Programs, r.Calls, r.Answered, r.NotRun, r.Unknown, len(r.Violations))
 }
@@ -133,7 +133,7 @@
 	for i := range plan.Programs {
 		res := <-results
 		report.add(res)
-		_ = times.RecordValue(max(1, res.Took.Milliseconds())) // in range
+		_ = times.RecordValue(max(1, res.Duration.Milliseconds())) // in range
 		if plan.Progress != nil {
 			plan.Progress(i+1, res)
 		}
@@ -150,7 +150,7 @@
 	r.Answered += p.Answered
 	r.NotRun += p.NotRun
 	r.Unknown += p.Unknown
-	r.Cut += p.Cut
+	r.Interrupted += p.Interrupted
 	r.Violations = append(r.Violations, p.Violations...)
 	r.Failures = append(r.Failures, p.Failures...)
 }
@@ -176,19 +176,19 @@
 	}
 	res.Program = c.id
 	for turn := range k.Turns {
-		if !c.ask(ctx, fmt.Sprintf("program %d turn %d %s", number, turn, strings.Repeat("word ", k.Words))) {
+		if !c.ask(ctx, fmt.Sprintf("program %d turn %d %s", number, turn, strings.Repeat("word ", k.QuestionWords))) {
 			break
 		}
-		if turn == 0 && k.SubAgent > 0 {
+		if turn == 0 && k.SubAgentTurns > 0 {
 			r.subAgent(ctx, c, number, &res)
 		}
 		time.Sleep(k.Pause)
 		paused += k.Pause
 	}
-	if k.Order != "" {
+	if k.OrderService != "" {
 		c.order(ctx, number)
 	}
-	res.Took = time.Since(begun) - paused
+	res.Duration = time.Since(begun) - paused
 	c.end(ctx)
 	return res
 }
@@ -205,7 +205,7 @@
 		res.notCreated(err)
 		return
 	}
-	for turn := range parent.kind.SubAgent {
+	for turn := range parent.kind.SubAgentTurns {
 		if !c.ask(ctx, fmt.Sprintf("sub-agent of %d turn %d", number, turn)) {
 			break
 		}
@@ -231,14 +231,14 @@
 // refused for good, or patience ends. Every request here may be repeated: the
 // system knows it again.
 func (r *runner) persist(ctx context.Context, res *ProgramResult, try func(host string) error) error {
-	limit := time.Now().Add(r.plan.Patience)
+	limit := time.Now().Add(r.plan.RetryTimeout)
 	for {
 		r.mu.Lock()
 		host := r.plan.Hosts[r.rng.IntN(len(r.plan.Hosts))]
 		r.mu.Unlock()
 		err := try(host)
 		if err != nil && failure.From(err).Kind == failure.PeerUnavailable && failure.From(err).Ran != failure.RanNo {
-			res.Cut++
+			res.Interrupted++
 		}
 		if err == nil || final(err) || time.Now().After(limit) || ctx.Err() != nil {
 			return err
@@ -311,7 +311,7 @@
 	id := fmt.Sprintf("order-%d-%d", c.r.plan.Seed, number)
 	body, _ := json.Marshal(map[string]string{"order": id}) // strings
 	no := false
-	_, err := c.send(ctx, api.Call{Sequence: c.sequence, Service: c.kind.Order, Idempotent: &no, Body: body})
+	_, err := c.send(ctx, api.Call{Sequence: c.sequence, Service: c.kind.OrderService, Idempotent: &no, Body: body})
 	outcome := "answered"
 	if !c.count(err) {
 		outcome = string(failure.From(err).Ran)
--- a/ctl/system/process_test.go
+++ b/ctl/system/process_test.go
@@ -82,7 +82,7 @@
 	}
 	orders := "http://" + start(t, false, "listening", ctl, "standin", "service").text("listening")
 	var hosts []*process
-	plan := load.Plan{Programs: 60, Parallel: 10, Seed: 1, Patience: 2 * time.Minute, Engines: engines, Orders: []string{orders}, Client: &http.Client{}}
+	plan := load.Plan{Programs: 60, Parallel: 10, Seed: 1, RetryTimeout: 2 * time.Minute, Engines: engines, OrderServices: []string{orders}, Client: &http.Client{}}
 	seeds := ""
 	for i := range 4 {
 		file := filepath.Join(t.TempDir(), "host.ini")
@@ -101,9 +101,9 @@
 	}
 	_, err := store.New(platform.New(http.DefaultClient, "http://"+plat, "")).Apply(context.Background(), b.String(), "test", host.ConfigObject{}, 0)
 	require.NoError(t, err)
-	kind := load.Kind{Token: "crew-3-secret", Service: "agent-llm", Words: 10, MaxTokens: 40, Turns: 6, Pause: 20 * time.Millisecond}
+	kind := load.Kind{Token: "crew-3-secret", Service: "agent-llm", QuestionWords: 10, MaxTokens: 40, Turns: 6, Pause: 20 * time.Millisecond}
 	ordering, streaming := kind, kind
-	ordering.Order, streaming.Stream, streaming.SubAgent = "orders", true, 2
+	ordering.OrderService, streaming.Stream, streaming.SubAgentTurns = "orders", true, 2
 	plan.Kinds = []load.Kind{kind, ordering, streaming}
 	stopped := make(chan struct{})
 	plan.Progress = func(done int, _ load.ProgramResult) {
@@ -125,7 +125,7 @@
 	assert.Empty(t, r.Violations)
 	assert.Zero(t, r.NotRun, "%v", r.Failures)
 	assert.Equal(t, r.Calls, r.Answered+r.Unknown)
-	t.Log(r.Line("processes"))
+	t.Log(r.Summary("processes"))
 }
 
 // awaitTakeover waits until the lease of the stopped host is revoked.
