--- a/ctl/load/check.go
+++ b/ctl/load/check.go
@@ -12,7 +12,8 @@
 	"github.com/pistachioarch/pistachioarch/ctl/standin"
 )
 
-// checkOrders compares what callers were told with what was executed.
+// checkOrders compares the outcomes that callers received for their orders with the
+// orders that the services executed.
 func (r *runner) checkOrders(ctx context.Context, report *Report) {
 	if len(r.plan.OrderServices) == 0 {
 		return
@@ -31,42 +32,42 @@
 			}
 		}
 	}
-	for id, p := range r.orders {
-		n := executed[id]
-		if n > 1 || p.outcome == "answered" && n == 0 || p.outcome == string(failure.RanNo) && n > 0 {
-			report.Violations = append(report.Violations, fmt.Sprintf("%s: %s was executed %d times, its caller was told %s", p.program, id, n, p.outcome))
+	for id, order := range r.orders {
+		executions := executed[id]
+		if executions > 1 || order.outcome == "answered" && executions == 0 || order.outcome == string(failure.RanNo) && executions > 0 {
+			report.Violations = append(report.Violations, fmt.Sprintf("%s: %s was executed %d times, its caller was told %s", order.program, id, executions, order.outcome))
 		}
 	}
 	sort.Strings(report.Violations)
 }
 
-// releaseWithin is how long an engine may keep the cache of an ended program
-// after the run.
-const releaseWithin = 10 * time.Second
+// releaseTimeout bounds how long after the run an engine may still cache a program that
+// has ended.
+const releaseTimeout = 10 * time.Second
 
-// checkEngines checks the order in which calls were started, and that no cache
-// is left of programs that have ended.
+// checkEngines checks the order in which the engines started the calls of each
+// program, and that no engine still caches a program that has ended.
 func (r *runner) checkEngines(ctx context.Context, report *Report) {
 	if len(r.plan.Engines) == 0 {
 		return
 	}
 	var calls []standin.EngineCall
 	for _, url := range r.plan.Engines {
-		var some []standin.EngineCall
-		if r.get(ctx, url+"/v1/calls", &some) == nil { // one that was killed knows nothing
-			calls = append(calls, some...)
+		var engineCalls []standin.EngineCall
+		if r.get(ctx, url+"/v1/calls", &engineCalls) == nil { // an engine that was killed has no record
+			calls = append(calls, engineCalls...)
 		}
 	}
 	report.Violations = append(report.Violations, SequenceViolations(calls)...)
-	limit := time.Now().Add(releaseWithin)
+	giveUpAt := time.Now().Add(releaseTimeout)
 	for {
-		left := r.heldCache(ctx)
-		if len(left) == 0 {
+		remaining := r.programsStillCached(ctx)
+		if len(remaining) == 0 {
 			return
 		}
-		if time.Now().After(limit) {
-			for _, l := range left {
-				report.Violations = append(report.Violations, l+": cache is kept after its end")
+		if time.Now().After(giveUpAt) {
+			for _, program := range remaining {
+				report.Violations = append(report.Violations, program+": still cached after the end of the program")
 			}
 			return
 		}
@@ -74,44 +75,47 @@
 	}
 }
 
-// SequenceViolations finds calls of a program that were started after a later one.
+// SequenceViolations returns a text for each call that was started after a later call of
+// its program. It sorts calls by their start.
 func SequenceViolations(calls []standin.EngineCall) []string {
 	sort.SliceStable(calls, func(i, j int) bool { return calls[i].At.Before(calls[j].At) })
-	last := map[string]standin.EngineCall{}
-	var bad []string
+	latest := map[string]standin.EngineCall{}
+	var violations []string
 	for _, c := range calls {
-		before := last[c.Program]
-		if c.Sequence < before.Sequence {
-			bad = append(bad, fmt.Sprintf("%s: call %d (%s, epoch %d) was started %s after call %d (%s, epoch %d)",
-				c.Program, c.Sequence, c.ID, c.Epoch, c.At.Sub(before.At), before.Sequence, before.ID, before.Epoch))
+		previous := latest[c.Program]
+		if c.Sequence < previous.Sequence {
+			violations = append(violations, fmt.Sprintf("%s: call %d (%s, epoch %d) was started %s after call %d (%s, epoch %d)",
+				c.Program, c.Sequence, c.ID, c.Epoch, c.At.Sub(previous.At), previous.Sequence, previous.ID, previous.Epoch))
 			continue
 		}
-		last[c.Program] = c
+		latest[c.Program] = c
 	}
-	return bad
+	return violations
 }
 
-func (r *runner) heldCache(ctx context.Context) []string {
-	held := map[string]bool{}
+// programsStillCached returns the ended programs that an engine caches.
+func (r *runner) programsStillCached(ctx context.Context) []string {
+	cached := map[string]bool{}
 	for _, url := range r.plan.Engines {
 		var cache struct {
 			Programs []string `json:"programs"`
 		}
-		if r.get(ctx, url+"/v1/cache", &cache) == nil { // one that was killed keeps nothing
+		if r.get(ctx, url+"/v1/cache", &cache) == nil { // an engine that was killed caches nothing
 			for _, p := range cache.Programs {
-				held[p] = true
+				cached[p] = true
 			}
 		}
 	}
-	var left []string
-	for _, p := range r.ended {
-		if held[p] {
-			left = append(left, p)
+	var remaining []string
+	for _, p := range r.endedPrograms {
+		if cached[p] {
+			remaining = append(remaining, p)
 		}
 	}
-	return left
+	return remaining
 }
 
+// get decodes the JSON at a URL into out.
 func (r *runner) get(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -121,6 +125,6 @@
 	if err != nil {
 		return failure.Wrap(err, failure.TargetFailed, "%s", url)
 	}
-	defer func() { _ = resp.Body.Close() }() // decoded
+	defer func() { _ = resp.Body.Close() }() // the body has been decoded
 	return failure.Wrap(json.NewDecoder(resp.Body).Decode(out), failure.TargetFailed, "%s", url)
 }
--- a/ctl/load/kinds.go
+++ b/ctl/load/kinds.go
@@ -10,34 +10,37 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// ReadKinds reads a plan file: one section [kind "name"] for each sort of
-// program, with the keys of Kind in lower case and underscores.
+// ReadKinds reads the kinds of programs from a plan file (INI). Each has a section
+// [kind "name"] with the keys caller, token, service, order (Kind.OrderService),
+// turns (default 1), words (Kind.QuestionWords, default 20), sub_agent
+// (Kind.SubAgentTurns), pause (default 50ms), max_tokens (default 256) and stream.
+// Token and service are required. Its failures are of kind Usage.
 func ReadKinds(path string) ([]Kind, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Usage, "plan")
 	}
-	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
+	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Usage, "plan %s", path)
 	}
 	var kinds []Kind
-	for _, s := range f.Sections() {
-		name, ok := strings.CutPrefix(s.Name(), "kind ")
+	for _, section := range file.Sections() {
+		name, ok := strings.CutPrefix(section.Name(), "kind ")
 		if !ok {
 			continue
 		}
-		k := Kind{
-			Name: strings.Trim(name, `"`), Caller: s.Key("caller").String(), Token: s.Key("token").String(),
-			Service: s.Key("service").String(), OrderService: s.Key("order").String(),
-			Turns: s.Key("turns").MustInt(1), QuestionWords: s.Key("words").MustInt(20), SubAgentTurns: s.Key("sub_agent").MustInt(0),
-			Pause: s.Key("pause").MustDuration(50 * time.Millisecond), MaxTokens: s.Key("max_tokens").MustInt64(256),
-			Stream: s.Key("stream").MustBool(false),
+		kind := Kind{
+			Name: strings.Trim(name, `"`), Caller: section.Key("caller").String(), Token: section.Key("token").String(),
+			Service: section.Key("service").String(), OrderService: section.Key("order").String(),
+			Turns: section.Key("turns").MustInt(1), QuestionWords: section.Key("words").MustInt(20), SubAgentTurns: section.Key("sub_agent").MustInt(0),
+			Pause: section.Key("pause").MustDuration(50 * time.Millisecond), MaxTokens: section.Key("max_tokens").MustInt64(256),
+			Stream: section.Key("stream").MustBool(false),
 		}
-		if k.Token == "" || k.Service == "" {
-			return nil, failure.New(failure.Usage, "plan %s: kind %q needs a token and a service", path, k.Name)
+		if kind.Token == "" || kind.Service == "" {
+			return nil, failure.New(failure.Usage, "plan %s: kind %q needs a token and a service", path, kind.Name)
 		}
-		kinds = append(kinds, k)
+		kinds = append(kinds, kind)
 	}
 	if len(kinds) == 0 {
 		return nil, failure.New(failure.Usage, "plan %s has no kinds", path)
