--- a/ctl/command/replay.go
+++ b/ctl/command/replay.go
@@ -62,7 +62,7 @@
 
 // print writes one JSON object for each policy, or a table, and checks the
 // product's policy against the wanted outcome; the baselines are only shown.
-func (c *replayCommand) print(results []*replay.Result, want *replay.Want) error {
+func (c *replayCommand) print(results []*replay.Result, want *replay.ExpectedOutcome) error {
 	if c.app.globals.Output == "json" {
 		e := json.NewEncoder(c.app.out)
 		for _, r := range results {
@@ -96,7 +96,7 @@
 	return c.app.print(results, "TRACE\tPOLICY\tP50 MS\tP95 MS\tP99 MS\tMAX MS\tWASTED\tCOMPLETED\tNOT RUN\tUNKNOWN\tVIOLATIONS", rows)
 }
 
-func readTrace(path string) (*replay.Trace, *replay.Want, error) {
+func readTrace(path string) (*replay.Trace, *replay.ExpectedOutcome, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, nil, failure.Wrap(err, failure.Usage, "trace")
@@ -110,7 +110,7 @@
 	if os.IsNotExist(err) {
 		return t, nil, nil
 	}
-	want := &replay.Want{}
+	want := &replay.ExpectedOutcome{}
 	if err == nil {
 		err = json.Unmarshal(body, want)
 	}
--- a/ctl/replay/engine.go
+++ b/ctl/replay/engine.go
@@ -72,7 +72,7 @@
 
 // start fills the batch from those that wait.
 func (e *engine) start() {
-	for !e.frozen && len(e.running) < e.header.Batch && len(e.waiting) > 0 {
+	for !e.frozen && len(e.running) < e.header.BatchSize && len(e.waiting) > 0 {
 		best := 0
 		for i, c := range e.waiting {
 			if c.send.Priority > e.waiting[best].send.Priority {
--- a/ctl/replay/recovery_test.go
+++ b/ctl/replay/recovery_test.go
@@ -34,7 +34,7 @@
 	trace := recoveryTrace(b, 200, 100, 200, `{"at_ms":5000,"fault":"host_dies","host":"h1"}`)
 	var longest float64
 	for b.Loop() {
-		r, err := RunWith(trace, sched.PolicyDefault, 1, host.Config{})
+		r, err := RunWithConfig(trace, sched.PolicyDefault, 1, host.Config{})
 		require.NoError(b, err)
 		require.Zero(b, r.Violations+r.NotRun+r.Unknown)
 		longest = r.Latency.Max - r.Latency.P50
--- a/ctl/replay/regress_test.go
+++ b/ctl/replay/regress_test.go
@@ -55,7 +55,7 @@
 		}
 		trace, err := Read(strings.NewReader(text + strings.TrimSpace(faults)))
 		require.NoError(t, err, name)
-		r, err := RunWith(trace, sched.PolicyDefault, 1, host.Config{Slots: 8})
+		r, err := RunWithConfig(trace, sched.PolicyDefault, 1, host.Config{Slots: 8})
 		require.NoError(t, err, name)
 		assert.Zero(t, r.Violations, "%s: %v", name, r.ViolationTexts)
 		assert.Zero(t, r.NotRun, "%s: %v", name, r.FailureTexts)
--- a/ctl/replay/replay_test.go
+++ b/ctl/replay/replay_test.go
@@ -116,7 +116,7 @@
 	}
 	for i := range 3 {
 		tr.Header.Targets = append(tr.Header.Targets, HeaderTarget{
-			Name: fmt.Sprintf("e%d", i+1), Service: "s", DataCentre: centres[i%2], Batch: 2, CacheTokens: 2000, PrefillMS: 0.05, DecodeMS: 5, ReportLagMS: 500,
+			Name: fmt.Sprintf("e%d", i+1), Service: "s", DataCentre: centres[i%2], BatchSize: 2, CacheTokens: 2000, PrefillMS: 0.05, DecodeMS: 5, ReportLagMS: 500,
 		})
 	}
 	yes, no := true, false
@@ -159,7 +159,7 @@
 		begin.Fault, end.Fault, end.Target = FaultTargetFreezes, FaultTargetReturns, begin.Target
 	case 3:
 		begin.DataCentre = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "centre")
-		begin.Fault, end.Fault, end.DataCentre = FaultCentreCut, FaultCentreHeals, begin.DataCentre
+		begin.Fault, end.Fault, end.DataCentre = FaultDataCentrePartitioned, FaultDataCentreHeals, begin.DataCentre
 	default:
 		begin.Fault, end.Fault = FaultPlatformDown, FaultPlatformUp
 	}
@@ -202,7 +202,7 @@
 
 func holdsUnderFaults(t *rapid.T) {
 	tr := randomTrace(t)
-	r, err := RunWith(tr, sched.PolicyDefault, 1, host.Config{Slots: 8})
+	r, err := RunWithConfig(tr, sched.PolicyDefault, 1, host.Config{Slots: 8})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, schedule(tr))
 	}
--- a/ctl/replay/run.go
+++ b/ctl/replay/run.go
@@ -51,11 +51,11 @@
 
 // Run replays a trace under one policy.
 func Run(t *Trace, policy string, seed uint64) (*Result, error) {
-	return RunWith(t, policy, seed, host.Config{})
+	return RunWithConfig(t, policy, seed, host.Config{})
 }
 
-// RunWith is Run with other settings of the hosts; zero ones are the defaults.
-func RunWith(t *Trace, policy string, seed uint64, settings host.Config) (*Result, error) {
+// RunWithConfig is Run with other settings of the hosts; zero ones are the defaults.
+func RunWithConfig(t *Trace, policy string, seed uint64, settings host.Config) (*Result, error) {
 	w, err := newWorld(t, policy, seed, settings)
 	if err != nil {
 		return nil, err
@@ -96,10 +96,10 @@
 }
 
 // Check reports how the result misses the wanted outcome; nil when it holds.
-func (w Want) Check(r *Result) error {
-	if r.Completed < w.CompletedMin || r.NotRun > w.NotRunMax || r.Unknown > w.UnknownMax || r.Violations > w.Violations {
+func (w ExpectedOutcome) Check(r *Result) error {
+	if r.Completed < w.MinCompleted || r.NotRun > w.MaxNotRun || r.Unknown > w.MaxUnknown || r.Violations > w.MaxViolations {
 		return failure.New(failure.OutcomeMissed, "%s under %s: completed=%d (at least %d) not_run=%d (at most %d) unknown=%d (at most %d) violations=%d (at most %d)",
-			r.Trace, r.Policy, r.Completed, w.CompletedMin, r.NotRun, w.NotRunMax, r.Unknown, w.UnknownMax, r.Violations, w.Violations)
+			r.Trace, r.Policy, r.Completed, w.MinCompleted, r.NotRun, w.MaxNotRun, r.Unknown, w.MaxUnknown, r.Violations, w.MaxViolations)
 	}
 	return nil
 }
--- a/ctl/replay/trace.go
+++ b/ctl/replay/trace.go
@@ -41,7 +41,7 @@
 	Name        string  `json:"name"`
 	Service     string  `json:"service"`
 	DataCentre  string  `json:"data_centre"`
-	Batch       int     `json:"batch"`
+	BatchSize   int     `json:"batch"`
 	CacheTokens int64   `json:"cache_tokens"`
 	PrefillMS   float64 `json:"prefill_ms"`
 	DecodeMS    float64 `json:"decode_ms"`
@@ -70,16 +70,16 @@
 
 // The faults of a trace.
 const (
-	FaultTargetDies    = "target_dies"
-	FaultTargetReturns = "target_returns"
-	FaultTargetFreezes = "target_freezes"
-	FaultTargetLeaves  = "target_leaves"
-	FaultHostDies      = "host_dies"
-	FaultHostReturns   = "host_returns"
-	FaultCentreCut     = "data_centre_cut"
-	FaultCentreHeals   = "data_centre_heals"
-	FaultPlatformDown  = "platform_down"
-	FaultPlatformUp    = "platform_up"
+	FaultTargetDies            = "target_dies"
+	FaultTargetReturns         = "target_returns"
+	FaultTargetFreezes         = "target_freezes"
+	FaultTargetDrains          = "target_leaves"
+	FaultHostDies              = "host_dies"
+	FaultHostReturns           = "host_returns"
+	FaultDataCentrePartitioned = "data_centre_cut"
+	FaultDataCentreHeals       = "data_centre_heals"
+	FaultPlatformDown          = "platform_down"
+	FaultPlatformUp            = "platform_up"
 )
 
 // Program is one agent program of a trace.
@@ -97,12 +97,12 @@
 	Faults   []Line     // in order of time
 }
 
-// Want is the outcome that must hold for a trace.
-type Want struct {
-	CompletedMin int `json:"completed_min"`
-	NotRunMax    int `json:"not_run_max"`
-	UnknownMax   int `json:"unknown_max"`
-	Violations   int `json:"violations"`
+// ExpectedOutcome is the outcome that must hold for a trace.
+type ExpectedOutcome struct {
+	MinCompleted  int `json:"completed_min"`
+	MaxNotRun     int `json:"not_run_max"`
+	MaxUnknown    int `json:"unknown_max"`
+	MaxViolations int `json:"violations"`
 }
 
 // Read reads a trace. Its errors name the line.
--- a/ctl/replay/workloads.go
+++ b/ctl/replay/workloads.go
@@ -19,17 +19,17 @@
 // long conversations of supervisors, a hot caller, loops and hung tools.
 func mizuchi(name string, seed uint64, load, burst float64, faults []Line) Workload {
 	return Workload{
-		Name: name, LinkMS: 1.5, ClientMS: 1, Centres: []string{"sapporo-a", "sapporo-b", "asahikawa", "hakodate"}, Hosts: 8,
-		Callers: 40, HotShare: 0.2, SpanMS: 120_000, Burst: burst, Faults: faults, DrawnFrom: seed,
+		Name: name, LinkMS: 1.5, ClientMS: 1, DataCentres: []string{"sapporo-a", "sapporo-b", "asahikawa", "hakodate"}, HostCount: 8,
+		CallerCount: 40, HotCallerShare: 0.2, ArrivalSpanMS: 120_000, BurstFactor: burst, Faults: faults, Seed: seed,
 		Services: []WorkloadService{
-			{Name: "agent-llm", Objective: "latency", Engines: 9, Batch: 8, Cache: 120_000, Kinds: []WorkloadKind{
-				{Name: "crew", Programs: scale(850, load), Turns: [2]int{1, 5}, Prompt: [2]int{100, 600}, Output: [2]int{60, 260}, PauseMS: [2]float64{300, 4000}, Orders: 0.3},
-				{Name: "supervisor", Programs: scale(30, load), Turns: [2]int{15, 90}, Prompt: [2]int{200, 2500}, Output: [2]int{120, 600}, PauseMS: [2]float64{500, 8000}, SubAgent: 0.8, Hung: 0.1, HungMS: 60_000},
-				{Name: "loop", Programs: scale(4, load), Turns: [2]int{80, 120}, Prompt: [2]int{60, 120}, Output: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
+			{Name: "agent-llm", Objective: "latency", EngineCount: 9, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
+				{Name: "crew", ProgramCount: scale(850, load), Turns: [2]int{1, 5}, PromptTokens: [2]int{100, 600}, OutputTokens: [2]int{60, 260}, PauseMS: [2]float64{300, 4000}, OrderProbability: 0.3},
+				{Name: "supervisor", ProgramCount: scale(30, load), Turns: [2]int{15, 90}, PromptTokens: [2]int{200, 2500}, OutputTokens: [2]int{120, 600}, PauseMS: [2]float64{500, 8000}, SubAgentProbability: 0.8, HungToolProbability: 0.1, HungToolMS: 60_000},
+				{Name: "loop", ProgramCount: scale(4, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
 			}},
-			{Name: "crew-app", Objective: "latency", Engines: 11, Batch: 8, Cache: 120_000, Kinds: []WorkloadKind{
-				{Name: "trace", Programs: scale(850, load), Turns: [2]int{2, 8}, Prompt: [2]int{200, 1500}, Output: [2]int{60, 300}, PauseMS: [2]float64{200, 3000}, Orders: 0.2},
-				{Name: "sweep", Programs: scale(35, load), Turns: [2]int{15, 80}, Prompt: [2]int{300, 1500}, Output: [2]int{150, 500}, PauseMS: [2]float64{500, 6000}, SubAgent: 0.3},
+			{Name: "crew-app", Objective: "latency", EngineCount: 11, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
+				{Name: "trace", ProgramCount: scale(850, load), Turns: [2]int{2, 8}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{60, 300}, PauseMS: [2]float64{200, 3000}, OrderProbability: 0.2},
+				{Name: "sweep", ProgramCount: scale(35, load), Turns: [2]int{15, 80}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 6000}, SubAgentProbability: 0.3},
 			}},
 		},
 	}
@@ -38,17 +38,17 @@
 // muscat is bookings: quotes, and long funeral orders that reuse their context.
 func muscat(name string, seed uint64, load, burst float64, faults []Line) Workload {
 	return Workload{
-		Name: name, LinkMS: 1.5, ClientMS: 3, Centres: []string{"seeb", "bawshar", "ruwi", "qurum"}, Hosts: 7,
-		Callers: 30, HotShare: 0.15, SpanMS: 150_000, Burst: burst, Faults: faults, DrawnFrom: seed,
+		Name: name, LinkMS: 1.5, ClientMS: 3, DataCentres: []string{"seeb", "bawshar", "ruwi", "qurum"}, HostCount: 7,
+		CallerCount: 30, HotCallerShare: 0.15, ArrivalSpanMS: 150_000, BurstFactor: burst, Faults: faults, Seed: seed,
 		Services: []WorkloadService{
-			{Name: "agent-llm", Objective: "cache", Engines: 14, Batch: 8, Cache: 120_000, Kinds: []WorkloadKind{
-				{Name: "quote", Programs: scale(420, load), Turns: [2]int{2, 6}, Prompt: [2]int{300, 1500}, Output: [2]int{150, 500}, PauseMS: [2]float64{500, 8000}, Orders: 0.3},
-				{Name: "funeral", Programs: scale(170, load), Turns: [2]int{8, 30}, Prompt: [2]int{300, 3000}, Output: [2]int{150, 500}, PauseMS: [2]float64{1000, 15_000}, Orders: 0.8, SubAgent: 0.2, Hung: 0.05, HungMS: 60_000},
+			{Name: "agent-llm", Objective: "cache", EngineCount: 14, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
+				{Name: "quote", ProgramCount: scale(420, load), Turns: [2]int{2, 6}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 8000}, OrderProbability: 0.3},
+				{Name: "funeral", ProgramCount: scale(170, load), Turns: [2]int{8, 30}, PromptTokens: [2]int{300, 3000}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{1000, 15_000}, OrderProbability: 0.8, SubAgentProbability: 0.2, HungToolProbability: 0.05, HungToolMS: 60_000},
 			}},
-			{Name: "booking-app", Objective: "cache", Engines: 15, Batch: 8, Cache: 120_000, Kinds: []WorkloadKind{
-				{Name: "booking", Programs: scale(600, load), Turns: [2]int{3, 10}, Prompt: [2]int{200, 1500}, Output: [2]int{80, 350}, PauseMS: [2]float64{300, 5000}, Orders: 0.5},
-				{Name: "plan", Programs: scale(90, load), Turns: [2]int{10, 30}, Prompt: [2]int{500, 2500}, Output: [2]int{200, 500}, PauseMS: [2]float64{1000, 10_000}},
-				{Name: "loop", Programs: scale(3, load), Turns: [2]int{80, 120}, Prompt: [2]int{60, 120}, Output: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
+			{Name: "booking-app", Objective: "cache", EngineCount: 15, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
+				{Name: "booking", ProgramCount: scale(600, load), Turns: [2]int{3, 10}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{80, 350}, PauseMS: [2]float64{300, 5000}, OrderProbability: 0.5},
+				{Name: "plan", ProgramCount: scale(90, load), Turns: [2]int{10, 30}, PromptTokens: [2]int{500, 2500}, OutputTokens: [2]int{200, 500}, PauseMS: [2]float64{1000, 10_000}},
+				{Name: "loop", ProgramCount: scale(3, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
 			}},
 		},
 	}
@@ -62,19 +62,19 @@
 	{AtMS: 50_000, Fault: FaultTargetFreezes, Target: "e12"},
 	{AtMS: 55_000, Fault: FaultPlatformUp},
 	{AtMS: 60_000, Fault: FaultHostReturns, Host: "h1"},
-	{AtMS: 70_000, Fault: FaultCentreCut, DataCentre: "hakodate"},
+	{AtMS: 70_000, Fault: FaultDataCentrePartitioned, DataCentre: "hakodate"},
 	{AtMS: 80_000, Fault: FaultTargetReturns, Target: "e12"},
-	{AtMS: 95_000, Fault: FaultCentreHeals, DataCentre: "hakodate"},
-	{AtMS: 100_000, Fault: FaultTargetLeaves, Target: "e5"},
+	{AtMS: 95_000, Fault: FaultDataCentreHeals, DataCentre: "hakodate"},
+	{AtMS: 100_000, Fault: FaultTargetDrains, Target: "e5"},
 }
 
 var muscatFaults = []Line{
 	{AtMS: 10_000, Fault: FaultTargetFreezes, Target: "e2"},
 	{AtMS: 25_000, Fault: FaultHostDies, Host: "h4"},
 	{AtMS: 40_000, Fault: FaultTargetReturns, Target: "e2"},
-	{AtMS: 45_000, Fault: FaultTargetLeaves, Target: "e20"},
-	{AtMS: 60_000, Fault: FaultCentreCut, DataCentre: "qurum"},
-	{AtMS: 80_000, Fault: FaultCentreHeals, DataCentre: "qurum"},
+	{AtMS: 45_000, Fault: FaultTargetDrains, Target: "e20"},
+	{AtMS: 60_000, Fault: FaultDataCentrePartitioned, DataCentre: "qurum"},
+	{AtMS: 80_000, Fault: FaultDataCentreHeals, DataCentre: "qurum"},
 	{AtMS: 90_000, Fault: FaultPlatformDown},
 	{AtMS: 100_000, Fault: FaultTargetDies, Target: "e10"},
 	{AtMS: 120_000, Fault: FaultPlatformUp},
--- a/ctl/replay/world.go
+++ b/ctl/replay/world.go
@@ -93,7 +93,7 @@
 	}
 	for _, t := range w.trace.Header.Targets {
 		fmt.Fprintf(&b, "[target %q]\nservice = %s\ndata_centre = %s\nurl = http://%s\nbatch = %d\ncache_tokens = %d\nprefill = %s\ndecode = %s\nleaving = %v\n",
-			t.Name, t.Service, t.DataCentre, t.Name, t.Batch, t.CacheTokens, simclock.Milliseconds(t.PrefillMS), simclock.Milliseconds(t.DecodeMS), w.leaving[t.Name])
+			t.Name, t.Service, t.DataCentre, t.Name, t.BatchSize, t.CacheTokens, simclock.Milliseconds(t.PrefillMS), simclock.Milliseconds(t.DecodeMS), w.leaving[t.Name])
 	}
 	w.config++
 	body, err := json.Marshal(host.ConfigObject{Version: w.config, Nonce: "replay", Text: b.String()})
@@ -308,7 +308,7 @@
 		t.start()
 	case FaultTargetFreezes:
 		w.engines[f.Target].frozen = true
-	case FaultTargetLeaves:
+	case FaultTargetDrains:
 		w.leaving[f.Target] = true
 		_ = w.declare() // the text was encoded once
 	case FaultHostDies:
@@ -317,9 +317,9 @@
 		if e := w.byName[f.Host]; !e.alive {
 			_ = e.start() // the settings were checked at the first start
 		}
-	case FaultCentreCut:
+	case FaultDataCentrePartitioned:
 		w.cut[f.DataCentre] = true
-	case FaultCentreHeals:
+	case FaultDataCentreHeals:
 		delete(w.cut, f.DataCentre)
 	case FaultPlatformDown:
 		w.platform.down = true
