--- a/ctl/replay/audit.go
+++ b/ctl/replay/audit.go
@@ -8,104 +8,112 @@
 	"github.com/pistachioarch/pistachioarch/core/ident"
 )
 
-// audit judges by what the engines did and the callers got.
+// audit checks the calls that engines ran and the answers that callers received.
 type audit struct {
-	w       *world
-	started map[ident.Program]map[uint32]int // attempts that an engine began, by call
-	last    map[ident.Program]uint32
-	over    map[ident.Program]bool
-	history map[ident.Program]int64 // tokens, as engines must see them
-	notes   map[host.NoteKind]int
+	sim           *simulation
+	attempts      map[ident.Program]map[uint32]int // attempts that an engine started, by sequence
+	latest        map[ident.Program]uint32         // latest sequence that an engine started
+	endedPrograms map[ident.Program]bool           // ended by their callers
+	history       map[ident.Program]int64          // in tokens
+	noteCounts    map[host.NoteKind]int
 }
 
-func newAudit(w *world) *audit {
+func newAudit(sim *simulation) *audit {
 	return &audit{
-		w: w, started: map[ident.Program]map[uint32]int{}, last: map[ident.Program]uint32{}, over: map[ident.Program]bool{},
-		history: map[ident.Program]int64{}, notes: map[host.NoteKind]int{},
+		sim: sim, attempts: map[ident.Program]map[uint32]int{}, latest: map[ident.Program]uint32{}, endedPrograms: map[ident.Program]bool{},
+		history: map[ident.Program]int64{}, noteCounts: map[host.NoteKind]int{},
 	}
 }
 
-// maxViolationTexts bounds the violations that are kept with their text.
+// maxViolationTexts bounds the violations, and the failures, whose texts a result
+// contains.
 const maxViolationTexts = 20
 
-func (a *audit) violate(format string, args ...any) {
-	r := a.w.result
-	r.Violations++
-	if len(r.ViolationTexts) < maxViolationTexts {
-		r.ViolationTexts = append(r.ViolationTexts, fmt.Sprintf("%s: ", a.w.Now()-settleBefore)+fmt.Sprintf(format, args...))
+// recordViolation counts a violation. Its text begins with the time in the trace.
+func (a *audit) recordViolation(format string, args ...any) {
+	result := a.sim.result
+	result.Violations++
+	if len(result.ViolationTexts) < maxViolationTexts {
+		result.ViolationTexts = append(result.ViolationTexts, fmt.Sprintf("%s: ", a.sim.Now()-startupTime)+fmt.Sprintf(format, args...))
 	}
 }
 
-// started notes that an engine begins a call, and returns the tokens of its
-// history.
-func (w *world) started(e *engine, c *engineCall) int64 {
-	a, id := w.audit, c.send.Call
-	if a.started[id.Program] == nil {
-		a.started[id.Program] = map[uint32]int{}
+// recordStart checks a call that an engine starts: its repetition, order and history.
+// It returns the tokens of the history.
+func (sim *simulation) recordStart(e *engine, c *engineCall) int64 {
+	a, id := sim.audit, c.send.Call
+	if a.attempts[id.Program] == nil {
+		a.attempts[id.Program] = map[uint32]int{}
 	}
-	a.started[id.Program][id.Sequence]++
-	r := w.callers.byID[id.Program]
-	line := r.p.Calls[id.Sequence]
-	if line.Idempotent != nil && !*line.Idempotent && a.started[id.Program][id.Sequence] > 1 {
-		a.violate("%s call %d, which must not be repeated, ran again at %s", r.p.Name, id.Sequence, e.header.Name)
+	a.attempts[id.Program][id.Sequence]++
+	r := sim.callers.byID[id.Program]
+	line := r.program.Calls[id.Sequence]
+	if line.Idempotent != nil && !*line.Idempotent && a.attempts[id.Program][id.Sequence] > 1 {
+		a.recordViolation("%s call %d is not idempotent, but ran again at %s", r.program.Name, id.Sequence, e.header.Name)
 	}
-	if id.Sequence < a.last[id.Program] {
-		a.violate("%s call %d was started after call %d", r.p.Name, id.Sequence, a.last[id.Program])
+	if id.Sequence < a.latest[id.Program] {
+		a.recordViolation("%s call %d was started after call %d", r.program.Name, id.Sequence, a.latest[id.Program])
 	}
-	a.last[id.Program] = max(a.last[id.Program], id.Sequence)
+	a.latest[id.Program] = max(a.latest[id.Program], id.Sequence)
 	if len(c.send.History) != int(id.Sequence) {
-		a.violate("%s call %d came with a history of %d calls", r.p.Name, id.Sequence, len(c.send.History))
+		a.recordViolation("%s call %d was sent with a history of %d calls", r.program.Name, id.Sequence, len(c.send.History))
 	}
 	for i, t := range c.send.History {
 		if string(t.Answer) != string(answerFor(id.Program, uint32(i))) {
-			a.violate("%s call %d came with another program's history", r.p.Name, id.Sequence)
+			a.recordViolation("%s call %d was sent with the history of another program", r.program.Name, id.Sequence)
 		}
 	}
 	tokens := int64(0)
 	for i := range id.Sequence {
-		tokens += r.p.Calls[i].PromptTokens + r.p.Calls[i].OutputTokens
+		tokens += r.program.Calls[i].PromptTokens + r.program.Calls[i].OutputTokens
 	}
 	return tokens
 }
 
-func (w *world) recomputed(tokens int64) { w.result.RecomputedTokens += tokens }
+// recordRecomputedTokens counts history tokens that were not in the engine's cache.
+func (sim *simulation) recordRecomputedTokens(tokens int64) { sim.result.RecomputedTokens += tokens }
 
-func (a *audit) answered(r *running, l Line, out host.Outcome) {
+// checkAnswer checks that a call got its own answer.
+func (a *audit) checkAnswer(r *programRun, l Line, out host.Outcome) {
 	if string(out.Answer) != string(answerFor(r.id, l.Sequence)) {
-		a.violate("%s call %d was answered %q", r.p.Name, l.Sequence, out.Answer)
+		a.recordViolation("%s call %d was answered %q", r.program.Name, l.Sequence, out.Answer)
 	}
 }
 
-func (a *audit) gaveUp(r *running, f *failure.Failure) {
-	texts := &a.w.result.FailureTexts
+// recordFailure checks the final failure of a program's call: one that states that the
+// call did not run must be true.
+func (a *audit) recordFailure(r *programRun, f *failure.Failure) {
+	texts := &a.sim.result.FailureTexts
 	if len(*texts) < maxViolationTexts {
-		*texts = append(*texts, fmt.Sprintf("%s: %s call %d: %s", a.w.Now()-settleBefore, r.p.Name, r.at, f))
+		*texts = append(*texts, fmt.Sprintf("%s: %s call %d: %s", a.sim.Now()-startupTime, r.program.Name, r.nextCall, f))
 	}
 	if f.Ran != failure.RanNo || r.id == "" {
 		return
 	}
-	if n := a.started[r.id][uint32(r.at)]; n > 0 {
-		a.violate("%s call %d was told not run, but ran", r.p.Name, r.at)
+	if n := a.attempts[r.id][uint32(r.nextCall)]; n > 0 {
+		a.recordViolation("%s call %d failed as not run, but an engine started it", r.program.Name, r.nextCall)
 	}
 }
 
-func (a *audit) ended(id ident.Program) {
-	a.over[id] = true
-	for _, name := range a.w.engineNames() {
-		a.w.engines[name].programEnded(id)
+// recordEnd records that a caller ended a program; from now on its cache is waste.
+func (a *audit) recordEnd(id ident.Program) {
+	a.endedPrograms[id] = true
+	for _, name := range a.sim.engineNames() {
+		a.sim.engines[name].recordProgramEnd(id)
 	}
 }
 
-// close checks what must hold once all is over.
-func (a *audit) close() {
-	for _, name := range a.w.engineNames() {
-		e := a.w.engines[name]
-		for _, p := range e.used {
-			if a.over[p] && !e.frozen {
-				a.violate("%s still keeps cache of %s", name, a.w.callers.byID[p].p.Name)
+// checkCaches checks at the end of a replay that no engine but a frozen one caches an
+// ended program.
+func (a *audit) checkCaches() {
+	for _, name := range a.sim.engineNames() {
+		e := a.sim.engines[name]
+		for _, p := range e.recentPrograms {
+			if a.endedPrograms[p] && !e.frozen {
+				a.recordViolation("%s still caches the ended program %s", name, a.sim.callers.byID[p].program.Name)
 			}
 		}
 	}
 }
 
-func (a *audit) note(_ *entry, n host.Note) { a.notes[n.Kind]++ }
+func (a *audit) recordNote(_ *entryHost, n host.Note) { a.noteCounts[n.Kind]++ }
--- a/ctl/replay/callers.go
+++ b/ctl/replay/callers.go
@@ -10,291 +10,302 @@
 	"github.com/pistachioarch/pistachioarch/ctl/simclock"
 )
 
-// Behaviour of callers and of the entry hosts' routing in a replay.
+// Retries of callers, and of entry hosts that forward requests, in a replay.
 const (
-	callerPatience  = 10 * time.Minute
-	callerRetry     = 100 * time.Millisecond
-	forwardPatience = 20 * time.Second
-	forwardRetry    = 50 * time.Millisecond
-	programBudget   = int64(1) << 40
+	callerTimeout     = 10 * time.Minute       // for the creation of a program, then for each call
+	callerRetryDelay  = 100 * time.Millisecond // minimum
+	forwardTimeout    = 20 * time.Second
+	forwardRetryDelay = 50 * time.Millisecond
+	programBudget     = int64(1) << 40 // tokens; no program of a trace exhausts it
 )
 
-// callers follow the trace: each submits its program's calls one after another.
+// callers are the callers of the trace. Each submits its program's calls one after
+// another.
 type callers struct {
-	w        *world
-	programs map[string]*running
-	byID     map[ident.Program]*running
-	turn     map[string]int // which host of a data centre the balancer takes next
-	left     int
+	sim        *simulation
+	programs   map[string]*programRun // by name
+	byID       map[ident.Program]*programRun
+	nextHost   map[string]int // counter of the round robin over hosts, by data centre
+	unfinished int            // programs
 }
 
-// running is one program as its caller sees it.
-type running struct {
-	c      *callers
-	p      *Program
-	id     ident.Program
-	at     int // next call
-	begun  time.Duration
-	paused time.Duration
-	giveUp time.Duration
-	over   bool
-	onOpen []func()
+// programRun is the state of one program as its caller knows it.
+type programRun struct {
+	callers   *callers
+	program   *Program
+	id        ident.Program // empty until the program is created
+	nextCall  int           // index of the next call
+	startedAt time.Duration // first attempt to create the program
+	pauses    time.Duration // sum of the pauses between calls
+	giveUpAt  time.Duration // end of the retries
+	ended     bool
+	onCreated []func() // starts of sub-agents
 }
 
-func newCallers(w *world) *callers {
-	c := &callers{w: w, programs: map[string]*running{}, byID: map[ident.Program]*running{}, turn: map[string]int{}, left: len(w.trace.Programs)}
-	for _, p := range w.trace.Programs {
-		r := &running{c: c, p: p}
+func newCallers(sim *simulation) *callers {
+	c := &callers{sim: sim, programs: map[string]*programRun{}, byID: map[ident.Program]*programRun{}, nextHost: map[string]int{}, unfinished: len(sim.trace.Programs)}
+	for _, p := range sim.trace.Programs {
+		r := &programRun{callers: c, program: p}
 		c.programs[p.Name] = r
-		w.After(settleBefore+simclock.Milliseconds(p.AtMS), r.open)
+		sim.After(startupTime+simclock.Milliseconds(p.AtMS), r.create)
 	}
-	for _, f := range w.trace.Faults {
-		w.After(settleBefore+simclock.Milliseconds(f.AtMS), func() { w.fault(f) })
+	for _, f := range sim.trace.Faults {
+		sim.After(startupTime+simclock.Milliseconds(f.AtMS), func() { sim.applyFault(f) })
 	}
 	return c
 }
 
-// tokens tells the size of a call; the trace knows it before the engine does.
-func (c *callers) tokens(id host.CallID) (prompt, output int64) {
-	l := c.byID[id.Program].p.Calls[id.Sequence]
-	return l.PromptTokens, l.OutputTokens
+// callTokens returns the size of a call in tokens, as the trace states it.
+func (c *callers) callTokens(id host.CallID) (prompt, output int64) {
+	call := c.byID[id.Program].program.Calls[id.Sequence]
+	return call.PromptTokens, call.OutputTokens
 }
 
-// balance picks a living host of the data centre, else any.
-func (c *callers) balance(dc string) *entry {
-	var near, any []*entry
-	for _, e := range c.w.hosts {
-		if !e.alive || c.w.apart(dc, e.dc) {
+// selectHost returns a live host of the data centre, or of any if it has none, or nil.
+func (c *callers) selectHost(dc string) *entryHost {
+	var near, reachable []*entryHost
+	for _, e := range c.sim.hosts {
+		if !e.alive || c.sim.isPartitioned(dc, e.dc) {
 			continue
 		}
-		any = append(any, e)
+		reachable = append(reachable, e)
 		if e.dc == dc {
 			near = append(near, e)
 		}
 	}
 	if len(near) == 0 {
-		near = any
+		near = reachable
 	}
 	if len(near) == 0 {
 		return nil
 	}
-	c.turn[dc]++
-	return near[c.turn[dc]%len(near)]
+	c.nextHost[dc]++
+	return near[c.nextHost[dc]%len(near)]
 }
 
-// open creates the program, a sub-agent after its parent.
-func (r *running) open() {
+// create creates the program; that of a sub-agent waits for its parent.
+func (r *programRun) create() {
 	parent := ident.Program("")
-	if r.p.Parent != "" {
-		p := r.c.programs[r.p.Parent]
-		if p == nil || p.over {
-			r.end(failure.New(failure.ProgramEnded, "the parent has ended"))
+	if r.program.Parent != "" {
+		p := r.callers.programs[r.program.Parent]
+		if p == nil || p.ended {
+			r.fail(failure.New(failure.ProgramEnded, "parent program has ended"))
 			return
 		}
 		if p.id == "" {
-			p.onOpen = append(p.onOpen, r.open)
+			p.onCreated = append(p.onCreated, r.create)
 			return
 		}
 		parent = p.id
 	}
-	if r.begun == 0 {
-		r.begun = r.c.w.Now()
-		r.giveUp = r.begun + callerPatience
+	if r.startedAt == 0 {
+		r.startedAt = r.callers.sim.Now()
+		r.giveUpAt = r.startedAt + callerTimeout
 	}
-	first := r.p.Calls[0]
-	r.ask(first.DataCentre, parent, func(waiter uint64) host.Event {
-		return &host.CreateProgram{Waiter: waiter, Caller: first.Caller, Service: first.Service, Parent: parent, Budget: programBudget, Key: r.p.Name}
+	first := r.program.Calls[0]
+	r.send(first.DataCentre, parent, func(waiter uint64) host.Event {
+		return &host.CreateProgram{Waiter: waiter, Caller: first.Caller, Service: first.Service, Parent: parent, Budget: programBudget, Key: r.program.Name}
 	}, func(out host.Outcome) {
 		if out.Failure != nil {
-			r.retry(out.Failure, r.open)
+			r.retryOrFail(out.Failure, r.create)
 			return
 		}
 		r.id = out.Program
-		r.c.byID[r.id] = r
-		for _, f := range r.onOpen {
+		r.callers.byID[r.id] = r
+		for _, f := range r.onCreated {
 			f()
 		}
-		r.call()
+		r.submitNextCall()
 	})
 }
 
-// call submits the next call of the program.
-func (r *running) call() {
-	l := r.p.Calls[r.at]
+// submitNextCall submits the next call of the program.
+func (r *programRun) submitNextCall() {
+	l := r.program.Calls[r.nextCall]
 	idempotent := l.Idempotent == nil || *l.Idempotent
-	r.ask(l.DataCentre, r.id, func(waiter uint64) host.Event {
+	r.send(l.DataCentre, r.id, func(waiter uint64) host.Event {
 		return &host.SubmitCall{
 			Waiter: waiter, Caller: l.Caller, Program: r.id, Sequence: l.Sequence, Service: l.Service, Idempotent: idempotent,
-			PromptTokens: l.PromptTokens, MaxTokens: l.OutputTokens, Prompt: fmt.Appendf(nil, "%s/%d", r.p.Name, l.Sequence),
+			PromptTokens: l.PromptTokens, MaxTokens: l.OutputTokens, Prompt: fmt.Appendf(nil, "%s/%d", r.program.Name, l.Sequence),
 		}
 	}, func(out host.Outcome) {
 		if out.Failure != nil {
-			r.retry(out.Failure, r.call)
+			r.retryOrFail(out.Failure, r.submitNextCall)
 			return
 		}
-		r.answered(l, out)
+		r.handleAnswer(l, out)
 	})
 }
 
-func (r *running) answered(l Line, out host.Outcome) {
-	r.c.w.audit.answered(r, l, out)
-	r.c.w.result.Answered++
-	r.at++
-	r.giveUp = r.c.w.Now() + callerPatience
-	if l.Last || r.at == len(r.p.Calls) {
-		r.finish()
+// handleAnswer checks an answer, then ends the program or schedules its next call.
+func (r *programRun) handleAnswer(l Line, out host.Outcome) {
+	r.callers.sim.audit.checkAnswer(r, l, out)
+	r.callers.sim.result.Answered++
+	r.nextCall++
+	r.giveUpAt = r.callers.sim.Now() + callerTimeout
+	if l.Last || r.nextCall == len(r.program.Calls) {
+		r.complete()
 		return
 	}
-	r.paused += simclock.Milliseconds(l.PauseMS)
-	r.c.w.After(simclock.Milliseconds(l.PauseMS), r.call)
+	r.pauses += simclock.Milliseconds(l.PauseMS)
+	r.callers.sim.After(simclock.Milliseconds(l.PauseMS), r.submitNextCall)
 }
 
-// retry tries a call again unless its failure is final.
-func (r *running) retry(f *failure.Failure, again func()) {
+// retryOrFail retries a request unless its failure is final or the caller's timeout has
+// passed.
+func (r *programRun) retryOrFail(f *failure.Failure, again func()) {
 	final := f.RetryAfter == 0 && f.Kind != failure.PeerUnavailable
-	if final || r.c.w.Now() > r.giveUp {
-		r.end(f)
+	if final || r.callers.sim.Now() > r.giveUpAt {
+		r.fail(f)
 		return
 	}
-	r.c.w.After(max(callerRetry, f.RetryAfter), again)
+	r.callers.sim.After(max(callerRetryDelay, f.RetryAfter), again)
 }
 
-// finish counts a program that got all its answers.
-func (r *running) finish() {
-	w := r.c.w
-	w.result.Completed++
-	w.result.latencies = append(w.result.latencies, w.Now()-r.begun-r.paused)
-	r.close()
+// complete counts a program whose calls were all answered.
+func (r *programRun) complete() {
+	sim := r.callers.sim
+	sim.result.Completed++
+	sim.result.latencies = append(sim.result.latencies, sim.Now()-r.startedAt-r.pauses)
+	r.endProgram()
 }
 
-// end counts a program whose call was given up.
-func (r *running) end(f *failure.Failure) {
-	w := r.c.w
+// fail counts a program whose request failed for good.
+func (r *programRun) fail(f *failure.Failure) {
+	sim := r.callers.sim
 	if f.Ran == failure.RanNo {
-		w.result.NotRun++
+		sim.result.NotRun++
 	} else {
-		w.result.Unknown++
+		sim.result.Unknown++
 	}
-	w.audit.gaveUp(r, f)
-	r.close()
+	sim.audit.recordFailure(r, f)
+	r.endProgram()
 }
 
-// close ends the program at the hosts, which frees its cache.
-func (r *running) close() {
-	w := r.c.w
-	r.over = true
-	r.c.left--
+// endProgram ends the program at the hosts, which release its cache.
+func (r *programRun) endProgram() {
+	sim := r.callers.sim
+	r.ended = true
+	r.callers.unfinished--
 	if r.id == "" {
 		return
 	}
-	w.audit.ended(r.id)
-	r.askEnd()
+	sim.audit.recordEnd(r.id)
+	r.sendEnd()
 }
 
-func (r *running) askEnd() {
-	first := r.p.Calls[0]
-	r.ask(first.DataCentre, r.id, func(waiter uint64) host.Event {
+// sendEnd sends the end of the program, every second until a host accepts it or no longer
+// knows the program.
+func (r *programRun) sendEnd() {
+	first := r.program.Calls[0]
+	r.send(first.DataCentre, r.id, func(waiter uint64) host.Event {
 		return &host.EndProgram{Waiter: waiter, Caller: first.Caller, Program: r.id}
 	}, func(out host.Outcome) {
 		if out.Failure != nil && out.Failure.Kind != failure.UnknownProgram {
-			r.c.w.After(time.Second, r.askEnd)
+			r.callers.sim.After(time.Second, r.sendEnd)
 		}
 	})
 }
 
-// ask brings a request from a caller through an entry host to its owner, and
-// the outcome back.
-func (r *running) ask(dc string, program ident.Program, make func(waiter uint64) host.Event, done func(host.Outcome)) {
-	w := r.c.w
-	client := simclock.Milliseconds(w.trace.Header.ClientMS)
-	e := r.c.balance(dc)
+// send sends a request from a caller through an entry host to the slot's owner, and
+// passes its outcome to done.
+func (r *programRun) send(dc string, program ident.Program, newEvent func(waiter uint64) host.Event, done func(host.Outcome)) {
+	sim := r.callers.sim
+	client := simclock.Milliseconds(sim.trace.Header.ClientMS)
+	e := r.callers.selectHost(dc)
 	if e == nil {
-		w.After(callerRetry, func() {
-			done(host.Outcome{Failure: failure.Retry(failure.PeerUnavailable, callerRetry, "no host answers")})
+		sim.After(callerRetryDelay, func() {
+			done(host.Outcome{Failure: failure.Retry(failure.PeerUnavailable, callerRetryDelay, "no entry host is reachable")})
 		})
 		return
 	}
-	w.After(client, func() {
-		rt := &routing{w: w, entry: e, life: e.life, program: program, make: make, until: w.Now() + forwardPatience}
-		rt.done = func(out host.Outcome) { w.After(client, func() { done(out) }) }
-		rt.try()
+	sim.After(client, func() {
+		req := &forwardedRequest{sim: sim, entry: e, incarnation: e.incarnation, program: program, newEvent: newEvent, deadline: sim.Now() + forwardTimeout}
+		req.done = func(out host.Outcome) { sim.After(client, func() { done(out) }) }
+		req.attempt()
 	})
 }
 
-// routing is one request on its way to the owner of its slot.
-type routing struct {
-	w       *world
-	entry   *entry
-	life    int
-	program ident.Program
-	make    func(waiter uint64) host.Event
-	until   time.Duration
-	maybe   bool
-	done    func(host.Outcome)
+// forwardedRequest is one request that an entry host forwards to the owner of its slot.
+type forwardedRequest struct {
+	sim         *simulation
+	entry       *entryHost
+	incarnation int           // of the entry host at the start
+	program     ident.Program // empty if the request creates one
+	newEvent    func(waiter uint64) host.Event
+	deadline    time.Duration // of retries
+	mayHaveRun  bool          // an attempt may have run the call
+	done        func(host.Outcome)
 }
 
-func (rt *routing) try() {
-	e := rt.entry
-	if !e.alive || e.life != rt.life {
-		rt.done(host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "the entry host died")})
+// attempt forwards the request once. Without a reachable owner it retries later.
+func (req *forwardedRequest) attempt() {
+	e := req.entry
+	if !e.alive || e.incarnation != req.incarnation {
+		req.done(host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "entry host died")})
 		return
 	}
-	to := rt.owner()
-	if to == nil || !to.alive || rt.w.apart(e.dc, to.dc) {
-		rt.again(failure.Retry(failure.PeerUnavailable, time.Second, "no owner can be reached"))
+	owner := req.owner()
+	if owner == nil || !owner.alive || req.sim.isPartitioned(e.dc, owner.dc) {
+		req.retryOrFail(failure.Retry(failure.PeerUnavailable, time.Second, "owner of the slot is unreachable"))
 		return
 	}
 	delay := time.Duration(0)
-	if to != e {
-		delay = rt.w.link(e.dc, to.dc)
+	if owner != e {
+		delay = req.sim.linkDelay(e.dc, owner.dc)
 	}
-	to.later(delay, func() {
-		to.next++
-		id := to.next
-		to.waiters[id] = func(out host.Outcome) { rt.w.After(delay, func() { rt.outcome(out) }) }
-		to.step(rt.make(id))
+	owner.after(delay, func() {
+		owner.lastWaiter++
+		id := owner.lastWaiter
+		owner.waiters[id] = func(out host.Outcome) { req.sim.After(delay, func() { req.handleOutcome(out) }) }
+		owner.step(req.newEvent(id))
 	})
 }
 
-func (rt *routing) owner() *entry {
-	if rt.program == "" {
-		if address := rt.entry.machine.CreateAt(); address != "" {
-			return rt.w.byName[address]
+// owner returns the host that must run the request as far as the entry host knows, or
+// nil.
+func (req *forwardedRequest) owner() *entryHost {
+	if req.program == "" {
+		if address := req.entry.host.CreateAt(); address != "" {
+			return req.sim.hostsByName[address]
 		}
-		return rt.entry
+		return req.entry
 	}
-	slot, err := rt.program.Slot()
+	slot, err := req.program.Slot()
 	if err != nil {
 		return nil
 	}
-	address, _, found, _ := rt.entry.machine.Owner(slot)
+	address, _, found, _ := req.entry.host.Owner(slot)
 	if !found {
 		return nil
 	}
-	return rt.w.byName[address]
+	return req.sim.hostsByName[address]
 }
 
-func (rt *routing) outcome(out host.Outcome) {
+// handleOutcome retries failures of routing and passes every other outcome to the
+// caller.
+func (req *forwardedRequest) handleOutcome(out host.Outcome) {
 	if f := out.Failure; f != nil {
-		rt.maybe = rt.maybe || f.Ran != failure.RanNo
+		req.mayHaveRun = req.mayHaveRun || f.Ran != failure.RanNo
 		switch f.Kind {
 		case failure.NotOwner, failure.Moving, failure.PeerUnavailable:
-			rt.again(f)
+			req.retryOrFail(f)
 			return
 		}
 	}
-	rt.done(out)
+	req.done(out)
 }
 
-func (rt *routing) again(f *failure.Failure) {
-	if rt.w.Now() < rt.until {
-		rt.w.After(forwardRetry, rt.try)
+// retryOrFail attempts the request again until its deadline, then fails.
+func (req *forwardedRequest) retryOrFail(f *failure.Failure) {
+	if req.sim.Now() < req.deadline {
+		req.sim.After(forwardRetryDelay, req.attempt)
 		return
 	}
-	g := *f
-	g.RetryAfter = max(g.RetryAfter, time.Second)
-	if rt.maybe {
-		g.Ran = failure.RanUnknown
+	final := *f
+	final.RetryAfter = max(final.RetryAfter, time.Second)
+	if req.mayHaveRun {
+		final.Ran = failure.RanUnknown
 	}
-	rt.done(host.Outcome{Failure: &g})
+	req.done(host.Outcome{Failure: &final})
 }
--- a/ctl/replay/doc.go
+++ b/ctl/replay/doc.go
@@ -1,8 +1,9 @@
-// Package replay plays recorded traces on virtual time against stated outcomes.
+// Package replay runs traces of agent programs on virtual time and checks the results
+// against expected outcomes.
 //
-// It drives the very decisions that the daemon runs: one core host.Host for each
-// host of the trace. Around them stand small fakes: an object store for the
-// platform, links with fixed delays, callers that follow the trace, and a model
-// of an engine (engine.go) whose parameters come from the trace's header. All is
-// one queue of events, so a replay with the same seed is the same to the bit.
+// It runs the same decision code as the daemon: one host.Host (core/host) for each
+// host of the trace. Everything else is simulated: an object store in place of the
+// platform, links with fixed delays, callers that follow the trace, and a model of an
+// engine (engine.go) with the parameters of the trace's header. All events run from one
+// queue, so two replays of a trace with the same seed have identical results.
 package replay
--- a/ctl/replay/engine.go
+++ b/ctl/replay/engine.go
@@ -11,58 +11,62 @@
 
 // engine models a model engine.
 //
-//   - It runs up to batch calls at once; the others wait, the highest priority
-//     first, then in order of arrival.
-//   - A call takes prefill time for each prompt token that is not in the cache,
-//     then decode time for each output token; the batch size does not change
-//     the speed of one call.
-//   - The prefix cache keeps the tokens of whole programs. A call puts its
-//     program in; when the cache is full the least recently used programs that
-//     have no call running are evicted.
-//   - Reports of load and cache are as old as report_lag_ms.
+//   - It runs at most batch calls at once. The others wait; the one with the highest
+//     Priority number is started first, and among equals the earliest.
+//   - A call takes the prefill time for each prompt token that is not cached, then the
+//     decode time for each output token. The number of running calls does not change
+//     the speed of a call.
+//   - The prefix cache holds the tokens of whole programs. A call caches its program.
+//     If the cache is then too large, the least recently used programs without a
+//     running call are evicted.
+//   - Reports of the queue are report_lag_ms old.
 type engine struct {
-	w       *world
-	header  HeaderTarget
-	alive   bool
-	frozen  bool
-	birth   int // grows when the engine dies, to void what was scheduled
-	running []*engineCall
-	waiting []*engineCall
-	cache   map[ident.Program]int64
-	used    []ident.Program // least recently used first
-	tokens  int64           // in the cache
-	queued  []queuedAt
-	ended   map[ident.Program]time.Duration // programs that ended while cached
-}
-
+	sim            *simulation
+	header         HeaderTarget
+	alive          bool
+	frozen         bool
+	incarnation    int // grows when the engine dies, which cancels its scheduled events
+	running        []*engineCall
+	waiting        []*engineCall
+	cache          map[ident.Program]int64         // tokens
+	recentPrograms []ident.Program                 // cached ones, least recently used first
+	cachedTokens   int64                           // sum over the cache
+	queueHistory   []queueSample                   // oldest first
+	endedAt        map[ident.Program]time.Duration // end times of programs that ended while cached
+}
+
+// engineCall is one call that a host sent to an engine.
 type engineCall struct {
-	send   host.Send
-	from   *entry
-	prompt int64 // new tokens
-	output int64
-	done   func(*host.TargetDone)
+	send         host.Send
+	sender       *entryHost
+	promptTokens int64 // tokens that the history does not contain
+	outputTokens int64
+	done         func(*host.TargetDone)
 }
 
-type queuedAt struct {
-	at time.Duration
-	n  int
+// queueSample is the length of the queue from one instant on.
+type queueSample struct {
+	at     time.Duration
+	length int
 }
 
-func newEngine(w *world, h HeaderTarget) *engine {
-	return &engine{w: w, header: h, alive: true, cache: map[ident.Program]int64{}, ended: map[ident.Program]time.Duration{}}
+func newEngine(sim *simulation, h HeaderTarget) *engine {
+	return &engine{sim: sim, header: h, alive: true, cache: map[ident.Program]int64{}, endedAt: map[ident.Program]time.Duration{}}
 }
 
-// submit takes a call; done is called when it is over.
+// submit runs or queues a call, whose done is called with its outcome; a dead engine
+// refuses it.
 func (e *engine) submit(c *engineCall) {
 	if !e.alive {
 		c.finish(host.TargetRefused, host.Usage{})
 		return
 	}
 	e.waiting = append(e.waiting, c)
-	e.start()
-	e.noteQueue()
+	e.fillBatch()
+	e.recordQueue()
 }
 
+// finish reports the outcome of a call to its sender.
 func (c *engineCall) finish(o host.TargetOutcome, u host.Usage) {
 	c.done(&host.TargetDone{
 		Call: c.send.Call, Target: c.send.Target.Name, Outcome: o, Usage: u, Echo: c.send.Call.ID(),
@@ -70,8 +74,8 @@
 	})
 }
 
-// start fills the batch from those that wait.
-func (e *engine) start() {
+// fillBatch starts waiting calls while the batch has room.
+func (e *engine) fillBatch() {
 	for !e.frozen && len(e.running) < e.header.BatchSize && len(e.waiting) > 0 {
 		best := 0
 		for i, c := range e.waiting {
@@ -81,132 +85,138 @@
 		}
 		c := e.waiting[best]
 		e.waiting = slices.Delete(e.waiting, best, best+1)
-		e.run(c)
+		e.startCall(c)
 	}
 }
 
-func (e *engine) run(c *engineCall) {
+// startCall starts a call and schedules its completion.
+func (e *engine) startCall(c *engineCall) {
 	e.running = append(e.running, c)
 	program := c.send.Call.Program
-	history := e.w.started(e, c)
-	total := history + c.prompt
+	history := e.sim.recordStart(e, c)
+	total := history + c.promptTokens
 	cached := min(e.cache[program], history)
-	e.w.recomputed(history - cached)
-	e.keep(program, total)
-	took := simclock.Milliseconds(e.header.PrefillMS)*time.Duration(total-cached) + simclock.Milliseconds(e.header.DecodeMS)*time.Duration(c.output)
-	birth := e.birth
-	e.w.After(took, func() {
-		if birth != e.birth || !slices.Contains(e.running, c) {
+	e.sim.recordRecomputedTokens(history - cached)
+	e.cacheProgram(program, total)
+	duration := simclock.Milliseconds(e.header.PrefillMS)*time.Duration(total-cached) + simclock.Milliseconds(e.header.DecodeMS)*time.Duration(c.outputTokens)
+	incarnation := e.incarnation
+	e.sim.After(duration, func() {
+		if incarnation != e.incarnation || !slices.Contains(e.running, c) {
 			return
 		}
-		e.complete(c, host.Usage{Prompt: total, Output: c.output, Cached: cached})
+		e.completeCall(c, host.Usage{Prompt: total, Output: c.outputTokens, Cached: cached})
 	})
 }
 
-// complete ends a call, or holds it while the engine is frozen.
-func (e *engine) complete(c *engineCall, u host.Usage) {
+// completeCall ends a call; on a frozen engine it tries again every second.
+func (e *engine) completeCall(c *engineCall, u host.Usage) {
 	if e.frozen {
-		birth := e.birth
-		e.w.After(time.Second, func() {
-			if birth == e.birth && slices.Contains(e.running, c) {
-				e.complete(c, u)
+		incarnation := e.incarnation
+		e.sim.After(time.Second, func() {
+			if incarnation == e.incarnation && slices.Contains(e.running, c) {
+				e.completeCall(c, u)
 			}
 		})
 		return
 	}
 	e.running = slices.DeleteFunc(e.running, func(x *engineCall) bool { return x == c })
-	if _, kept := e.cache[c.send.Call.Program]; kept {
-		e.keep(c.send.Call.Program, u.Prompt+u.Output)
+	if _, cached := e.cache[c.send.Call.Program]; cached {
+		e.cacheProgram(c.send.Call.Program, u.Prompt+u.Output)
 	}
 	c.finish(host.TargetAnswered, u)
-	e.start()
-	e.noteQueue()
+	e.fillBatch()
+	e.recordQueue()
 }
 
-// cancel drops a call whose sender has given it up.
+// cancel drops a call that its sender has cancelled.
 func (e *engine) cancel(id host.CallID) {
 	match := func(c *engineCall) bool { return c.send.Call == id }
 	e.waiting = slices.DeleteFunc(e.waiting, match)
 	e.running = slices.DeleteFunc(e.running, match)
-	e.start()
+	e.fillBatch()
 }
 
-// hangUp drops the calls of a host that died: their connections are reset, and
-// an engine does not start, or go on with, a call whose caller is gone.
-func (e *engine) hangUp(from *entry) {
-	match := func(c *engineCall) bool { return c.from == from }
+// dropCallsFrom drops the calls of a host that died: their connections are reset, and
+// an engine neither starts nor continues a call whose connection is closed.
+func (e *engine) dropCallsFrom(sender *entryHost) {
+	match := func(c *engineCall) bool { return c.sender == sender }
 	e.waiting = slices.DeleteFunc(e.waiting, match)
 	e.running = slices.DeleteFunc(e.running, match)
-	e.start()
+	e.fillBatch()
 }
 
-// keep puts a program's tokens in the cache and evicts others if need be.
-func (e *engine) keep(program ident.Program, tokens int64) {
-	e.tokens += tokens - e.cache[program]
+// cacheProgram sets a program's cached tokens, then evicts others while the cache is too
+// large.
+func (e *engine) cacheProgram(program ident.Program, tokens int64) {
+	e.cachedTokens += tokens - e.cache[program]
 	e.cache[program] = tokens
-	e.used = slices.DeleteFunc(e.used, func(p ident.Program) bool { return p == program })
-	e.used = append(e.used, program)
-	for i := 0; e.tokens > e.header.CacheTokens && i < len(e.used)-1; {
-		if victim := e.used[i]; e.busy(victim) {
+	e.recentPrograms = slices.DeleteFunc(e.recentPrograms, func(p ident.Program) bool { return p == program })
+	e.recentPrograms = append(e.recentPrograms, program)
+	for i := 0; e.cachedTokens > e.header.CacheTokens && i < len(e.recentPrograms)-1; {
+		if victim := e.recentPrograms[i]; e.hasRunningCall(victim) {
 			i++
 		} else {
-			e.drop(victim)
+			e.evict(victim)
 		}
 	}
 }
 
-func (e *engine) busy(program ident.Program) bool {
+func (e *engine) hasRunningCall(program ident.Program) bool {
 	return slices.ContainsFunc(e.running, func(c *engineCall) bool { return c.send.Call.Program == program })
 }
 
-// drop frees a program's cache; what was held after the program's end is waste.
-func (e *engine) drop(program ident.Program) {
-	tokens, kept := e.cache[program]
-	if !kept {
+// evict removes a program from the cache. The tokens it held since the program's end are
+// counted as waste.
+func (e *engine) evict(program ident.Program) {
+	tokens, cached := e.cache[program]
+	if !cached {
 		return
 	}
-	if end, over := e.ended[program]; over {
-		e.w.held(tokens, e.w.Now()-end)
-		delete(e.ended, program)
+	if end, ended := e.endedAt[program]; ended {
+		e.sim.recordHeldTokens(tokens, e.sim.Now()-end)
+		delete(e.endedAt, program)
 	}
-	e.tokens -= tokens
+	e.cachedTokens -= tokens
 	delete(e.cache, program)
-	e.used = slices.DeleteFunc(e.used, func(p ident.Program) bool { return p == program })
+	e.recentPrograms = slices.DeleteFunc(e.recentPrograms, func(p ident.Program) bool { return p == program })
 }
 
-// programEnded starts the count of tokens held for nothing.
-func (e *engine) programEnded(program ident.Program) {
-	if _, kept := e.cache[program]; kept {
-		e.ended[program] = e.w.Now()
+// recordProgramEnd starts the time for which the cache of an ended program counts as
+// waste.
+func (e *engine) recordProgramEnd(program ident.Program) {
+	if _, cached := e.cache[program]; cached {
+		e.endedAt[program] = e.sim.Now()
 	}
 }
 
-// die loses all calls and the cache.
+// die ends the engine's process: all its calls break and its cache is lost.
 func (e *engine) die() {
 	e.alive, e.frozen = false, false
-	e.birth++
-	lost := append(e.running, e.waiting...)
+	e.incarnation++
+	calls := append(e.running, e.waiting...)
 	e.running, e.waiting = nil, nil
-	for _, p := range slices.Clone(e.used) {
-		e.drop(p)
+	for _, p := range slices.Clone(e.recentPrograms) {
+		e.evict(p)
 	}
-	for _, c := range lost {
+	for _, c := range calls {
 		c.finish(host.TargetBroken, host.Usage{})
 	}
 }
 
-func (e *engine) noteQueue() {
-	e.queued = append(e.queued, queuedAt{e.w.Now(), len(e.waiting)})
+// recordQueue records the length of the queue.
+func (e *engine) recordQueue() {
+	e.queueHistory = append(e.queueHistory, queueSample{e.sim.Now(), len(e.waiting)})
 }
 
-// report is the queue as it was report_lag_ms ago.
-func (e *engine) report() int {
-	limit := e.w.Now() - simclock.Milliseconds(e.header.ReportLagMS)
-	last, n := 0, 0
-	for n < len(e.queued) && e.queued[n].at <= limit {
-		last = e.queued[n].n
+// reportedQueue returns the length of the queue report_lag_ms ago and discards the older
+// samples.
+func (e *engine) reportedQueue() int {
+	reportedAt := e.sim.Now() - simclock.Milliseconds(e.header.ReportLagMS)
+	latest, n := 0, 0
+	for n < len(e.queueHistory) && e.queueHistory[n].at <= reportedAt {
+		latest = e.queueHistory[n].length
 		n++
 	}
-	e.queued = e.queued[max(0, n-1):]
-	return last
+	e.queueHistory = e.queueHistory[max(0, n-1):]
+	return latest
 }
--- a/ctl/replay/generate.go
+++ b/ctl/replay/generate.go
@@ -10,8 +10,9 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Workload describes traces of one user; Generate draws one from a seed. The
-// sizes follow the users' brief: data centres, hosts, engines, delays.
+// Workload describes the random traces of one user; Generate generates the one of Seed.
+// The numbers of data centres, hosts and engines and the delays are those that the users
+// stated.
 type Workload struct {
 	Name           string
 	LinkMS         float64
@@ -20,14 +21,15 @@
 	HostCount      int
 	Services       []WorkloadService
 	CallerCount    int
-	HotCallerShare float64 // share of the programs of the one hot caller
-	ArrivalSpanMS  float64 // programs arrive within
-	BurstFactor    float64 // arrivals are so much denser in the middle third
+	HotCallerShare float64 // share of the programs that belong to caller-hot
+	ArrivalSpanMS  float64 // time within which programs start
+	BurstFactor    float64 // arrival rate in the middle third of the span, relative to the rest
 	Faults         []Line
-	Seed           uint64 // seed
+	Seed           uint64 // of all random choices
 }
 
-// WorkloadService is one service with its engines and kinds of programs.
+// WorkloadService is one service with its engines and kinds of programs. BatchSize and
+// CacheTokens are those of each engine.
 type WorkloadService struct {
 	Name        string
 	Objective   string
@@ -37,7 +39,8 @@
 	Kinds       []WorkloadKind
 }
 
-// WorkloadKind is a sort of program; pairs are the least and the greatest.
+// WorkloadKind is one kind of program. Pairs are a minimum and a maximum; tokens and
+// pauses are those of one call.
 type WorkloadKind struct {
 	Name         string
 	ProgramCount int
@@ -45,50 +48,56 @@
 	PromptTokens [2]int
 	OutputTokens [2]int
 	PauseMS      [2]float64
-	// SubAgentProbability is the chance of one sub-agent, OrderProbability of a last call that must
-	// not be repeated, HungToolProbability of one pause of HungMS.
+	// SubAgentProbability is the probability of one sub-agent, OrderProbability that of a
+	// last call that is not idempotent, HungToolProbability that of one pause of
+	// HungToolMS.
 	SubAgentProbability, OrderProbability, HungToolProbability float64
 	HungToolMS                                                 float64
 }
 
-func draw(r *rand.Rand, p [2]int) int { return p[0] + r.IntN(p[1]-p[0]+1) }
+// drawUniform draws from a range with equal probabilities.
+func drawUniform(rng *rand.Rand, bounds [2]int) int {
+	return bounds[0] + rng.IntN(bounds[1]-bounds[0]+1)
+}
 
-// drawSkewed favours the lower end, as real sizes do.
-func drawSkewed(r *rand.Rand, p [2]int) int {
-	f := r.Float64()
-	return p[0] + int(f*f*float64(p[1]-p[0])+0.5)
+// drawSkewed draws from a range and favours its lower end, as real sizes do.
+func drawSkewed(rng *rand.Rand, bounds [2]int) int {
+	f := rng.Float64()
+	return bounds[0] + int(f*f*float64(bounds[1]-bounds[0])+0.5)
 }
 
-func drawMS(r *rand.Rand, p [2]float64) float64 {
-	f := r.Float64()
-	return float64(int(p[0] + f*f*(p[1]-p[0])))
+// drawSkewedMS is drawSkewed for whole milliseconds.
+func drawSkewedMS(rng *rand.Rand, bounds [2]float64) float64 {
+	f := rng.Float64()
+	return float64(int(bounds[0] + f*f*(bounds[1]-bounds[0])))
 }
 
-// Generate writes a trace of the workload.
+// Generate writes the trace of the workload (JSON lines). The same workload always gives
+// the same bytes.
 func (w Workload) Generate(out io.Writer) error {
 	rng := rand.New(rand.NewPCG(w.Seed, 1))
-	e := json.NewEncoder(out)
-	if err := e.Encode(w.header()); err != nil {
+	encoder := json.NewEncoder(out)
+	if err := encoder.Encode(w.header()); err != nil {
 		return failure.Wrap(err, failure.Internal, "trace")
 	}
 	var programs []*Program
 	for _, s := range w.Services {
 		for _, k := range s.Kinds {
 			for i := range k.ProgramCount {
-				programs = append(programs, w.program(rng, s, k, fmt.Sprintf("%s-%s-%d", s.Name, k.Name, i))...)
+				programs = append(programs, w.drawProgram(rng, s, k, fmt.Sprintf("%s-%s-%d", s.Name, k.Name, i))...)
 			}
 		}
 	}
 	sort.SliceStable(programs, func(i, j int) bool { return programs[i].AtMS < programs[j].AtMS })
 	for _, p := range programs {
 		for _, l := range p.Calls {
-			if err := e.Encode(l); err != nil {
+			if err := encoder.Encode(l); err != nil {
 				return failure.Wrap(err, failure.Internal, "trace")
 			}
 		}
 	}
 	for _, f := range w.Faults {
-		if err := e.Encode(f); err != nil {
+		if err := encoder.Encode(f); err != nil {
 			return failure.Wrap(err, failure.Internal, "trace")
 		}
 	}
@@ -114,66 +123,68 @@
 	return h
 }
 
-// arrival is denser in the middle third of the span.
-func (w Workload) arrival(r *rand.Rand) float64 {
+// drawArrival draws a program's start in milliseconds; the rate is higher in the middle
+// third of the span.
+func (w Workload) drawArrival(rng *rand.Rand) float64 {
 	for {
-		at := r.Float64() * w.ArrivalSpanMS
-		middle := at > w.ArrivalSpanMS/3 && at < 2*w.ArrivalSpanMS/3
-		if middle || r.Float64() < 1/max(1, w.BurstFactor) {
+		at := rng.Float64() * w.ArrivalSpanMS
+		inMiddle := at > w.ArrivalSpanMS/3 && at < 2*w.ArrivalSpanMS/3
+		if inMiddle || rng.Float64() < 1/max(1, w.BurstFactor) {
 			return float64(int(at))
 		}
 	}
 }
 
-func (w Workload) program(r *rand.Rand, s WorkloadService, k WorkloadKind, name string) []*Program {
-	caller := fmt.Sprintf("caller-%d", 1+r.IntN(w.CallerCount))
-	if r.Float64() < w.HotCallerShare {
+// drawProgram draws a program and, after it in the result, its sub-agent if it has one.
+func (w Workload) drawProgram(rng *rand.Rand, s WorkloadService, k WorkloadKind, name string) []*Program {
+	caller := fmt.Sprintf("caller-%d", 1+rng.IntN(w.CallerCount))
+	if rng.Float64() < w.HotCallerShare {
 		caller = "caller-hot"
 	}
-	p := &Program{Name: name, AtMS: w.arrival(r)}
-	dc := w.DataCentres[r.IntN(len(w.DataCentres))]
-	turns := drawSkewed(r, k.Turns)
-	hung := -1
-	if r.Float64() < k.HungToolProbability {
-		hung = r.IntN(turns)
+	p := &Program{Name: name, AtMS: w.drawArrival(rng)}
+	dc := w.DataCentres[rng.IntN(len(w.DataCentres))]
+	turns := drawSkewed(rng, k.Turns)
+	hungTurn := -1
+	if rng.Float64() < k.HungToolProbability {
+		hungTurn = rng.IntN(turns)
 	}
 	for i := range turns {
 		l := Line{
 			Program: name, Caller: caller, DataCentre: dc, Service: s.Name, Sequence: uint32(i),
-			PromptTokens: int64(drawSkewed(r, k.PromptTokens)), OutputTokens: int64(drawSkewed(r, k.OutputTokens)), PauseMS: drawMS(r, k.PauseMS),
+			PromptTokens: int64(drawSkewed(rng, k.PromptTokens)), OutputTokens: int64(drawSkewed(rng, k.OutputTokens)), PauseMS: drawSkewedMS(rng, k.PauseMS),
 		}
 		if i == 0 {
 			l.AtMS = p.AtMS
 		}
-		if i == hung {
+		if i == hungTurn {
 			l.PauseMS = k.HungToolMS
 		}
-		yes, no := true, false
-		l.Idempotent = &yes
+		idempotent, notIdempotent := true, false
+		l.Idempotent = &idempotent
 		if i == turns-1 {
 			l.Last = true
-			if r.Float64() < k.OrderProbability {
-				l.Idempotent = &no
+			if rng.Float64() < k.OrderProbability {
+				l.Idempotent = &notIdempotent
 			}
 		}
 		p.Calls = append(p.Calls, l)
 	}
-	all := []*Program{p}
-	if r.Float64() < k.SubAgentProbability {
-		all = append(all, w.subAgent(r, p, k))
+	programs := []*Program{p}
+	if rng.Float64() < k.SubAgentProbability {
+		programs = append(programs, w.drawSubAgent(rng, p, k))
 	}
-	return all
+	return programs
 }
 
-// subAgent is a short program that begins a little after its parent.
-func (w Workload) subAgent(r *rand.Rand, parent *Program, k WorkloadKind) *Program {
+// drawSubAgent draws a program of 2 to 4 calls that starts 500 ms after its parent.
+func (w Workload) drawSubAgent(rng *rand.Rand, parent *Program, k WorkloadKind) *Program {
 	p := &Program{Name: parent.Name + "-sub", Parent: parent.Name, AtMS: parent.AtMS + 500}
 	first := parent.Calls[0]
-	for i := range draw(r, [2]int{2, 4}) {
-		yes := true
+	for i := range drawUniform(rng, [2]int{2, 4}) {
+		idempotent := true
 		l := Line{
 			Program: p.Name, Caller: first.Caller, DataCentre: first.DataCentre, Service: first.Service, Sequence: uint32(i),
-			PromptTokens: int64(drawSkewed(r, k.PromptTokens)), OutputTokens: int64(drawSkewed(r, k.OutputTokens)), PauseMS: 300, Idempotent: &yes,
+			PromptTokens: int64(drawSkewed(rng, k.PromptTokens)), OutputTokens: int64(drawSkewed(rng, k.OutputTokens)), PauseMS: 300, Idempotent: &idempotent,
 		}
 		if i == 0 {
 			l.AtMS, l.Parent = p.AtMS, parent.Name
--- a/ctl/replay/plot.go
+++ b/ctl/replay/plot.go
@@ -6,19 +6,19 @@
 	"github.com/pistachioarch/pistachioarch/ctl/lineplot"
 )
 
-// Plot draws the distribution of program latency under each policy, with the
-// wasted cache in the legend, and saves it as PNG.
+// Plot draws the cumulative distribution of program latency under each policy, with the
+// wasted cache tokens in the legend, and saves it as a PNG file.
 func Plot(results []*Result, file string) error {
-	p := lineplot.Picture{XLabel: "program latency (s)", YLabel: "share of programs"}
+	picture := lineplot.Picture{XLabel: "program latency (s)", YLabel: "share of programs"}
 	for _, r := range results {
-		p.Title = r.Trace
+		picture.Title = r.Trace
 		line := lineplot.Line{Name: legend(r)}
 		for i, d := range r.latencies {
 			line.Points = append(line.Points, lineplot.Point{X: d.Seconds(), Y: float64(i+1) / float64(len(r.latencies))})
 		}
-		p.Lines = append(p.Lines, line)
+		picture.Lines = append(picture.Lines, line)
 	}
-	return p.Save(file)
+	return picture.Save(file)
 }
 
 func legend(r *Result) string {
--- a/ctl/replay/recovery_test.go
+++ b/ctl/replay/recovery_test.go
@@ -12,8 +12,9 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// recoveryTrace has programs on all hosts of two data centres, each with a call
-// pauseMS milliseconds after each answer, and the faults given.
+// recoveryTrace returns a trace with programs in two data centres of two hosts each and
+// the given faults (JSON lines). A program submits its next call pauseMS milliseconds
+// after each answer.
 func recoveryTrace(t testing.TB, programs, turns, pauseMS int, faults string) *Trace {
 	var b strings.Builder
 	b.WriteString(`{"trace":"recovery","link_ms":1.5,"client_ms":1,"services":[{"name":"s","objective":"latency"}],"hosts":[{"name":"h1","data_centre":"a"},{"name":"h2","data_centre":"a"},{"name":"h3","data_centre":"b"},{"name":"h4","data_centre":"b"}],"targets":[{"name":"e1","service":"s","data_centre":"a","batch":64,"cache_tokens":1000000,"prefill_ms":0.01,"decode_ms":1}]}` + "\n")
@@ -28,8 +29,8 @@
 	return trace
 }
 
-// BenchmarkTakeover reports the longest time for which a program was not served
-// because its host died, on virtual time.
+// BenchmarkTakeover reports the longest delay of a program after the death of its host,
+// on virtual time.
 func BenchmarkTakeover(b *testing.B) {
 	trace := recoveryTrace(b, 200, 100, 200, `{"at_ms":5000,"fault":"host_dies","host":"h1"}`)
 	var longest float64
@@ -43,7 +44,7 @@
 	b.ReportMetric(float64(host.DefaultConfig().LeaseDuration/time.Millisecond), "lease-ms")
 }
 
-// BenchmarkPlatformCalls reports the platform calls per host and second, at rest
+// BenchmarkPlatformCalls reports the platform calls per host and second, with one program
 // and under load.
 func BenchmarkPlatformCalls(b *testing.B) {
 	for name, c := range map[string][2]int{"rest": {1, 2}, "load": {400, 300}} {
@@ -59,28 +60,29 @@
 	}
 }
 
-// TestFiveMinuteOutage states that every call of a live host's programs is
-// answered while the platform is down for five minutes.
-func TestFiveMinuteOutage(t *testing.T) {
+// TestCallsAnsweredDuringPlatformOutage checks that live hosts answer every call while
+// the platform is down for five minutes.
+func TestCallsAnsweredDuringPlatformOutage(t *testing.T) {
 	trace := recoveryTrace(t, 20, 160, 2000, `{"at_ms":2000,"fault":"platform_down"}`+"\n"+`{"at_ms":302000,"fault":"platform_up"}`)
 	r, err := Run(trace, sched.PolicyDefault, 1)
 	require.NoError(t, err)
 	require.Zero(t, r.Violations+r.NotRun+r.Unknown, "%v %v", r.ViolationTexts, r.FailureTexts)
 	require.Equal(t, 20, r.Completed)
 	require.Equal(t, 20*160, r.Answered)
-	require.Less(t, r.Latency.Max, 2*r.Latency.P50, "nobody waited for the platform")
+	require.Less(t, r.Latency.Max, 2*r.Latency.P50, "a program waited for the platform")
 }
 
-// TestDamagedJournalIsNeverServed damages every segment of a host and kills it:
-// its programs are reported as corrupt, and none is answered from what is left.
-func TestDamagedJournalIsNeverServed(t *testing.T) {
-	w, err := newWorld(recoveryTrace(t, 8, 20, 200, ""), sched.PolicyDefault, 1, host.Config{})
+// TestCorruptJournalIsNeverServed damages every journal segment of a host and kills it.
+// The next owner must report the corruption, and fail the programs instead of answering
+// from the rest of the journal.
+func TestCorruptJournalIsNeverServed(t *testing.T) {
+	sim, err := newSimulation(recoveryTrace(t, 8, 20, 200, ""), sched.PolicyDefault, 1, host.Config{})
 	require.NoError(t, err)
-	for w.Now() < settleBefore+2*time.Second {
-		require.True(t, w.Step())
+	for sim.Now() < startupTime+2*time.Second {
+		require.True(t, sim.Step())
 	}
 	damaged := 0
-	for key, o := range w.platform.all {
+	for key, o := range sim.platform.byKey {
 		if strings.HasPrefix(key, "journal/a/h2.") {
 			o.body = append([]byte(nil), o.body...)
 			o.body[len(o.body)/2] ^= 0xff
@@ -88,13 +90,13 @@
 		}
 	}
 	require.Positive(t, damaged)
-	w.hostDies(w.byName["h2"])
-	for w.callers.left > 0 && w.Now() < maxReplay && w.Step() {
+	sim.killHost(sim.hostsByName["h2"])
+	for sim.callers.unfinished > 0 && sim.Now() < maxReplayTime && sim.Step() {
 	}
-	require.Zero(t, w.result.Violations, "%v", w.result.ViolationTexts)
-	require.Positive(t, w.audit.notes[host.NoteCorrupt], "it is reported")
-	require.Positive(t, w.result.Unknown, "its programs end with a typed error")
-	for _, text := range w.result.FailureTexts {
+	require.Zero(t, sim.result.Violations, "%v", sim.result.ViolationTexts)
+	require.Positive(t, sim.audit.noteCounts[host.NoteCorrupt], "corruption is not reported")
+	require.Positive(t, sim.result.Unknown, "no program failed")
+	for _, text := range sim.result.FailureTexts {
 		require.Contains(t, text, "corrupt")
 	}
 }
--- a/ctl/replay/trace.go
+++ b/ctl/replay/trace.go
@@ -10,20 +10,21 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// maxLineBytes bounds one line of a trace.
+// maxLineBytes bounds the length of a line of a trace.
 const maxLineBytes = 1 << 20
 
-// Header is the first line of a trace. Units are milliseconds and tokens.
+// Header is the first line of a trace. Durations are in milliseconds, sizes in tokens.
 type Header struct {
 	Trace    string          `json:"trace"`
-	LinkMS   float64         `json:"link_ms"`
-	ClientMS float64         `json:"client_ms"`
+	LinkMS   float64         `json:"link_ms"`   // one-way delay between data centres
+	ClientMS float64         `json:"client_ms"` // one-way delay between callers and entry hosts
 	Services []HeaderService `json:"services"`
 	Hosts    []HeaderHost    `json:"hosts"`
 	Targets  []HeaderTarget  `json:"targets"`
 }
 
-// HeaderService is a service of a trace; its objective is latency or cache.
+// HeaderService is a service of a trace. Its objective is "latency" (also if empty) or
+// "cache".
 type HeaderService struct {
 	Name      string `json:"name"`
 	Objective string `json:"objective"`
@@ -35,8 +36,9 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// HeaderTarget is an engine of a trace. Prefill and decode are the cost per
-// token, batch is how many calls it runs at once.
+// HeaderTarget is an engine of a trace. PrefillMS and DecodeMS are durations per token,
+// BatchSize is the number of calls that run at once, and ReportLagMS is the age of load
+// reports.
 type HeaderTarget struct {
 	Name        string  `json:"name"`
 	Service     string  `json:"service"`
@@ -48,7 +50,10 @@
 	ReportLagMS float64 `json:"report_lag_ms"`
 }
 
-// Line is one call or one fault of a trace.
+// Line is one call or one fault of a trace. AtMS is the time of a fault, or of a program's
+// start on its first call; Parent is read from the first call. PauseMS is the time between
+// a call's answer and the next call, and Last ends the program. A call without Idempotent
+// is idempotent.
 type Line struct {
 	AtMS         float64 `json:"at_ms,omitempty"`
 	Program      string  `json:"program,omitempty"`
@@ -68,7 +73,7 @@
 	Host   string `json:"host,omitempty"`
 }
 
-// The faults of a trace.
+// Values of Line.Fault.
 const (
 	FaultTargetDies            = "target_dies"
 	FaultTargetReturns         = "target_returns"
@@ -82,7 +87,8 @@
 	FaultPlatformUp            = "platform_up"
 )
 
-// Program is one agent program of a trace.
+// Program is one agent program of a trace, with its calls in order. AtMS is the time of
+// its start; Parent is the name of a sub-agent's parent program.
 type Program struct {
 	Name   string
 	Parent string
@@ -90,14 +96,14 @@
 	Calls  []Line
 }
 
-// Trace is a whole trace.
+// Trace is a complete trace.
 type Trace struct {
 	Header   Header
-	Programs []*Program // in order of their first line
+	Programs []*Program // in order of their first lines
 	Faults   []Line     // in order of time
 }
 
-// ExpectedOutcome is the outcome that must hold for a trace.
+// ExpectedOutcome bounds the result of a trace's replay (FILE.want.json).
 type ExpectedOutcome struct {
 	MinCompleted  int `json:"completed_min"`
 	MaxNotRun     int `json:"not_run_max"`
@@ -105,38 +111,40 @@
 	MaxViolations int `json:"violations"`
 }
 
-// Read reads a trace. Its errors name the line.
+// Read reads and validates a trace (JSON lines). Its failures are of kind BadRequest; those
+// of a single line state its number.
 func Read(r io.Reader) (*Trace, error) {
-	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLineBytes)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
 	t := &Trace{}
 	programs := map[string]*Program{}
-	for n := 1; scan.Scan(); n++ {
-		if len(bytes.TrimSpace(scan.Bytes())) == 0 {
+	for n := 1; scanner.Scan(); n++ {
+		if len(bytes.TrimSpace(scanner.Bytes())) == 0 {
 			continue
 		}
 		if n == 1 {
-			if err := json.Unmarshal(scan.Bytes(), &t.Header); err != nil {
+			if err := json.Unmarshal(scanner.Bytes(), &t.Header); err != nil {
 				return nil, failure.New(failure.BadRequest, "line 1: header: %v", err)
 			}
 			continue
 		}
 		var l Line
-		if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
 			return nil, failure.New(failure.BadRequest, "line %d: %v", n, err)
 		}
-		if err := t.add(l, programs); err != nil {
+		if err := t.addLine(l, programs); err != nil {
 			return nil, failure.New(failure.BadRequest, "line %d: %s", n, failure.From(err).Detail)
 		}
 	}
-	if err := scan.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, failure.Wrap(err, failure.BadRequest, "trace")
 	}
 	sort.SliceStable(t.Faults, func(i, j int) bool { return t.Faults[i].AtMS < t.Faults[j].AtMS })
-	return t, t.check()
+	return t, t.validate()
 }
 
-func (t *Trace) add(l Line, programs map[string]*Program) error {
+// addLine adds a call or fault; programs are the programs so far by name.
+func (t *Trace) addLine(l Line, programs map[string]*Program) error {
 	if l.Fault != "" {
 		t.Faults = append(t.Faults, l)
 		return nil
@@ -154,16 +162,16 @@
 		return failure.New(failure.BadRequest, "program %s: sequence %d does not follow", l.Program, l.Sequence)
 	}
 	if l.PromptTokens < 0 || l.OutputTokens < 0 || l.PauseMS < 0 || l.AtMS < 0 {
-		return failure.New(failure.BadRequest, "program %s: a negative number", l.Program)
+		return failure.New(failure.BadRequest, "program %s: negative number", l.Program)
 	}
 	p.Calls = append(p.Calls, l)
 	return nil
 }
 
-// check verifies what the lines say of each other.
-func (t *Trace) check() error {
+// validate checks the references between lines.
+func (t *Trace) validate() error {
 	h := &t.Header
-	services, names, centres := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	services, names, dataCentres := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, s := range h.Services {
 		services[s.Name] = true
 	}
@@ -175,23 +183,23 @@
 	}
 	for _, x := range h.Hosts {
 		names[x.Name] = true
-		centres[x.DataCentre] = true
+		dataCentres[x.DataCentre] = true
 	}
 	if len(h.Hosts) == 0 || len(h.Targets) == 0 {
-		return failure.New(failure.BadRequest, "the header has no hosts or no targets")
+		return failure.New(failure.BadRequest, "header has no hosts or no targets")
 	}
 	for _, p := range t.Programs {
 		for _, c := range p.Calls {
-			if !services[c.Service] || !centres[c.DataCentre] {
+			if !services[c.Service] || !dataCentres[c.DataCentre] {
 				return failure.New(failure.BadRequest, "program %s call %d: unknown service %q or data centre %q", p.Name, c.Sequence, c.Service, c.DataCentre)
 			}
 		}
 	}
 	for _, f := range t.Faults {
-		known := f.Target != "" && names[f.Target] || f.Host != "" && names[f.Host] || f.DataCentre != "" && centres[f.DataCentre] ||
+		known := f.Target != "" && names[f.Target] || f.Host != "" && names[f.Host] || f.DataCentre != "" && dataCentres[f.DataCentre] ||
 			f.Fault == FaultPlatformDown || f.Fault == FaultPlatformUp
 		if !known {
-			return failure.New(failure.BadRequest, "fault %s at %g ms names nothing that the header has", f.Fault, f.AtMS)
+			return failure.New(failure.BadRequest, "fault %s at %g ms refers to no target, host or data centre of the header", f.Fault, f.AtMS)
 		}
 	}
 	return nil
--- a/ctl/replay/workloads.go
+++ b/ctl/replay/workloads.go
@@ -1,7 +1,7 @@
 package replay
 
-// Workloads returns the traces of the two users: each calm, busy, and with
-// faults. Everything follows from the seed.
+// Workloads returns the workloads of the two users, each with a low load, a high load and
+// faults. The seed determines every random choice.
 func Workloads(seed uint64) []Workload {
 	return []Workload{
 		mizuchi("mizuchi-calm", seed, 0.35, 1, nil),
@@ -13,42 +13,45 @@
 	}
 }
 
-func scale(n int, f float64) int { return max(1, int(float64(n)*f)) }
+// scaleCount multiplies a number of programs by a load factor; the result is at least 1.
+func scaleCount(n int, factor float64) int { return max(1, int(float64(n)*factor)) }
 
-// mizuchi is leak detection in Hokkaido: many short questions of crews, some
-// long conversations of supervisors, a hot caller, loops and hung tools.
+// mizuchi is the workload of leak detection in Hokkaido: many short questions of crews,
+// some long conversations of supervisors, a caller with many programs, programs that loop
+// and hung tools.
 func mizuchi(name string, seed uint64, load, burst float64, faults []Line) Workload {
 	return Workload{
 		Name: name, LinkMS: 1.5, ClientMS: 1, DataCentres: []string{"sapporo-a", "sapporo-b", "asahikawa", "hakodate"}, HostCount: 8,
 		CallerCount: 40, HotCallerShare: 0.2, ArrivalSpanMS: 120_000, BurstFactor: burst, Faults: faults, Seed: seed,
 		Services: []WorkloadService{
 			{Name: "agent-llm", Objective: "latency", EngineCount: 9, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
-				{Name: "crew", ProgramCount: scale(850, load), Turns: [2]int{1, 5}, PromptTokens: [2]int{100, 600}, OutputTokens: [2]int{60, 260}, PauseMS: [2]float64{300, 4000}, OrderProbability: 0.3},
-				{Name: "supervisor", ProgramCount: scale(30, load), Turns: [2]int{15, 90}, PromptTokens: [2]int{200, 2500}, OutputTokens: [2]int{120, 600}, PauseMS: [2]float64{500, 8000}, SubAgentProbability: 0.8, HungToolProbability: 0.1, HungToolMS: 60_000},
-				{Name: "loop", ProgramCount: scale(4, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
+				{Name: "crew", ProgramCount: scaleCount(850, load), Turns: [2]int{1, 5}, PromptTokens: [2]int{100, 600}, OutputTokens: [2]int{60, 260}, PauseMS: [2]float64{300, 4000}, OrderProbability: 0.3},
+				{Name: "supervisor", ProgramCount: scaleCount(30, load), Turns: [2]int{15, 90}, PromptTokens: [2]int{200, 2500}, OutputTokens: [2]int{120, 600}, PauseMS: [2]float64{500, 8000}, SubAgentProbability: 0.8, HungToolProbability: 0.1, HungToolMS: 60_000},
+				{Name: "loop", ProgramCount: scaleCount(4, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
 			}},
 			{Name: "crew-app", Objective: "latency", EngineCount: 11, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
-				{Name: "trace", ProgramCount: scale(850, load), Turns: [2]int{2, 8}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{60, 300}, PauseMS: [2]float64{200, 3000}, OrderProbability: 0.2},
-				{Name: "sweep", ProgramCount: scale(35, load), Turns: [2]int{15, 80}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 6000}, SubAgentProbability: 0.3},
+				{Name: "trace", ProgramCount: scaleCount(850, load), Turns: [2]int{2, 8}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{60, 300}, PauseMS: [2]float64{200, 3000}, OrderProbability: 0.2},
+				{Name: "sweep", ProgramCount: scaleCount(35, load), Turns: [2]int{15, 80}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 6000}, SubAgentProbability: 0.3},
 			}},
 		},
 	}
 }
 
-// muscat is bookings: quotes, and long funeral orders that reuse their context.
+// muscat is the workload of bookings: quotes, and long funeral orders that reuse their
+// context.
 func muscat(name string, seed uint64, load, burst float64, faults []Line) Workload {
 	return Workload{
 		Name: name, LinkMS: 1.5, ClientMS: 3, DataCentres: []string{"seeb", "bawshar", "ruwi", "qurum"}, HostCount: 7,
 		CallerCount: 30, HotCallerShare: 0.15, ArrivalSpanMS: 150_000, BurstFactor: burst, Faults: faults, Seed: seed,
 		Services: []WorkloadService{
 			{Name: "agent-llm", Objective: "cache", EngineCount: 14, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
-				{Name: "quote", ProgramCount: scale(420, load), Turns: [2]int{2, 6}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 8000}, OrderProbability: 0.3},
-				{Name: "funeral", ProgramCount: scale(170, load), Turns: [2]int{8, 30}, PromptTokens: [2]int{300, 3000}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{1000, 15_000}, OrderProbability: 0.8, SubAgentProbability: 0.2, HungToolProbability: 0.05, HungToolMS: 60_000},
+				{Name: "quote", ProgramCount: scaleCount(420, load), Turns: [2]int{2, 6}, PromptTokens: [2]int{300, 1500}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{500, 8000}, OrderProbability: 0.3},
+				{Name: "funeral", ProgramCount: scaleCount(170, load), Turns: [2]int{8, 30}, PromptTokens: [2]int{300, 3000}, OutputTokens: [2]int{150, 500}, PauseMS: [2]float64{1000, 15_000}, OrderProbability: 0.8, SubAgentProbability: 0.2, HungToolProbability: 0.05, HungToolMS: 60_000},
 			}},
 			{Name: "booking-app", Objective: "cache", EngineCount: 15, BatchSize: 8, CacheTokens: 120_000, Kinds: []WorkloadKind{
-				{Name: "booking", ProgramCount: scale(600, load), Turns: [2]int{3, 10}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{80, 350}, PauseMS: [2]float64{300, 5000}, OrderProbability: 0.5},
-				{Name: "plan", ProgramCount: scale(90, load), Turns: [2]int{10, 30}, PromptTokens: [2]int{500, 2500}, OutputTokens: [2]int{200, 500}, PauseMS: [2]float64{1000, 10_000}},
-				{Name: "loop", ProgramCount: scale(3, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
+				{Name: "booking", ProgramCount: scaleCount(600, load), Turns: [2]int{3, 10}, PromptTokens: [2]int{200, 1500}, OutputTokens: [2]int{80, 350}, PauseMS: [2]float64{300, 5000}, OrderProbability: 0.5},
+				{Name: "plan", ProgramCount: scaleCount(90, load), Turns: [2]int{10, 30}, PromptTokens: [2]int{500, 2500}, OutputTokens: [2]int{200, 500}, PauseMS: [2]float64{1000, 10_000}},
+				{Name: "loop", ProgramCount: scaleCount(3, load), Turns: [2]int{80, 120}, PromptTokens: [2]int{60, 120}, OutputTokens: [2]int{60, 100}, PauseMS: [2]float64{50, 200}},
 			}},
 		},
 	}
