--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -149,7 +149,7 @@
 // needs it. Its lease goes last, so that the work is found again if this
 // member dies meanwhile.
 func (h *Host) removeMember(p *peer) {
-	h.do(PlatformOp{Kind: OpKeys, Key: journal.StreamPrefix(p.name)}, func(r *PlatformReply) {
+	h.do(PlatformOp{Kind: OpListKeys, Key: journal.StreamPrefix(p.name)}, func(r *PlatformReply) {
 		if r.Status != OpOK {
 			return
 		}
--- a/core/host/config.go
+++ b/core/host/config.go
@@ -26,16 +26,16 @@
 	// LeaseDuration is how long a lease holds after its renewal was sent;
 	// RenewEvery is how often it is renewed. ClockMargin covers the drift
 	// between the clocks of two hosts over one lease.
-	LeaseDuration, RenewEvery, ClockMargin time.Duration
+	LeaseDuration, RenewInterval, ClockMargin time.Duration
 	// DataCentreLease is how long a data centre that is cut off from the
 	// platform serves on, and other data centres wait.
-	DataCentreLease time.Duration
+	DataCentreLeaseDuration time.Duration
 	// HeartbeatEvery and SuspectAfter pace the failure detector; PromiseFor is
 	// how long a host out of the platform's reach promises no takeover.
-	HeartbeatEvery, SuspectAfter, PromiseFor time.Duration
+	HeartbeatInterval, SuspectTimeout, PromiseDuration time.Duration
 	// FlushEvery is the least time between two journal segments; with it the
 	// platform writes per second are bounded whatever the load.
-	FlushEvery time.Duration
+	FlushInterval time.Duration
 	// MaxSegmentBytes bounds one segment, MaxTailBytes what may wait for the
 	// platform before new calls get backpressure.
 	MaxSegmentBytes, MaxTailBytes int
@@ -43,7 +43,7 @@
 	OperationTimeout time.Duration
 	// ConfigPollEvery is how often one member of the data centre looks for a
 	// new declaration besides the watch.
-	ConfigPollEvery time.Duration
+	ConfigPollInterval time.Duration
 	// Retention is how long an ended program's answers may be fetched.
 	Retention time.Duration
 	// MaxPrograms bounds the programs of one host.
@@ -51,26 +51,26 @@
 }
 
 // TickEvery is the period at which a driver should send Tick events.
-const TickEvery = 20 * time.Millisecond
+const TickInterval = 20 * time.Millisecond
 
 // DefaultConfig returns the defaults. The caller sets who and where.
 func DefaultConfig() Config {
 	return Config{
-		Slots:            64,
-		LeaseDuration:    6 * time.Second,
-		RenewEvery:       2 * time.Second,
-		ClockMargin:      300 * time.Millisecond,
-		DataCentreLease:  6 * time.Minute,
-		HeartbeatEvery:   300 * time.Millisecond,
-		SuspectAfter:     1200 * time.Millisecond,
-		PromiseFor:       4 * time.Second,
-		FlushEvery:       250 * time.Millisecond,
-		MaxSegmentBytes:  900 << 10,
-		MaxTailBytes:     16 << 20,
-		OperationTimeout: 3 * time.Second,
-		ConfigPollEvery:  time.Second,
-		Retention:        10 * time.Minute,
-		MaxPrograms:      100_000,
+		Slots:                   64,
+		LeaseDuration:           6 * time.Second,
+		RenewInterval:           2 * time.Second,
+		ClockMargin:             300 * time.Millisecond,
+		DataCentreLeaseDuration: 6 * time.Minute,
+		HeartbeatInterval:       300 * time.Millisecond,
+		SuspectTimeout:          1200 * time.Millisecond,
+		PromiseDuration:         4 * time.Second,
+		FlushInterval:           250 * time.Millisecond,
+		MaxSegmentBytes:         900 << 10,
+		MaxTailBytes:            16 << 20,
+		OperationTimeout:        3 * time.Second,
+		ConfigPollInterval:      time.Second,
+		Retention:               10 * time.Minute,
+		MaxPrograms:             100_000,
 	}
 }
 
@@ -81,11 +81,11 @@
 		return failure.New(failure.InvalidSetting, "host, data centre and incarnation must be set")
 	case c.Slots < 1 || c.Slots > 4096:
 		return failure.New(failure.InvalidSetting, "slots must be from 1 to 4096")
-	case c.RenewEvery*2 > c.LeaseDuration:
+	case c.RenewInterval*2 > c.LeaseDuration:
 		return failure.New(failure.InvalidSetting, "a lease must be renewed at least twice in its duration")
-	case c.DataCentreLease < 2*c.LeaseDuration:
+	case c.DataCentreLeaseDuration < 2*c.LeaseDuration:
 		return failure.New(failure.InvalidSetting, "the data centre lease must be at least two leases long")
-	case c.SuspectAfter < 2*c.HeartbeatEvery:
+	case c.SuspectTimeout < 2*c.HeartbeatInterval:
 		return failure.New(failure.InvalidSetting, "suspicion needs at least two missed heartbeats")
 	case c.MaxSegmentBytes < 1024 || c.MaxSegmentBytes > 1<<20:
 		return failure.New(failure.InvalidSetting, "a segment has from 1 KiB to 1 MiB")
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -27,9 +27,9 @@
 
 // DumpLease is the member's lease.
 type DumpLease struct {
-	Version  uint64 `json:"version"`
-	LeftMS   int64  `json:"left_ms"`
-	TailPeer string `json:"tail_peer"`
+	Version     uint64 `json:"version"`
+	RemainingMS int64  `json:"left_ms"`
+	TailPeer    string `json:"tail_peer"`
 }
 
 // DumpJournal is the member's journal stream.
@@ -46,24 +46,24 @@
 
 // DumpSlot is one slot that the member owns.
 type DumpSlot struct {
-	Slot     string `json:"slot"`
-	Epoch    uint64 `json:"epoch"`
-	State    string `json:"state"`
-	Programs int    `json:"programs"`
-	Busy     int    `json:"busy"`
+	Slot        string `json:"slot"`
+	Epoch       uint64 `json:"epoch"`
+	State       string `json:"state"`
+	Programs    int    `json:"programs"`
+	ActiveCalls int    `json:"busy"`
 }
 
 // DumpPeer is another member.
 type DumpPeer struct {
-	Member        string `json:"member"`
-	DataCentre    string `json:"data_centre"`
-	Address       string `json:"address"`
-	Heard         bool   `json:"heard"`
-	Gone          bool   `json:"gone"`
-	PlatformOK    bool   `json:"platform_reachable"`
-	ConfigVersion uint64 `json:"config_version"`
-	PromiseLeftMS int64  `json:"promise_left_ms"`
-	Slots         int    `json:"slots"`
+	Member             string `json:"member"`
+	DataCentre         string `json:"data_centre"`
+	Address            string `json:"address"`
+	Heard              bool   `json:"heard"`
+	Gone               bool   `json:"gone"`
+	PlatformOK         bool   `json:"platform_reachable"`
+	ConfigVersion      uint64 `json:"config_version"`
+	PromiseRemainingMS int64  `json:"promise_left_ms"`
+	Slots              int    `json:"slots"`
 }
 
 // DumpTarget is a declared target.
@@ -78,18 +78,18 @@
 
 // DumpProgram is one program.
 type DumpProgram struct {
-	Program  string   `json:"program"`
-	Caller   string   `json:"caller"`
-	Parent   string   `json:"parent,omitempty"`
-	Turns    int      `json:"turns"`
-	State    string   `json:"state,omitempty"` // of the call under way
-	Waiting  int      `json:"waiting"`
-	Budget   int64    `json:"budget"`
-	Spent    int64    `json:"spent"`
-	Reserved int64    `json:"reserved"`
-	Ended    string   `json:"ended,omitempty"`
-	Corrupt  bool     `json:"corrupt,omitempty"`
-	Holders  []string `json:"holders,omitempty"`
+	Program      string   `json:"program"`
+	Caller       string   `json:"caller"`
+	Parent       string   `json:"parent,omitempty"`
+	Turns        int      `json:"turns"`
+	State        string   `json:"state,omitempty"` // of the call under way
+	Waiting      int      `json:"waiting"`
+	Budget       int64    `json:"budget"`
+	Spent        int64    `json:"spent"`
+	Reserved     int64    `json:"reserved"`
+	Ended        string   `json:"ended,omitempty"`
+	Corrupt      bool     `json:"corrupt,omitempty"`
+	CacheTargets []string `json:"holders,omitempty"`
 }
 
 // Dump returns the state of the member; the caller must not run Step meanwhile.
@@ -98,24 +98,24 @@
 		Member: h.self, DataCentre: h.cfg.DataCentre, NowMS: h.now.Milliseconds(),
 		MayServe: h.mayServe(), Draining: h.draining, Lost: h.ready.Lost, PlatformOK: h.ops.reachable,
 		ConfigVersion: h.declare.version, ConfigRefused: h.declare.refused,
-		Lease: DumpLease{Version: h.lease.version, LeftMS: (h.lease.until - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
+		Lease: DumpLease{Version: h.lease.version, RemainingMS: (h.lease.until - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
 		Journal: DumpJournal{
-			LastLSN: h.log.writer.Last(), PlatformLSN: h.log.writer.Durable(), TailLSN: h.log.tailAcked,
-			Segments: h.log.writer.Segment(), FirstSegment: h.log.firstKept,
+			LastLSN: h.log.writer.LastLSN(), PlatformLSN: h.log.writer.DurableLSN(), TailLSN: h.log.tailAcked,
+			Segments: h.log.writer.LastSegment(), FirstSegment: h.log.firstKept,
 			PendingBytes: h.log.writer.PendingBytes(), Waiting: len(h.log.waits), TailsHeld: len(h.log.tails),
 		},
 		Queues: map[string]int{}, Releases: len(h.releases), Recoveries: len(h.slots.recoveries), Stats: h.stats,
 	}
 	for _, own := range h.allMine() {
 		d.Slots = append(d.Slots, DumpSlot{
-			Slot: own.slot.String(), Epoch: own.epoch, State: slotStates[own.state], Programs: len(own.programs), Busy: own.busy,
+			Slot: own.slot.String(), Epoch: own.epoch, State: slotStates[own.state], Programs: len(own.programs), ActiveCalls: own.busy,
 		})
 	}
 	for _, p := range h.members.list {
 		d.Peers = append(d.Peers, DumpPeer{
 			Member: p.name, DataCentre: p.dataCentre, Address: p.address, Heard: h.hears(p), Gone: p.gone,
 			PlatformOK: p.platformOK, ConfigVersion: p.configVersion, Slots: p.slots,
-			PromiseLeftMS: max(0, (p.promiseUntil - h.now).Milliseconds()),
+			PromiseRemainingMS: max(0, (p.promiseUntil - h.now).Milliseconds()),
 		})
 	}
 	h.dumpTargets(d)
@@ -152,7 +152,7 @@
 		d.Ended = p.reason
 	}
 	for _, x := range p.holders {
-		d.Holders = append(d.Holders, x.target)
+		d.CacheTargets = append(d.CacheTargets, x.target)
 	}
 	return d
 }
@@ -173,7 +173,7 @@
 func (h *Host) ConfigVersion() uint64 { return h.declare.version }
 
 // Engines returns the declared targets that keep cache, in order of name.
-func (h *Host) Engines() []*decl.Target {
+func (h *Host) EngineTargets() []*decl.Target {
 	if h.set() == nil {
 		return nil
 	}
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -113,7 +113,7 @@
 const (
 	TargetAnswered TargetOutcome = iota
 	TargetRefused
-	TargetBroken
+	TargetLost
 	TargetFenced
 	TargetInvalid
 )
@@ -146,7 +146,7 @@
 	Target string
 	Queued int
 	// Holds lists the programs whose cache it keeps; nil when it was not asked.
-	Holds []ident.Program
+	CachedPrograms []ident.Program
 }
 
 // ReleaseDone answers a Release.
--- a/core/host/fold_test.go
+++ b/core/host/fold_test.go
@@ -60,7 +60,7 @@
 func TestFoldRebuildsAProgram(t *testing.T) {
 	h, own := newTestHost(t)
 	p := longProgram(h, own, 5)
-	assertSame(t, p, refold(t, h, h.log.writer.Since(0, 1<<30)))
+	assertSame(t, p, refold(t, h, h.log.writer.PendingAfter(0, 1<<30)))
 }
 
 // TestLongHistoriesFitSegments: a history larger than an object is carried
@@ -68,9 +68,9 @@
 func TestLongHistoriesFitSegments(t *testing.T) {
 	h, own := newTestHost(t)
 	p := longProgram(h, own, 40)
-	before := h.log.writer.Last()
+	before := h.log.writer.LastLSN()
 	h.snapshot(p)
-	parts := h.log.writer.Since(before, 1<<30)
+	parts := h.log.writer.PendingAfter(before, 1<<30)
 	assert.Greater(t, len(parts), 5)
 	for _, r := range parts {
 		assert.Less(t, proto.Size(r), h.cfg.MaxSegmentBytes)
@@ -83,17 +83,17 @@
 	h, own := newTestHost(t)
 	p := longProgram(h, own, 40)
 	h.snapshot(p)
-	records := h.log.writer.Since(0, 1<<30)
+	records := h.log.writer.PendingAfter(0, 1<<30)
 	assertSame(t, p, refold(t, h, records[:len(records)-1]))
 }
 
 func TestGapMakesAProgramCorrupt(t *testing.T) {
 	h, own := newTestHost(t)
 	p := longProgram(h, own, 4)
-	records := h.log.writer.Since(0, 1<<30)
+	records := h.log.writer.PendingAfter(0, 1<<30)
 	gap := records[3].Lsn
 	assert.True(t, refold(t, h, append(append([]*peerpb.Record(nil), records[:3]...), records[5:]...), gap).corrupt)
 	h.snapshot(p)
-	all := h.log.writer.Since(0, 1<<30)
+	all := h.log.writer.PendingAfter(0, 1<<30)
 	assertSame(t, p, refold(t, h, append(append([]*peerpb.Record(nil), all[:3]...), all[5:]...), gap))
 }
--- a/core/host/handover.go
+++ b/core/host/handover.go
@@ -19,14 +19,14 @@
 	h.chooseMoves(t)
 	ready := map[int]string{}
 	for _, own := range h.mineIn(t.DataCentre) {
-		if own.state == slotMoving && own.busy == 0 && own.lastLSN <= h.log.writer.Durable() {
+		if own.state == slotMoving && own.busy == 0 && own.lastLSN <= h.log.writer.DurableLSN() {
 			ready[own.slot.Number] = own.to
 		}
 	}
 	if len(ready) == 0 {
 		return false
 	}
-	last := h.log.writer.Segment()
+	last := h.log.writer.LastSegment()
 	h.updateTable(t, func(next *SlotTable) {
 		for n, to := range ready {
 			e := &next.Slots[n]
@@ -139,7 +139,7 @@
 	h.lease.tryAt = h.now + time.Hour // no more renewals
 	o := h.lease.object
 	o.RevokedBy = h.self
-	o.First, o.Last = h.log.firstKept, h.log.writer.Segment()
+	o.FirstSegment, o.LastSegment = h.log.firstKept, h.log.writer.LastSegment()
 	h.lease.busy = true
 	h.put(h.lease.key(h), h.lease.version, mustJSON(o), func(s OpStatus, _ uint64) {
 		h.lease.busy = false
--- a/core/host/lease.go
+++ b/core/host/lease.go
@@ -21,12 +21,12 @@
 	DurationMS int64  `json:"duration_ms"`
 	Renewal    uint64 `json:"renewal"`
 	// Tail is the member that keeps the tail of this one's journal.
-	Tail string `json:"tail,omitempty"`
+	TailPeer string `json:"tail,omitempty"`
 	// First and Last bound the segments of the member's journal stream that
 	// surely exist: none below First is deleted before this says so, and more
 	// may follow Last.
-	First uint64 `json:"first_segment"`
-	Last  uint64 `json:"last_segment"`
+	FirstSegment uint64 `json:"first_segment"`
+	LastSegment  uint64 `json:"last_segment"`
 	// RevokedBy is set by the member that takes over, or by the member itself when
 	// it has left in good order. A revoked lease is never renewed: the renewal is a conditional update and fails.
 	RevokedBy string `json:"revoked_by,omitempty"`
@@ -73,8 +73,8 @@
 	}
 	if l.body == nil {
 		l.object.Renewal++
-		l.object.Tail = h.log.tailPeer
-		l.object.First, l.object.Last = h.log.firstKept, h.log.writer.Segment()
+		l.object.TailPeer = h.log.tailPeer
+		l.object.FirstSegment, l.object.LastSegment = h.log.firstKept, h.log.writer.LastSegment()
 		l.body = mustJSON(l.object)
 		l.sentAt = h.now
 	}
@@ -89,10 +89,10 @@
 	case OpOK:
 		var written LeaseObject
 		_ = json.Unmarshal(l.body, &written) // our own
-		h.log.tailRegistered, h.log.firstRegistered = written.Tail, written.First
+		h.log.tailRegistered, h.log.firstRegistered = written.TailPeer, written.FirstSegment
 		l.version, l.renewed, l.body = version, l.sentAt, nil
 		l.until = l.renewed + h.cfg.LeaseDuration
-		l.tryAt = l.renewed + h.cfg.RenewEvery
+		l.tryAt = l.renewed + h.cfg.RenewInterval
 		if !l.held {
 			l.held = true
 			h.note(Note{Kind: NoteLeaseAcquired, Member: h.self})
@@ -100,7 +100,7 @@
 	case OpConflict:
 		h.lose("lease revoked")
 	default:
-		l.tryAt = h.now + h.cfg.RenewEvery/4
+		l.tryAt = h.now + h.cfg.RenewInterval/4
 	}
 }
 
@@ -154,6 +154,6 @@
 			remote = min(remote, p.promiseUntil)
 		}
 	}
-	centre := h.lease.renewed + h.cfg.DataCentreLease - h.cfg.ClockMargin
+	centre := h.lease.renewed + h.cfg.DataCentreLeaseDuration - h.cfg.ClockMargin
 	return max(h.lease.until, min(local, max(centre, remote)))
 }
--- a/core/host/lifecycle.go
+++ b/core/host/lifecycle.go
@@ -29,7 +29,7 @@
 		DeadlineMs: ev.Deadline.Milliseconds(), Key: ev.Key,
 	}
 	p.created(m, h.now)
-	p.firstSegment = h.log.writer.Next()
+	p.firstSegment = h.log.writer.NextSegment()
 	h.adopt(p)
 	h.append(p, &peerpb.Record{Body: &peerpb.Record_Created{Created: m}})
 	h.replyWhenDurable(ev.Waiter, p.id)
@@ -37,7 +37,7 @@
 
 // replyWhenDurable confirms a request once all that was written is durable.
 func (h *Host) replyWhenDurable(waiter uint64, id ident.Program) {
-	h.whenDurable(h.log.writer.Last(), nil, 0, func(*flight) {
+	h.whenDurable(h.log.writer.LastLSN(), nil, 0, func(*flight) {
 		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: waiter, Outcome: Outcome{Program: id}})
 	})
 }
--- a/core/host/log.go
+++ b/core/host/log.go
@@ -90,7 +90,7 @@
 
 // durable is the last lsn that is durable.
 func (h *Host) durable() uint64 {
-	d := h.log.writer.Durable()
+	d := h.log.writer.DurableLSN()
 	if h.tailCounts() {
 		d = max(d, h.log.tailAcked)
 	}
@@ -170,7 +170,7 @@
 func (h *Host) flush() {
 	f := h.log.flight
 	if f == nil {
-		number, body, ok := h.log.writer.Begin()
+		number, body, ok := h.log.writer.BeginSegment()
 		if !ok {
 			return
 		}
@@ -181,8 +181,8 @@
 		return
 	}
 	f.busy = true
-	h.log.flushAt = h.now + h.cfg.FlushEvery
-	h.put(journal.Key(h.self, f.number), 0, f.body, func(s OpStatus, _ uint64) {
+	h.log.flushAt = h.now + h.cfg.FlushInterval
+	h.put(journal.SegmentKey(h.self, f.number), 0, f.body, func(s OpStatus, _ uint64) {
 		f.busy = false
 		switch s {
 		case OpOK:
@@ -196,12 +196,12 @@
 }
 
 func (h *Host) segmentWritten(size int) {
-	h.log.writer.Done(true, size)
+	h.log.writer.EndSegment(true, size)
 	h.stats.SegmentBytes += uint64(size)
 	for _, keeper := range []string{h.log.tailPeer, h.log.secondPeer} {
 		if p := h.members.peers[keeper]; p != nil {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_TailTrim{TailTrim: &peerpb.TailTrim{
-				Stream: h.self, Lsn: h.log.writer.Durable(),
+				Stream: h.self, Lsn: h.log.writer.DurableLSN(),
 			}}})
 		}
 	}
@@ -240,15 +240,15 @@
 // shipTo sends a peer the records after sent and returns the last one sent.
 func (h *Host) shipTo(peer string, sent uint64) uint64 {
 	p, w := h.members.peers[peer], h.log.writer
-	if p == nil || sent >= w.Last() {
+	if p == nil || sent >= w.LastLSN() {
 		return sent
 	}
-	records := w.Since(sent, tailFrameBytes)
+	records := w.PendingAfter(sent, tailFrameBytes)
 	if len(records) == 0 {
 		return sent
 	}
 	h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_TailAppend{TailAppend: &peerpb.TailAppend{
-		Stream: h.self, Records: records, Durable: w.Durable(),
+		Stream: h.self, Records: records, Durable: w.DurableLSN(),
 	}}})
 	return records[len(records)-1].Lsn
 }
@@ -292,7 +292,7 @@
 	if from.name != h.log.tailPeer || m.Stream != h.self {
 		return
 	}
-	h.log.tailAcked = min(max(h.log.tailAcked, m.Lsn), h.log.writer.Last())
+	h.log.tailAcked = min(max(h.log.tailAcked, m.Lsn), h.log.writer.LastLSN())
 	h.releaseWaits()
 }
 
@@ -326,7 +326,7 @@
 func (h *Host) clean() {
 	l := &h.log
 	l.firstExisting = max(l.firstExisting, 1)
-	if l.cleanTo != 0 && l.writer.Durable() >= l.cleanLSN {
+	if l.cleanTo != 0 && l.writer.DurableLSN() >= l.cleanLSN {
 		l.firstKept, l.cleanTo = l.cleanTo, 0
 	}
 	if l.firstExisting < min(l.firstKept, l.firstRegistered) {
@@ -339,7 +339,7 @@
 	if !h.cleaningDue() || h.othersNeed() {
 		return
 	}
-	cut := min(l.firstKept+cleanBatch, l.writer.Segment())
+	cut := min(l.firstKept+cleanBatch, l.writer.LastSegment())
 	for _, own := range h.allMine() {
 		for _, p := range sortedPrograms(own.programs) {
 			if p.firstSegment < cut && !p.corrupt {
@@ -347,11 +347,11 @@
 			}
 		}
 	}
-	l.cleanTo, l.cleanLSN = cut, l.writer.Last()
+	l.cleanTo, l.cleanLSN = cut, l.writer.LastLSN()
 }
 
 func (h *Host) cleaningDue() bool {
-	segments := h.log.writer.Segment() + 1 - h.log.firstKept
+	segments := h.log.writer.LastSegment() + 1 - h.log.firstKept
 	if segments > cleanSegments {
 		return true
 	}
@@ -362,7 +362,7 @@
 	for _, p := range h.programs {
 		live += int64(p.size)
 	}
-	perSegment := h.log.writer.TotalBytes() / int64(max(1, h.log.writer.Segment()))
+	perSegment := h.log.writer.TotalBytes() / int64(max(1, h.log.writer.LastSegment()))
 	return perSegment*int64(segments) > 2*live+cleanSlack
 }
 
@@ -384,7 +384,7 @@
 		return
 	}
 	h.log.deleting = true
-	key := journal.Key(h.self, h.log.firstExisting)
+	key := journal.SegmentKey(h.self, h.log.firstExisting)
 	h.do(PlatformOp{Kind: OpDelete, Key: key}, func(r *PlatformReply) {
 		h.log.deleting = false
 		if r.Status == OpOK || r.Status == OpNotFound {
--- a/core/host/member.go
+++ b/core/host/member.go
@@ -73,7 +73,7 @@
 // hears reports whether the peer's messages still come. A peer of another data
 // centre sends to the members of this one in turn.
 func (h *Host) hears(p *peer) bool {
-	patience := h.cfg.SuspectAfter
+	patience := h.cfg.SuspectTimeout
 	if !h.local(p) {
 		patience *= time.Duration(h.members.locals + 1)
 	}
@@ -103,7 +103,7 @@
 
 func (h *Host) tickMembers() {
 	if h.now >= h.members.beatAt {
-		h.members.beatAt = h.now + h.cfg.HeartbeatEvery
+		h.members.beatAt = h.now + h.cfg.HeartbeatInterval
 		h.heartbeat()
 	}
 	if h.now >= h.members.refreshAt {
@@ -160,8 +160,8 @@
 	if p != nil {
 		hb.EchoMs = p.echo
 		if !h.ops.reachable {
-			hb.PromiseMs = h.cfg.PromiseFor.Milliseconds()
-			p.promisedUntil = h.now + h.cfg.PromiseFor
+			hb.PromiseMs = h.cfg.PromiseDuration.Milliseconds()
+			p.promisedUntil = h.now + h.cfg.PromiseDuration
 		}
 	}
 	return &peerpb.Frame{Body: &peerpb.Frame_Heartbeat{Heartbeat: hb}}
@@ -305,7 +305,7 @@
 	if o.Version < p.leaseVersion {
 		return // a stale read
 	}
-	p.tail = l.Tail
+	p.tail = l.TailPeer
 	if o.Version > p.leaseVersion {
 		p.leaseVersion, p.seenAt = o.Version, h.now
 	}
--- a/core/host/memory.go
+++ b/core/host/memory.go
@@ -111,8 +111,8 @@
 // forgetEvicted takes off the estimate what a target does not keep any more. A
 // program that was there within reportLag may be too new for the list.
 func (h *Host) forgetEvicted(ev *TargetReport) {
-	kept := make(map[ident.Program]bool, len(ev.Holds))
-	for _, id := range ev.Holds {
+	kept := make(map[ident.Program]bool, len(ev.CachedPrograms))
+	for _, id := range ev.CachedPrograms {
 		kept[id] = true
 	}
 	for p := range h.holdersAt[ev.Target] {
--- a/core/host/ops.go
+++ b/core/host/ops.go
@@ -56,7 +56,7 @@
 
 // relayPeer chooses a peer to carry an operation, nil to send it directly.
 func (h *Host) relayPeer(kind OpKind) *peer {
-	if h.ops.reachable || kind == OpWatch || kind == OpList || kind == OpKeys {
+	if h.ops.reachable || kind == OpWatch || kind == OpList || kind == OpListKeys {
 		return nil
 	}
 	return h.prefer(true, func(p *peer) bool { return p.platformOK && h.hears(p) })
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -22,7 +22,7 @@
 	if ev.Outcome == TargetAnswered && ev.Echo != "" && ev.Echo != ev.Call.ID() {
 		h.stats.Crossed++
 		h.note(Note{Kind: NoteAnswerCrossed, Program: p.id, Call: ev.Call.Sequence, Target: ev.Target})
-		ev = &TargetDone{Call: ev.Call, Target: ev.Target, Outcome: TargetBroken, Detail: "the answer belongs to another call"}
+		ev = &TargetDone{Call: ev.Call, Target: ev.Target, Outcome: TargetLost, Detail: "the answer belongs to another call"}
 	}
 	healthy := ev.Outcome == TargetAnswered || ev.Outcome == TargetInvalid || ev.Outcome == TargetFenced
 	h.sched.Done(h.now, f.target, healthy, h.now-f.sentAt)
@@ -49,7 +49,7 @@
 		PromptTokens: ev.Usage.Prompt, OutputTokens: ev.Usage.Output, CachedTokens: ev.Usage.Cached,
 		ChargedTokens: f.reserved - f.attemptTokens() + used,
 	})
-	h.whenDurable(h.log.writer.Last(), f, 0, h.close)
+	h.whenDurable(h.log.writer.LastLSN(), f, 0, h.close)
 }
 
 // retain updates the estimate of cache that the target keeps for the program.
@@ -82,7 +82,7 @@
 		h.fail(f, failure.New(failure.TargetFailed, "target %s refused the request: %s", f.target, detail))
 		return
 	}
-	lost := outcome == TargetBroken
+	lost := outcome == TargetLost
 	if lost {
 		f.lostAttempts++
 		if !f.accepted.Idempotent {
@@ -143,7 +143,7 @@
 		h.close(f)
 		return
 	}
-	h.whenDurable(h.log.writer.Last(), f, h.now+failureWait, h.close)
+	h.whenDurable(h.log.writer.LastLSN(), f, h.now+failureWait, h.close)
 }
 
 // close tells the waiters the outcome and lets the next call begin.
@@ -239,5 +239,5 @@
 		h.fail(f, failure.Unknown(failure.DeadlineExceeded, "the deadline passed while the call ran at %s", f.target))
 		return
 	}
-	h.attemptFailed(f, TargetBroken, "timeout after "+(h.now-f.sentAt).Round(time.Millisecond).String())
+	h.attemptFailed(f, TargetLost, "timeout after "+(h.now-f.sentAt).Round(time.Millisecond).String())
 }
--- a/core/host/program.go
+++ b/core/host/program.go
@@ -264,7 +264,7 @@
 	turns := p.snapshotTurns()
 	s.TurnCount = uint32(len(turns))
 	s.Turns, turns = cutTurns(turns)
-	p.firstSegment = h.log.writer.Next()
+	p.firstSegment = h.log.writer.NextSegment()
 	h.append(p, &peerpb.Record{Body: &peerpb.Record_Snapshot{Snapshot: s}})
 	for len(turns) > 0 {
 		part := &peerpb.SnapshotPart{}
--- a/core/host/ready.go
+++ b/core/host/ready.go
@@ -21,7 +21,7 @@
 	OpPut
 	OpDelete
 	OpList
-	OpKeys
+	OpListKeys
 	OpWatch
 )
 
--- a/core/host/release.go
+++ b/core/host/release.go
@@ -106,10 +106,10 @@
 	if !h.mayServe() {
 		return
 	}
-	if ev.Holds != nil {
+	if ev.CachedPrograms != nil {
 		h.forgetEvicted(ev)
 	}
-	for _, id := range ev.Holds {
+	for _, id := range ev.CachedPrograms {
 		slot, err := id.Slot()
 		if err != nil {
 			continue
--- a/core/host/shared.go
+++ b/core/host/shared.go
@@ -61,10 +61,10 @@
 // stuck. The members of a data centre take turns, so that one of them looks every
 // ConfigPollEvery; what it finds it tells the others.
 func (h *Host) pollShared() {
-	h.declare.pollAt = h.now + h.cfg.ConfigPollEvery*time.Duration(max(1, h.aliveLocal()))
-	h.do(PlatformOp{Kind: OpKeys, Key: SharedPrefix}, func(r *PlatformReply) {
+	h.declare.pollAt = h.now + h.cfg.ConfigPollInterval*time.Duration(max(1, h.aliveLocal()))
+	h.do(PlatformOp{Kind: OpListKeys, Key: SharedPrefix}, func(r *PlatformReply) {
 		if r.Status != OpOK {
-			h.declare.pollAt = min(h.declare.pollAt, h.now+h.cfg.ConfigPollEvery)
+			h.declare.pollAt = min(h.declare.pollAt, h.now+h.cfg.ConfigPollInterval)
 			return
 		}
 		h.fetchNewer(r.Objects)
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -242,7 +242,7 @@
 		if own == nil || e.Owner != h.self || len(e.Streams) < 2 || own.state == slotLoading {
 			continue
 		}
-		if own.carried != noLSN && own.carried <= h.log.writer.Durable() {
+		if own.carried != noLSN && own.carried <= h.log.writer.DurableLSN() {
 			prune[i] = true
 		}
 	}
@@ -294,7 +294,7 @@
 
 // CreateAt returns the address of a peer that can create programs when this
 // host has no slot of its own; empty when there is none.
-func (h *Host) CreateAt() string {
+func (h *Host) NewProgramAddress() string {
 	if h.draining || len(h.mineIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
 		for _, p := range h.members.list {
 			if h.local(p) && h.hears(p) && !p.draining && !p.suspended && p.slots > 0 {
--- a/core/host/takeover.go
+++ b/core/host/takeover.go
@@ -108,7 +108,7 @@
 			return
 		}
 		if !s.tailDone && !h.collectTail(s) {
-			r.retryAt = h.now + TickEvery
+			r.retryAt = h.now + TickInterval
 			return
 		}
 	}
@@ -161,7 +161,7 @@
 // begins, how far it surely goes, and who keeps its tail.
 func (h *Host) readBounds(r *recovery, s *streamReader) {
 	if s.name == h.self {
-		s.bound(h.log.firstKept, h.log.writer.Segment())
+		s.bound(h.log.firstKept, h.log.writer.LastSegment())
 		r.waiting = false
 		h.advanceRecovery(r)
 		return
@@ -171,8 +171,8 @@
 		var l LeaseObject
 		switch {
 		case reply.Status == OpOK && json.Unmarshal(reply.Body, &l) == nil:
-			s.tail = l.Tail
-			s.bound(max(1, l.First), l.Last)
+			s.tail = l.TailPeer
+			s.bound(max(1, l.FirstSegment), l.LastSegment)
 			return true
 		case reply.Status == OpNotFound:
 			return r.givesUp(h, s, "lease")
@@ -192,7 +192,7 @@
 }
 
 func (h *Host) readSegment(r *recovery, s *streamReader) {
-	h.do(PlatformOp{Kind: OpGet, Key: journal.Key(s.name, s.next)}, h.step(r, func(reply *PlatformReply) bool {
+	h.do(PlatformOp{Kind: OpGet, Key: journal.SegmentKey(s.name, s.next)}, h.step(r, func(reply *PlatformReply) bool {
 		switch reply.Status {
 		case OpOK:
 			h.takeSegment(r, s, reply.Body)
@@ -250,7 +250,7 @@
 		return
 	}
 	generation := r.generation
-	h.put(journal.Key(s.name, s.next), 0, body, func(status OpStatus, _ uint64) {
+	h.put(journal.SegmentKey(s.name, s.next), 0, body, func(status OpStatus, _ uint64) {
 		if generation != r.generation {
 			return
 		}
--- a/core/host/watchpeer.go
+++ b/core/host/watchpeer.go
@@ -16,7 +16,7 @@
 		h.claimDead(p)
 		return
 	}
-	if h.hears(p) || !p.heard && h.now < h.cfg.SuspectAfter {
+	if h.hears(p) || !p.heard && h.now < h.cfg.SuspectTimeout {
 		return
 	}
 	if !p.suspected {
@@ -61,7 +61,7 @@
 	if !h.local(p) || !p.heard {
 		// A member of another data centre, or one that does not know of us and
 		// may be serving on the promises of its own peers.
-		wait += h.cfg.DataCentreLease
+		wait += h.cfg.DataCentreLeaseDuration
 	}
 	return h.now >= p.seenAt+wait
 }
@@ -78,7 +78,7 @@
 		if s != OpOK {
 			return
 		}
-		p.revoked, p.revokedAt, p.tail, p.leaseVersion = true, h.now, l.Tail, version
+		p.revoked, p.revokedAt, p.tail, p.leaseVersion = true, h.now, l.TailPeer, version
 		h.peerGone(p)
 		h.note(Note{Kind: NoteTakeover, Member: p.name, Detail: "lease revoked"})
 		h.claimDead(p)
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -34,12 +34,12 @@
 func StreamPrefix(stream string) string { return Prefix + stream + "/" }
 
 // Key is the key of one segment. Keys sort as the numbers do.
-func Key(stream string, number uint64) string {
+func SegmentKey(stream string, number uint64) string {
 	return fmt.Sprintf("%s%012d", StreamPrefix(stream), number)
 }
 
 // Number returns the segment number in a key.
-func Number(key string) (uint64, error) {
+func SegmentNumber(key string) (uint64, error) {
 	n, err := strconv.ParseUint(key[strings.LastIndexByte(key, '/')+1:], 10, 64)
 	if err != nil {
 		return 0, failure.New(failure.Corrupt, "segment key %q", key)
@@ -110,17 +110,17 @@
 }
 
 // Last is the lsn given out last.
-func (w *Writer) Last() uint64 { return w.lsn }
+func (w *Writer) LastLSN() uint64 { return w.lsn }
 
 // Durable is the last lsn that is in a segment at the platform.
-func (w *Writer) Durable() uint64 { return w.durable }
+func (w *Writer) DurableLSN() uint64 { return w.durable }
 
 // Segment is the number of the last segment written.
-func (w *Writer) Segment() uint64 { return w.segment }
+func (w *Writer) LastSegment() uint64 { return w.segment }
 
 // Next is the number of the segment that the next record goes to, or a lower
 // bound of it.
-func (w *Writer) Next() uint64 { return w.segment + 1 }
+func (w *Writer) NextSegment() uint64 { return w.segment + 1 }
 
 // PendingBytes is the size of what is not yet at the platform.
 func (w *Writer) PendingBytes() int { return w.bytes }
@@ -130,7 +130,7 @@
 
 // Since returns the records after lsn that are not yet at the platform, as many
 // as maxBytes hold and at least one if there is any.
-func (w *Writer) Since(lsn uint64, maxBytes int) []*peerpb.Record {
+func (w *Writer) PendingAfter(lsn uint64, maxBytes int) []*peerpb.Record {
 	from := uint64(0)
 	if lsn > w.durable {
 		from = min(uint64(len(w.pending)), lsn-w.durable)
@@ -145,7 +145,7 @@
 
 // Begin starts the next segment with as many records as fit. ok is false when
 // there is nothing to write or a segment is under way.
-func (w *Writer) Begin() (number uint64, body []byte, ok bool) {
+func (w *Writer) BeginSegment() (number uint64, body []byte, ok bool) {
 	if w.flying > 0 || len(w.pending) == 0 {
 		return 0, nil, false
 	}
@@ -155,17 +155,17 @@
 		w.flying++
 	}
 	body, err := Encode(&peerpb.Segment{
-		Stream: w.stream, Number: w.Next(), Nonce: w.nonce, Records: w.pending[:w.flying],
+		Stream: w.stream, Number: w.NextSegment(), Nonce: w.nonce, Records: w.pending[:w.flying],
 	})
 	if err != nil {
 		w.flying = 0
 		return 0, nil, false
 	}
-	return w.Next(), body, true
+	return w.NextSegment(), body, true
 }
 
 // Done ends the segment under way; written says whether it is at the platform.
-func (w *Writer) Done(written bool, size int) {
+func (w *Writer) EndSegment(written bool, size int) {
 	if !written {
 		w.flying = 0
 		return
--- a/core/journal/journal_test.go
+++ b/core/journal/journal_test.go
@@ -19,30 +19,30 @@
 	for range 10 {
 		w.Append(record("p", 1000))
 	}
-	number, body, ok := w.Begin()
+	number, body, ok := w.BeginSegment()
 	require.True(t, ok)
 	assert.EqualValues(t, 1, number)
 	seg, err := Decode(body)
 	require.NoError(t, err)
 	assert.Len(t, seg.Records, 3, "as many as fit")
-	_, _, again := w.Begin()
+	_, _, again := w.BeginSegment()
 	assert.False(t, again, "one segment at a time")
-	w.Done(false, 0)
-	assert.Zero(t, w.Durable())
-	number, body, _ = w.Begin()
+	w.EndSegment(false, 0)
+	assert.Zero(t, w.DurableLSN())
+	number, body, _ = w.BeginSegment()
 	assert.EqualValues(t, 1, number, "the same number until it is written")
-	w.Done(true, len(body))
-	assert.EqualValues(t, 3, w.Durable())
-	assert.Len(t, w.Since(0, 1<<20), 7)
-	assert.Len(t, w.Since(8, 1<<20), 2)
-	assert.Len(t, w.Since(8, 1), 1)
-	assert.EqualValues(t, 4, w.Since(0, 1<<20)[0].Lsn)
+	w.EndSegment(true, len(body))
+	assert.EqualValues(t, 3, w.DurableLSN())
+	assert.Len(t, w.PendingAfter(0, 1<<20), 7)
+	assert.Len(t, w.PendingAfter(8, 1<<20), 2)
+	assert.Len(t, w.PendingAfter(8, 1), 1)
+	assert.EqualValues(t, 4, w.PendingAfter(0, 1<<20)[0].Lsn)
 }
 
 func TestWriterTakesARecordLargerThanASegment(t *testing.T) {
 	w := NewWriter("s", "n", 1024)
 	w.Append(record("p", 5000))
-	_, body, ok := w.Begin()
+	_, body, ok := w.BeginSegment()
 	require.True(t, ok)
 	seg, err := Decode(body)
 	require.NoError(t, err)
@@ -63,11 +63,11 @@
 }
 
 func TestKeysSortAsNumbers(t *testing.T) {
-	assert.Less(t, Key("s", 9), Key("s", 10))
-	n, err := Number(Key("dc/h.1", 42))
+	assert.Less(t, SegmentKey("s", 9), SegmentKey("s", 10))
+	n, err := SegmentNumber(SegmentKey("dc/h.1", 42))
 	require.NoError(t, err)
 	assert.EqualValues(t, 42, n)
-	_, err = Number("journal/s/x")
+	_, err = SegmentNumber("journal/s/x")
 	assert.True(t, failure.Is(err, failure.Corrupt))
 }
 
--- a/ctl/capacity/capacity_test.go
+++ b/ctl/capacity/capacity_test.go
@@ -44,7 +44,7 @@
 	h.step(&host.Start{})
 	h.receiveHeartbeat(peerName, nil)
 	for range 300 {
-		h.advance(host.TickEvery)
+		h.advance(host.TickInterval)
 	}
 	return h
 }
@@ -114,7 +114,7 @@
 		}
 		reply.Version = object.Version + 1
 		h.objects[op.Key] = host.Object{Key: op.Key, Version: reply.Version, Body: op.Body}
-	case host.OpKeys, host.OpList:
+	case host.OpListKeys, host.OpList:
 		for key, object := range h.objects {
 			if strings.HasPrefix(key, op.Key) {
 				reply.Objects = append(reply.Objects, object)
@@ -201,7 +201,7 @@
 				h.now += 100 * time.Microsecond
 				h.step(&host.CreateProgram{Waiter: uint64(i + 1), Caller: "c", Service: "llm", Budget: 1000})
 				if i%500 == 0 {
-					h.advance(host.TickEvery)
+					h.advance(host.TickInterval)
 				}
 			}
 			for range 400 { // until all programs are written to the platform
@@ -209,7 +209,7 @@
 			}
 			after := heapBytes()
 			for b.Loop() {
-				h.advance(host.TickEvery)
+				h.advance(host.TickInterval)
 			}
 			b.ReportMetric(float64(after-before)/float64(n), "bytes/program")
 		})
@@ -244,7 +244,7 @@
 					receiveHeartbeats()
 					nextHeartbeats += 300 * time.Millisecond
 				}
-				h.advance(host.TickEvery)
+				h.advance(host.TickInterval)
 			}
 			b.ReportMetric(float64(h.peerBytes)/(h.now-startedAt).Seconds(), "sent-B/s")
 		})
--- a/ctl/replay/callers.go
+++ b/ctl/replay/callers.go
@@ -258,7 +258,7 @@
 
 func (rt *routing) owner() *entry {
 	if rt.program == "" {
-		if address := rt.entry.machine.CreateAt(); address != "" {
+		if address := rt.entry.machine.NewProgramAddress(); address != "" {
 			return rt.w.byName[address]
 		}
 		return rt.entry
--- a/ctl/replay/engine.go
+++ b/ctl/replay/engine.go
@@ -191,7 +191,7 @@
 		e.drop(p)
 	}
 	for _, c := range lost {
-		c.finish(host.TargetBroken, host.Usage{})
+		c.finish(host.TargetLost, host.Usage{})
 	}
 }
 
--- a/ctl/replay/platform.go
+++ b/ctl/replay/platform.go
@@ -53,7 +53,7 @@
 		o.put(op, r)
 	case host.OpDelete:
 		o.remove(op, r)
-	case host.OpList, host.OpKeys:
+	case host.OpList, host.OpListKeys:
 		r.Objects = o.below(op.Key, 0, op.Kind == host.OpList)
 	case host.OpWatch:
 		o.watchers = append(o.watchers, &watcher{prefix: op.Key, since: op.IfVersion, reply: func(w *host.PlatformReply) {
--- a/ctl/replay/world.go
+++ b/ctl/replay/world.go
@@ -282,7 +282,7 @@
 		t := w.engines[name]
 		for _, e := range w.hosts {
 			if t.alive && !t.frozen && !w.apart(e.dc, t.header.DataCentre) {
-				e.step(&host.TargetReport{Target: name, Queued: t.report(), Holds: slices.Clone(t.used)})
+				e.step(&host.TargetReport{Target: name, Queued: t.report(), CachedPrograms: slices.Clone(t.used)})
 			}
 		}
 	}
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -156,7 +156,7 @@
 }
 
 func (n *Node) tick() {
-	t := time.NewTicker(host.TickEvery)
+	t := time.NewTicker(host.TickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/daemon/node/poll.go
+++ b/daemon/node/poll.go
@@ -33,7 +33,7 @@
 func (n *Node) engines() []*decl.Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.host.Engines()
+	return n.host.EngineTargets()
 }
 
 func (n *Node) pollTarget(t *decl.Target, sweep bool) {
@@ -49,7 +49,7 @@
 		if n.targets.Get(ctx, t, "v1/cache", &cache) != nil {
 			return
 		}
-		ev.Holds = programIDs(cache.Programs)
+		ev.CachedPrograms = programIDs(cache.Programs)
 	}
 	n.step(ev)
 }
--- a/daemon/node/route.go
+++ b/daemon/node/route.go
@@ -126,7 +126,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if rq.program == "" {
-		if address := n.host.CreateAt(); address != "" {
+		if address := n.host.NewProgramAddress(); address != "" {
 			return address, false, nil
 		}
 		return "", true, nil
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -138,22 +138,22 @@
 
 func (r *reader) timing(h *host.Config) {
 	h.LeaseDuration = r.duration("timing", "lease", h.LeaseDuration, 500*time.Millisecond)
-	h.RenewEvery = r.duration("timing", "renew", h.RenewEvery, 50*time.Millisecond)
+	h.RenewInterval = r.duration("timing", "renew", h.RenewInterval, 50*time.Millisecond)
 	h.ClockMargin = r.duration("timing", "clock_margin", h.ClockMargin, time.Millisecond)
-	h.DataCentreLease = r.duration("timing", "data_centre_lease", h.DataCentreLease, time.Second)
-	h.HeartbeatEvery = r.duration("timing", "heartbeat", h.HeartbeatEvery, 10*time.Millisecond)
-	h.SuspectAfter = r.duration("timing", "suspect", h.SuspectAfter, 50*time.Millisecond)
-	h.PromiseFor = r.duration("timing", "promise", h.PromiseFor, 100*time.Millisecond)
-	h.FlushEvery = r.duration("timing", "journal_flush", h.FlushEvery, 10*time.Millisecond)
-	h.ConfigPollEvery = r.duration("timing", "config_poll", h.ConfigPollEvery, 100*time.Millisecond)
+	h.DataCentreLeaseDuration = r.duration("timing", "data_centre_lease", h.DataCentreLeaseDuration, time.Second)
+	h.HeartbeatInterval = r.duration("timing", "heartbeat", h.HeartbeatInterval, 10*time.Millisecond)
+	h.SuspectTimeout = r.duration("timing", "suspect", h.SuspectTimeout, 50*time.Millisecond)
+	h.PromiseDuration = r.duration("timing", "promise", h.PromiseDuration, 100*time.Millisecond)
+	h.FlushInterval = r.duration("timing", "journal_flush", h.FlushInterval, 10*time.Millisecond)
+	h.ConfigPollInterval = r.duration("timing", "config_poll", h.ConfigPollInterval, 100*time.Millisecond)
 	h.Retention = r.duration("timing", "retention", h.Retention, time.Second)
-	if h.RenewEvery*2 > h.LeaseDuration {
+	if h.RenewInterval*2 > h.LeaseDuration {
 		r.fault("timing", "renew", "a lease must be renewed at least twice in its duration")
 	}
-	if h.DataCentreLease < 2*h.LeaseDuration {
+	if h.DataCentreLeaseDuration < 2*h.LeaseDuration {
 		r.fault("timing", "data_centre_lease", "must be at least two leases long")
 	}
-	if h.SuspectAfter < 2*h.HeartbeatEvery {
+	if h.SuspectTimeout < 2*h.HeartbeatInterval {
 		r.fault("timing", "suspect", "must be at least two heartbeats long")
 	}
 }
--- a/wire/target/target.go
+++ b/wire/target/target.go
@@ -133,7 +133,7 @@
 		err = failure.New(failure.TooLarge, "answer is longer than %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
-		done.Outcome, done.Detail = host.TargetBroken, err.Error()
+		done.Outcome, done.Detail = host.TargetLost, err.Error()
 		return done
 	}
 	done.Answer, done.Echo = body, resp.Header.Get(CallHeader)
@@ -191,7 +191,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return host.TargetRefused
 	}
-	return host.TargetBroken
+	return host.TargetLost
 }
 
 func readRefusal(resp *http.Response, done *host.TargetDone) {
@@ -205,7 +205,7 @@
 	case code < http.StatusInternalServerError:
 		done.Outcome = host.TargetInvalid
 	default:
-		done.Outcome = host.TargetBroken
+		done.Outcome = host.TargetLost
 	}
 }
 
@@ -235,7 +235,7 @@
 		done.Echo = chunk.ID
 		for _, d := range chunk.Choices {
 			if text.Len()+len(d.Delta.Content) > maxAnswerBytes {
-				done.Outcome, done.Detail = host.TargetBroken, "answer is too long"
+				done.Outcome, done.Detail = host.TargetLost, "answer is too long"
 				return
 			}
 			if d.Delta.Content != "" {
@@ -248,7 +248,7 @@
 			done.Usage = host.Usage{Prompt: u.PromptTokens, Output: u.CompletionTokens, Cached: u.CachedTokens}
 		}
 	}
-	done.Outcome, done.Detail = host.TargetBroken, "answer stream ended early or could not be decoded"
+	done.Outcome, done.Detail = host.TargetLost, "answer stream ended early or could not be decoded"
 }
 
 // Release asks a target to release the KV cache of a program. OK of the result is false if
