--- a/core/host/call.go
+++ b/core/host/call.go
@@ -37,52 +37,52 @@
 
 // Limits on calls.
 const (
-	maxPending      = 8 // pipelined calls of one program
-	overloadedRetry = 500 * time.Millisecond
-	movingRetry     = 50 * time.Millisecond
-	noTargetRetry   = time.Second
-	suspendedRetry  = 2 * time.Second
+	maxPendingCalls      = 8 // pipelined calls of one program
+	overloadedRetryDelay = 500 * time.Millisecond
+	movingRetryDelay     = 50 * time.Millisecond
+	noTargetRetryDelay   = time.Second
+	suspendedRetryDelay  = 2 * time.Second
 )
 
 // flight is a call that has no lasting outcome yet.
-type flight struct {
-	p        *program
-	accepted *peerpb.CallAccepted
-	state    chart.State
-	waiters  []uint64
-	arrived  time.Duration
-	deadline time.Duration // 0 = none
-	then     decl.Then
-	item     sched.Item
+type call struct {
+	program    *program
+	accepted   *peerpb.CallAccepted
+	state      chart.State
+	waiters    []uint64
+	arrivedAt  time.Duration
+	deadline   time.Duration // 0 = none
+	directives decl.Then
+	item       sched.Item
 
-	attempt      uint32 // number of the last attempt, from 1
+	lastAttempt  uint32 // number of the last attempt, from 1
 	lostAttempts int    // attempts that may have run without an answer
 	target       string
 	sentAt       time.Duration
-	until        time.Duration // end of the attempt
+	timeoutAt    time.Duration // end of the attempt
 	// reserved is what is kept of the budget for this call: one attempt and
 	// every lost one.
-	reserved int64
+	reservedTokens int64
 
 	finished *peerpb.CallFinished
 	failure  *failure.Failure
 }
 
-func newFlight(p *program, a *peerpb.CallAccepted, now time.Duration) *flight {
-	return &flight{p: p, accepted: a, state: callChart.Initial(), arrived: now}
+func newCall(p *program, accepted *peerpb.CallAccepted, now time.Duration) *call {
+	return &call{program: p, accepted: accepted, state: callChart.Initial(), arrivedAt: now}
 }
 
 // attemptTokens is the most that one attempt can use.
-func (f *flight) attemptTokens() int64 { return f.accepted.PromptTokens + f.accepted.MaxTokens }
+func (c *call) attemptTokens() int64 { return c.accepted.PromptTokens + c.accepted.MaxTokens }
 
 // fire moves the call along its chart; a step that the chart does not have is
 // a fault in this package.
-func (f *flight) fire(ev chart.Event) {
-	next, ok := callChart.Next(f.state, ev)
+func (c *call) transition(ev chart.Event) {
+	next, ok := callChart.Next(c.state, ev)
 	if !ok {
-		panic(failure.New(failure.Internal, "call in state %s cannot take event %d", callChart.StateName(f.state), ev))
+		panic(failure.New(failure.Internal, "call in state %s cannot take event %d", callChart.StateName(c.state), ev))
 	}
-	f.state = next
+	c.state = next
 }
 
 func bodyHash(ev *SubmitCall) uint64 {
@@ -104,17 +104,17 @@
 	if err != nil {
 		return nil, failure.From(err)
 	}
-	own := h.slots.mine[slot]
+	own := h.slots.owned[slot]
 	switch {
 	case own == nil:
-		return nil, failure.Retry(failure.NotOwner, movingRetry, "slot %s is not owned here", slot)
+		return nil, failure.Retry(failure.NotOwner, movingRetryDelay, "slot %s is not owned here", slot)
 	case own.state == slotLoading:
-		return nil, failure.Retry(failure.Moving, movingRetry, "slot %s is being recovered", slot)
+		return nil, failure.Retry(failure.Moving, movingRetryDelay, "slot %s is being recovered", slot)
 	case !h.mayServe():
-		return nil, failure.Retry(failure.Suspended, suspendedRetry, "this host cannot tell whether it still owns the program")
+		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host cannot tell whether it still owns the program")
 	}
 	p := h.programs[id]
-	if p == nil && own.damaged {
+	if p == nil && own.mayMissRecords {
 		return nil, failure.Unknown(failure.Corrupt, "part of the journal that may have held the program is damaged")
 	}
 	if p == nil || p.caller != caller {
@@ -126,48 +126,48 @@
 	return p, nil
 }
 
-func (h *Host) submitCall(ev *SubmitCall) {
-	p, refused := h.access(ev.Program, ev.Caller)
-	if refused != nil {
-		h.refuse(ev.Waiter, refused)
+func (h *Host) handleSubmitCall(ev *SubmitCall) {
+	p, rejection := h.access(ev.Program, ev.Caller)
+	if rejection != nil {
+		h.reject(ev.Waiter, rejection)
 		return
 	}
 	hash := bodyHash(ev)
-	if known := p.find(ev.Sequence); known.accepted != nil {
-		h.repeat(ev, p, known, hash)
+	if known := p.findCall(ev.Sequence); known.accepted != nil {
+		h.answerRepeat(ev, p, known, hash)
 		return
 	}
-	f, refused := h.accept(ev, p, hash)
-	if refused != nil {
-		h.refuse(ev.Waiter, refused)
+	c, rejection := h.acceptCall(ev, p, hash)
+	if rejection != nil {
+		h.reject(ev.Waiter, rejection)
 		return
 	}
-	if p.active != nil {
-		p.pending = append(p.pending, f)
+	if p.activeCall != nil {
+		p.pendingCalls = append(p.pendingCalls, c)
 		return
 	}
-	h.begin(f)
+	h.startCall(c)
 }
 
 // knownCall is a call of a program by its sequence: a turn or a flight.
 type knownCall struct {
-	accepted *peerpb.CallAccepted
-	turn     *turn
-	flight   *flight
+	accepted   *peerpb.CallAccepted
+	finished   *turn
+	unfinished *call
 }
 
-func (p *program) find(sequence uint32) knownCall {
+func (p *program) findCall(sequence uint32) knownCall {
 	n := uint32(len(p.turns))
 	if sequence < n {
 		t := p.turns[sequence]
-		return knownCall{accepted: t.accepted, turn: t}
+		return knownCall{accepted: t.accepted, finished: t}
 	}
-	if p.active != nil && sequence == n {
-		return knownCall{accepted: p.active.accepted, flight: p.active}
+	if p.activeCall != nil && sequence == n {
+		return knownCall{accepted: p.activeCall.accepted, unfinished: p.activeCall}
 	}
-	for _, f := range p.pending {
-		if f.accepted.Sequence == sequence {
-			return knownCall{accepted: f.accepted, flight: f}
+	for _, c := range p.pendingCalls {
+		if c.accepted.Sequence == sequence {
+			return knownCall{accepted: c.accepted, unfinished: c}
 		}
 	}
 	return knownCall{}
@@ -175,85 +175,85 @@
 
 // repeat answers a call that was submitted before: the same body is the same
 // call and is not executed again.
-func (h *Host) repeat(ev *SubmitCall, p *program, known knownCall, hash uint64) {
+func (h *Host) answerRepeat(ev *SubmitCall, p *program, known knownCall, hash uint64) {
 	switch {
 	case known.accepted.BodyHash != hash:
-		h.refuse(ev.Waiter, failure.New(failure.BodyChanged, "call %d was submitted with another body", ev.Sequence))
-	case known.turn != nil:
-		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: ev.Waiter, Outcome: known.turn.outcome(p.id)})
+		h.reject(ev.Waiter, failure.New(failure.BodyChanged, "call %d was submitted with another body", ev.Sequence))
+	case known.finished != nil:
+		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: ev.Waiter, Outcome: known.finished.outcome(p.id)})
 	default:
-		known.flight.waiters = append(known.flight.waiters, ev.Waiter)
+		known.unfinished.waiters = append(known.unfinished.waiters, ev.Waiter)
 	}
 }
 
 // accept checks what can be checked before the call's turn comes.
-func (h *Host) accept(ev *SubmitCall, p *program, hash uint64) (*flight, *failure.Failure) {
+func (h *Host) acceptCall(ev *SubmitCall, p *program, hash uint64) (*call, *failure.Failure) {
 	next := p.nextSequence()
 	switch {
 	case p.ended:
-		return nil, failure.New(failure.ProgramEnded, "program has ended: %s", p.reason)
+		return nil, failure.New(failure.ProgramEnded, "program has ended: %s", p.endReason)
 	case ev.Sequence != next:
 		return nil, failure.New(failure.SequenceGap, "the next call is %d, not %d", next, ev.Sequence)
 	case p.slot.state == slotMoving:
-		return nil, failure.Retry(failure.Moving, movingRetry, "the program moves to another host")
-	case len(p.pending) >= maxPending:
-		return nil, failure.Retry(failure.Overloaded, overloadedRetry, "more than %d calls of the program wait", maxPending)
+		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the program moves to another host")
+	case len(p.pendingCalls) >= maxPendingCalls:
+		return nil, failure.Retry(failure.Overloaded, overloadedRetryDelay, "more than %d calls of the program wait", maxPendingCalls)
 	case h.log.writer.PendingBytes() > h.cfg.MaxTailBytes:
-		return nil, failure.Retry(failure.Overloaded, suspendedRetry, "the journal waits for the platform")
+		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "the journal waits for the platform")
 	}
-	f := newFlight(p, &peerpb.CallAccepted{
+	c := newCall(p, &peerpb.CallAccepted{
 		Sequence: ev.Sequence, Service: ev.Service, BodyHash: hash, Idempotent: ev.Idempotent,
 		PromptTokens: ev.PromptTokens, MaxTokens: ev.MaxTokens, Prompt: ev.Prompt,
 	}, h.now)
 	if ev.Deadline > 0 {
-		f.deadline = h.now + ev.Deadline
+		c.deadline = h.now + ev.Deadline
 	}
-	f.waiters = append(f.waiters, ev.Waiter)
-	return f, nil
+	c.waiters = append(c.waiters, ev.Waiter)
+	return c, nil
 }
 
 // begin takes a call whose turn has come: rules, limits, budget, queue.
-func (h *Host) begin(f *flight) {
-	p := f.p
-	p.active = f
-	p.slot.busy++
-	if p.begun == 0 {
-		p.begun = f.arrived
+func (h *Host) startCall(c *call) {
+	p := c.program
+	p.activeCall = c
+	p.slot.activeCalls++
+	if p.startedAt == 0 {
+		p.startedAt = c.arrivedAt
 	} else if len(p.turns) > 0 {
-		p.notePause(f.arrived - p.usedAt)
+		p.recordPause(c.arrivedAt - p.usedAt)
 	}
 	p.usedAt = h.now
-	h.active[p] = struct{}{}
-	if refused := h.admit(f); refused != nil {
-		f.fire(eventRefuse)
-		f.failure = refused
-		h.close(f)
+	h.activePrograms[p] = struct{}{}
+	if rejection := h.admitCall(c); rejection != nil {
+		c.transition(eventRefuse)
+		c.failure = rejection
+		h.closeCall(c)
 		return
 	}
-	h.append(p, &peerpb.Record{Body: &peerpb.Record_Accepted{Accepted: f.accepted}})
-	f.fire(eventAdmit)
-	h.enqueue(f, false)
+	h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Accepted{Accepted: c.accepted}})
+	c.transition(eventAdmit)
+	h.enqueueCall(c, false)
 }
 
 // enqueue hands the call to the scheduler.
-func (h *Host) enqueue(f *flight, retry bool) {
-	p := f.p
-	holder, held := p.bestHolder()
-	objective := f.then.Objective
-	if svc := h.set().Services[f.accepted.Service]; objective == "" && svc != nil {
+func (h *Host) enqueueCall(c *call, retry bool) {
+	p := c.program
+	cacheTargetName, cachedTokens := p.largestCache()
+	objective := c.directives.Objective
+	if svc := h.declared().Services[c.accepted.Service]; objective == "" && svc != nil {
 		objective = svc.Objective
 	}
-	f.item = sched.Item{
-		Program: p.id, Sequence: f.accepted.Sequence, Service: f.accepted.Service,
-		Priority: f.then.Priority, Objective: objective,
-		Attained: p.spent, Prompt: f.accepted.PromptTokens, History: p.history, Output: f.accepted.MaxTokens,
-		Arrived: f.arrived, Begun: p.begun, NotBefore: f.item.NotBefore, Holder: holder, HolderTokens: held, LastTarget: p.lastTarget(), AvoidTarget: f.item.AvoidTarget,
+	c.item = sched.Item{
+		Program: p.id, Sequence: c.accepted.Sequence, Service: c.accepted.Service,
+		Priority: c.directives.Priority, Objective: objective,
+		Attained: p.spentTokens, Prompt: c.accepted.PromptTokens, History: p.historyTokens, Output: c.accepted.MaxTokens,
+		Arrived: c.arrivedAt, Begun: p.startedAt, NotBefore: c.item.NotBefore, Holder: cacheTargetName, HolderTokens: cachedTokens, LastTarget: p.lastTarget(), AvoidTarget: c.item.AvoidTarget,
 	}
-	if !h.sched.Enqueue(&f.item, retry) {
-		h.fail(f, failure.Retry(failure.Overloaded, overloadedRetry, "no room in the queue of %s", f.accepted.Service))
+	if !h.sched.Enqueue(&c.item, retry) {
+		h.failCall(c, failure.Retry(failure.Overloaded, overloadedRetryDelay, "no room in the queue of %s", c.accepted.Service))
 		return
 	}
-	if budget := h.sched.RetryBudget(f.accepted.Service); budget != nil && !retry {
+	if budget := h.sched.RetryBudget(c.accepted.Service); budget != nil && !retry {
 		budget.RecordFirstAttempt()
 	}
 }
@@ -265,14 +265,14 @@
 	return ""
 }
 
-func (p *program) bestHolder() (string, int64) {
-	var best holder
-	for _, x := range p.holders {
-		if x.tokens > best.tokens {
-			best = x
+func (p *program) largestCache() (string, int64) {
+	var largest cacheTarget
+	for _, cache := range p.cacheTargets {
+		if cache.tokens > largest.tokens {
+			largest = cache
 		}
 	}
-	return best.target, best.tokens
+	return largest.target, largest.tokens
 }
 
 // dispatch sends what the scheduler can place.
@@ -281,75 +281,75 @@
 		return
 	}
 	for {
-		it, t := h.sched.Next(h.now)
-		if it == nil {
+		item, target := h.sched.Next(h.now)
+		if item == nil {
 			return
 		}
-		p := h.programs[it.Program]
-		if p == nil || p.active == nil || &p.active.item != it {
-			h.sched.Withdraw(t.Decl.Name)
+		p := h.programs[item.Program]
+		if p == nil || p.activeCall == nil || &p.activeCall.item != item {
+			h.sched.Withdraw(target.Decl.Name)
 			continue
 		}
-		h.launch(p.active, t)
+		h.startAttempt(p.activeCall, target)
 	}
 }
 
 // launch begins an attempt: the intent first, which also tells a new owner
 // which targets may hold cache of the program.
-func (h *Host) launch(f *flight, t *sched.Target) {
-	f.attempt++
-	f.target = t.Decl.Name
-	f.p.hold(f.target, 0)
-	lsn := h.append(f.p, &peerpb.Record{Body: &peerpb.Record_Intent{Intent: &peerpb.CallIntent{
-		Sequence: f.accepted.Sequence, Target: f.target, Attempt: f.attempt,
+func (h *Host) startAttempt(c *call, target *sched.Target) {
+	c.lastAttempt++
+	c.target = target.Decl.Name
+	c.program.addCacheTarget(c.target, 0)
+	lsn := h.appendRecord(c.program, &peerpb.Record{Body: &peerpb.Record_Intent{Intent: &peerpb.CallIntent{
+		Sequence: c.accepted.Sequence, Target: c.target, Attempt: c.lastAttempt,
 	}}})
-	if f.accepted.Idempotent {
-		f.fire(eventSend)
-		h.transmit(f, t)
+	if c.accepted.Idempotent {
+		c.transition(eventSend)
+		h.sendAttempt(c, target)
 		return
 	}
-	f.fire(eventIntend)
-	attempt := f.attempt
-	h.whenDurable(lsn, f, 0, func(f *flight) {
-		if f.state == stateIntending && f.attempt == attempt {
-			h.intentDurable(f)
+	c.transition(eventIntend)
+	attempt := c.lastAttempt
+	h.whenDurable(lsn, c, 0, func(c *call) {
+		if c.state == stateIntending && c.lastAttempt == attempt {
+			h.sendAfterIntent(c)
 		}
 	})
 }
 
 // intentDurable sends a non-idempotent call unless something changed meanwhile.
-func (h *Host) intentDurable(f *flight) {
-	t, ok := h.sched.Target(f.target)
-	if !ok || t.Decl.Leaving || h.set().Services[f.accepted.Service] == nil || !h.mayServe() {
-		h.withdraw(f)
-		f.fire(eventWithdraw)
-		h.enqueue(f, true)
+func (h *Host) sendAfterIntent(c *call) {
+	target, ok := h.sched.Target(c.target)
+	if !ok || target.Decl.Leaving || h.declared().Services[c.accepted.Service] == nil || !h.mayServe() {
+		h.withdrawAttempt(c)
+		c.transition(eventWithdraw)
+		h.enqueueCall(c, true)
 		return
 	}
-	f.fire(eventDurable)
-	h.transmit(f, t)
+	c.transition(eventDurable)
+	h.sendAttempt(c, target)
 }
 
-func (h *Host) withdraw(f *flight) { h.sched.Withdraw(f.target) }
+func (h *Host) withdrawAttempt(c *call) { h.sched.Withdraw(c.target) }
 
-func (h *Host) transmit(f *flight, t *sched.Target) {
-	svc := h.set().Services[f.accepted.Service]
+func (h *Host) sendAttempt(c *call, target *sched.Target) {
+	svc := h.declared().Services[c.accepted.Service]
 	if svc.Kind == decl.Engine && h.sched.EvictsCache() {
-		h.makeRoom(t, f.p.history+f.accepted.PromptTokens-f.p.heldAt(f.target))
+		h.dropIdleCaches(target, c.program.historyTokens+c.accepted.PromptTokens-c.program.cachedTokens(c.target))
 	}
-	f.sentAt = h.now
-	f.until = earliest(h.now+svc.Timeout, f.deadline)
+	c.sentAt = h.now
+	c.timeoutAt = earliest(h.now+svc.Timeout, c.deadline)
 	send := Send{
-		Call: f.call(), Target: t.Decl, Kind: svc.Kind, Slot: f.p.slot.slot, Epoch: f.p.slot.epoch,
-		Prompt: f.accepted.Prompt, MaxTokens: f.accepted.MaxTokens, Priority: f.item.Rank(), Timeout: f.until - h.now,
+		Call: c.id(), Target: target.Decl, Kind: svc.Kind, Slot: c.program.slot.slot, Epoch: c.program.slot.epoch,
+		Prompt: c.accepted.Prompt, MaxTokens: c.accepted.MaxTokens, Priority: c.item.Rank(), Timeout: c.timeoutAt - h.now,
 		NotAfter: h.servesUntil(),
 	}
 	if svc.Kind == decl.Engine {
-		send.History = f.p.past()
+		send.History = c.program.answeredTurns()
 	}
 	h.ready.Sends = append(h.ready.Sends, send)
 }
 
-func (f *flight) call() CallID {
-	return CallID{Program: f.p.id, Sequence: f.accepted.Sequence, Attempt: f.attempt}
+func (c *call) id() CallID {
+	return CallID{Program: c.program.id, Sequence: c.accepted.Sequence, Attempt: c.lastAttempt}
 }
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -7,13 +7,13 @@
 )
 
 // aliveLocal counts the members of the data centre that may own slots.
-func (h *Host) aliveLocal() int {
+func (h *Host) countLocalMembers() int {
 	n := 0
 	if !h.draining {
 		n++
 	}
 	for _, p := range h.members.list {
-		if h.local(p) && h.hears(p) && !p.draining {
+		if h.isLocal(p) && h.isHeard(p) && !p.draining {
 			n++
 		}
 	}
@@ -22,44 +22,44 @@
 
 // settleFor is how long a new member waits before it claims more than its
 // share of unowned slots, so that members that start together share them.
-const settleFor = 3 * time.Second
+const fairShareWindow = 3 * time.Second
 
 // claimUnowned claims slots without an owner: those of the own data centre, up
 // to a fair share at first, and those of another that has no member left.
-func (h *Host) claimUnowned(t *slotTable) bool {
+func (h *Host) claimUnownedSlots(t *slotTable) bool {
 	if h.draining {
 		return false
 	}
-	room := len(t.Slots)
+	maxClaims := len(t.Slots)
 	if t.DataCentre == h.cfg.DataCentre {
-		room = h.unownedShare(t)
-	} else if !h.centreDead(t.DataCentre) {
+		maxClaims = h.maxUnownedClaims(t)
+	} else if !h.isDataCentreDead(t.DataCentre) {
 		return false
 	}
-	return h.claim(t, room, func(e *SlotEntry) bool { return e.Owner == "" })
+	return h.claimSlots(t, maxClaims, func(e *SlotEntry) bool { return e.Owner == "" })
 }
 
-func (h *Host) unownedShare(t *slotTable) int {
-	if h.slots.claimAt == 0 {
-		h.slots.claimAt = h.now + settleFor
+func (h *Host) maxUnownedClaims(t *slotTable) int {
+	if h.slots.fullClaimAt == 0 {
+		h.slots.fullClaimAt = h.now + fairShareWindow
 	}
-	if h.now >= h.slots.claimAt {
+	if h.now >= h.slots.fullClaimAt {
 		return len(t.Slots)
 	}
-	members := max(1, h.aliveLocal())
-	return (len(t.Slots)+members-1)/members - len(h.mineIn(t.DataCentre))
+	members := max(1, h.countLocalMembers())
+	return (len(t.Slots)+members-1)/members - len(h.ownedSlotsIn(t.DataCentre))
 }
 
 // centreDead reports whether every member of another data centre is revoked.
 // That takes the data centre's lease, which those who revoked them waited out.
-func (h *Host) centreDead(dc string) bool {
+func (h *Host) isDataCentreDead(dc string) bool {
 	found := false
 	for _, p := range h.members.list {
 		if p.dataCentre != dc {
 			continue
 		}
 		found = true
-		if !p.revoked || h.now-p.revokedAt < centreDeadFor {
+		if !p.revoked || h.now-p.revokedAt < dataCentreDeadTimeout {
 			return false
 		}
 	}
@@ -68,51 +68,51 @@
 
 // centreDeadFor is how long all members of a data centre must have been revoked
 // before others claim its slots: a restarted host takes its own back sooner.
-const centreDeadFor = 30 * time.Second
+const dataCentreDeadTimeout = 30 * time.Second
 
 // removeAfter is how long what a revoked member left at the platform stays at
 // least. By then every slot table that could still name its stream is known.
-const removeAfter = time.Minute
+const minRemovalDelay = time.Minute
 
 // claimDead claims the slots of a member whose lease is revoked. Its own data
 // centre does it, or any other once that one is dead. Every peer tries; the
 // conditional update lets one win.
-func (h *Host) claimDead(p *peer) {
-	if !h.holdsLease() || h.draining || h.slots.busy || h.now < p.checkAt || h.ownTable() == nil {
+func (h *Host) claimSlotsOf(p *peer) {
+	if !h.holdsLease() || h.draining || h.slots.updating || h.now < p.leaseCheckAt || h.ownTable() == nil {
 		return
 	}
-	p.checkAt = h.now + leaseCheckEvery
-	if !h.local(p) && !h.centreDead(p.dataCentre) {
+	p.leaseCheckAt = h.now + leaseCheckInterval
+	if !h.isLocal(p) && !h.isDataCentreDead(p.dataCentre) {
 		return
 	}
 	for _, dc := range sortedKeys(h.slots.tables) {
 		t := h.slots.tables[dc]
-		if h.claim(t, len(t.Slots), func(e *SlotEntry) bool { return e.Owner == p.name }) {
+		if h.claimSlots(t, len(t.Slots), func(e *SlotEntry) bool { return e.Owner == p.name }) {
 			h.stats.Takeovers++
-			h.note(Note{Kind: NoteTakeover, Member: p.name, Detail: "slots claimed"})
+			h.addNote(Note{Kind: NoteTakeover, Member: p.name, Detail: "slots claimed"})
 			return
 		}
 	}
-	if h.now-p.revokedAt >= removeAfter && h.slots.tables[p.dataCentre] != nil && !h.streamNeeded(p.name) {
+	if h.now-p.revokedAt >= minRemovalDelay && h.slots.tables[p.dataCentre] != nil && !h.isStreamNeeded(p.name) {
 		h.removeMember(p)
 	}
 }
 
-func (h *Host) claim(t *slotTable, room int, want func(*SlotEntry) bool) bool {
-	any := false
+func (h *Host) claimSlots(t *slotTable, maxClaims int, matches func(*SlotEntry) bool) bool {
+	found := false
 	for i := range t.Slots {
-		any = any || want(&t.Slots[i])
+		found = found || matches(&t.Slots[i])
 	}
-	if !any || room <= 0 {
+	if !found || maxClaims <= 0 {
 		return false
 	}
 	h.updateTable(t, func(next *SlotTable) {
 		for i := range next.Slots {
 			e := &next.Slots[i]
-			if room <= 0 || !want(e) {
+			if maxClaims <= 0 || !matches(e) {
 				continue
 			}
-			room--
+			maxClaims--
 			if e.Owner != "" {
 				e.Streams[e.Owner] = 0 // to be read to its end, and sealed
 			}
@@ -134,7 +134,7 @@
 }
 
 // streamNeeded reports whether a slot needs the stream.
-func (h *Host) streamNeeded(stream string) bool {
+func (h *Host) isStreamNeeded(stream string) bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
 			if _, ok := e.Streams[stream]; ok {
@@ -149,15 +149,15 @@
 // needs it. Its lease goes last, so that the work is found again if this
 // member dies meanwhile.
 func (h *Host) removeMember(p *peer) {
-	h.do(PlatformOp{Kind: OpListKeys, Key: journal.StreamPrefix(p.name)}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpListKeys, Key: journal.StreamPrefix(p.name)}, func(r *PlatformReply) {
 		if r.Status != OpOK {
 			return
 		}
 		for _, o := range r.Objects {
-			h.do(PlatformOp{Kind: OpDelete, Key: o.Key}, ignoreReply)
+			h.submitOp(PlatformOp{Kind: OpDelete, Key: o.Key}, ignoreReply)
 		}
 		if len(r.Objects) == 0 {
-			h.do(PlatformOp{Kind: OpDelete, Key: LeaseKey(p.name)}, ignoreReply)
+			h.submitOp(PlatformOp{Kind: OpDelete, Key: LeaseKey(p.name)}, ignoreReply)
 			h.members.remove(p)
 		}
 	})
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -97,25 +97,25 @@
 	d := &Dump{
 		Member: h.self, DataCentre: h.cfg.DataCentre, NowMS: h.now.Milliseconds(),
 		MayServe: h.mayServe(), Draining: h.draining, Lost: h.ready.Lost, PlatformOK: h.ops.reachable,
-		ConfigVersion: h.declare.version, ConfigRefused: h.declare.refused,
-		Lease: DumpLease{Version: h.lease.version, RemainingMS: (h.lease.until - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
+		ConfigVersion: h.declaration.version, ConfigRefused: h.declaration.rejectedVersion,
+		Lease: DumpLease{Version: h.lease.version, RemainingMS: (h.lease.validUntil - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
 		Journal: DumpJournal{
 			LastLSN: h.log.writer.LastLSN(), PlatformLSN: h.log.writer.DurableLSN(), TailLSN: h.log.tailAcked,
-			Segments: h.log.writer.LastSegment(), FirstSegment: h.log.firstKept,
-			PendingBytes: h.log.writer.PendingBytes(), Waiting: len(h.log.waits), TailsHeld: len(h.log.tails),
+			Segments: h.log.writer.LastSegment(), FirstSegment: h.log.firstNeeded,
+			PendingBytes: h.log.writer.PendingBytes(), Waiting: len(h.log.waits), TailsHeld: len(h.log.peerTails),
 		},
-		Queues: map[string]int{}, Releases: len(h.releases), Recoveries: len(h.slots.recoveries), Stats: h.stats,
+		Queues: map[string]int{}, Releases: len(h.releaseTasks), Recoveries: len(h.slots.recoveries), Stats: h.stats,
 	}
-	for _, own := range h.allMine() {
+	for _, own := range h.ownedSlots() {
 		d.Slots = append(d.Slots, DumpSlot{
-			Slot: own.slot.String(), Epoch: own.epoch, State: slotStates[own.state], Programs: len(own.programs), ActiveCalls: own.busy,
+			Slot: own.slot.String(), Epoch: own.epoch, State: slotStateNames[own.state], Programs: len(own.programs), ActiveCalls: own.activeCalls,
 		})
 	}
 	for _, p := range h.members.list {
 		d.Peers = append(d.Peers, DumpPeer{
-			Member: p.name, DataCentre: p.dataCentre, Address: p.address, Heard: h.hears(p), Gone: p.gone,
+			Member: p.name, DataCentre: p.dataCentre, Address: p.address, Heard: h.isHeard(p), Gone: p.gone,
 			PlatformOK: p.platformOK, ConfigVersion: p.configVersion, Slots: p.slots,
-			PromiseRemainingMS: max(0, (p.promiseUntil - h.now).Milliseconds()),
+			PromiseRemainingMS: max(0, (p.receivedPromiseUntil - h.now).Milliseconds()),
 		})
 	}
 	h.dumpTargets(d)
@@ -133,7 +133,7 @@
 			BreakerOpen: t.Breaker.IsOpen(h.now), Leaving: t.Decl.Leaving,
 		})
 	}
-	if set := h.set(); set != nil {
+	if set := h.declared(); set != nil {
 		for name := range set.Services {
 			d.Queues[name] = h.sched.Waiting(name)
 		}
@@ -142,27 +142,27 @@
 
 func (p *program) dump() DumpProgram {
 	d := DumpProgram{
-		Program: string(p.id), Caller: p.caller, Parent: string(p.parent), Turns: len(p.turns), Waiting: len(p.pending),
-		Budget: p.budget, Spent: p.spent, Reserved: p.reserved, Corrupt: p.corrupt,
+		Program: string(p.id), Caller: p.caller, Parent: string(p.parent), Turns: len(p.turns), Waiting: len(p.pendingCalls),
+		Budget: p.budgetTokens, Spent: p.spentTokens, Reserved: p.reservedTokens, Corrupt: p.corrupt,
 	}
-	if p.active != nil {
-		d.State = callChart.StateName(p.active.state)
+	if p.activeCall != nil {
+		d.State = callChart.StateName(p.activeCall.state)
 	}
 	if p.ended {
-		d.Ended = p.reason
+		d.Ended = p.endReason
 	}
-	for _, x := range p.holders {
-		d.CacheTargets = append(d.CacheTargets, x.target)
+	for _, cache := range p.cacheTargets {
+		d.CacheTargets = append(d.CacheTargets, cache.target)
 	}
 	return d
 }
 
 // Caller returns the caller with the token digest, as declared.
 func (h *Host) Caller(digest string) (name string, budget int64, ok bool) {
-	if h.set() == nil {
+	if h.declared() == nil {
 		return "", 0, false
 	}
-	c, ok := h.set().CallerByToken(digest)
+	c, ok := h.declared().CallerByToken(digest)
 	if !ok {
 		return "", 0, false
 	}
@@ -170,17 +170,17 @@
 }
 
 // ConfigVersion returns the version of the declaration in force, 0 for none.
-func (h *Host) ConfigVersion() uint64 { return h.declare.version }
+func (h *Host) ConfigVersion() uint64 { return h.declaration.version }
 
 // Engines returns the declared targets that keep cache, in order of name.
 func (h *Host) EngineTargets() []*decl.Target {
-	if h.set() == nil {
+	if h.declared() == nil {
 		return nil
 	}
 	var all []*decl.Target
 	for _, name := range h.sched.Targets() {
 		t, _ := h.sched.Target(name)
-		if h.set().Services[t.Decl.Service].Kind == decl.Engine {
+		if h.declared().Services[t.Decl.Service].Kind == decl.Engine {
 			all = append(all, t.Decl)
 		}
 	}
--- a/core/host/handover.go
+++ b/core/host/handover.go
@@ -15,24 +15,24 @@
 // belong to another data centre that is alive again, else the excess over a fair
 // share, so that a host that joined gets work. It reports whether it updated the
 // table.
-func (h *Host) handOver(t *slotTable) bool {
-	h.chooseMoves(t)
-	ready := map[int]string{}
-	for _, own := range h.mineIn(t.DataCentre) {
-		if own.state == slotMoving && own.busy == 0 && own.lastLSN <= h.log.writer.DurableLSN() {
-			ready[own.slot.Number] = own.to
+func (h *Host) handOverSlots(t *slotTable) bool {
+	h.selectMoves(t)
+	movable := map[int]string{}
+	for _, own := range h.ownedSlotsIn(t.DataCentre) {
+		if own.state == slotMoving && own.activeCalls == 0 && own.lastLSN <= h.log.writer.DurableLSN() {
+			movable[own.slot.Number] = own.newOwner
 		}
 	}
-	if len(ready) == 0 {
+	if len(movable) == 0 {
 		return false
 	}
-	last := h.log.writer.LastSegment()
+	lastSegment := h.log.writer.LastSegment()
 	h.updateTable(t, func(next *SlotTable) {
-		for n, to := range ready {
+		for n, to := range movable {
 			e := &next.Slots[n]
 			delete(e.Streams, h.self)
-			if last > 0 {
-				e.Streams[h.self] = last
+			if lastSegment > 0 {
+				e.Streams[h.self] = lastSegment
 			}
 			if to == "" {
 				e.Owner = ""
@@ -42,24 +42,24 @@
 		}
 	}, func(ok bool) {
 		if ok {
-			h.note(Note{Kind: NoteHandover, Detail: strconv.Itoa(len(ready)) + " slots"})
+			h.addNote(Note{Kind: NoteHandover, Detail: strconv.Itoa(len(movable)) + " slots"})
 		}
 	})
 	return true
 }
 
 // chooseMoves marks the slots of a table that should move, and to whom.
-func (h *Host) chooseMoves(t *slotTable) {
+func (h *Host) selectMoves(t *slotTable) {
 	counts := h.slotCounts(t)
-	mine := h.mineIn(t.DataCentre)
-	away := t.DataCentre != h.cfg.DataCentre
-	if h.draining || away {
-		if away && !h.draining && len(counts) == 0 {
+	mine := h.ownedSlotsIn(t.DataCentre)
+	foreign := t.DataCentre != h.cfg.DataCentre
+	if h.draining || foreign {
+		if foreign && !h.draining && len(counts) == 0 {
 			return
 		}
 		for _, own := range mine {
 			if own.state != slotLoading {
-				h.move(own, counts)
+				h.startMove(own, counts)
 			}
 		}
 		return
@@ -76,8 +76,8 @@
 		return
 	}
 	for _, own := range mine {
-		if excess > 0 && own.state == slotServing && own.busy == 0 {
-			h.move(own, counts)
+		if excess > 0 && own.state == slotServing && own.activeCalls == 0 {
+			h.startMove(own, counts)
 			excess--
 		}
 	}
@@ -88,7 +88,7 @@
 func (h *Host) slotCounts(t *slotTable) map[string]int {
 	counts := map[string]int{}
 	for _, p := range h.members.list {
-		if p.dataCentre == t.DataCentre && h.hears(p) && !p.draining && !p.suspended {
+		if p.dataCentre == t.DataCentre && h.isHeard(p) && !p.draining && !p.suspended {
 			counts[p.name] = 0
 		}
 	}
@@ -102,54 +102,54 @@
 
 // move marks a slot for the peer with the fewest; without a peer a draining
 // member leaves it unowned, for the next that joins.
-func (h *Host) move(own *ownedSlot, counts map[string]int) {
-	if _, alive := counts[own.to]; own.state == slotMoving && alive {
+func (h *Host) startMove(own *ownedSlot, counts map[string]int) {
+	if _, alive := counts[own.newOwner]; own.state == slotMoving && alive {
 		return
 	}
-	best := ""
+	fewest := ""
 	for _, name := range sortedKeys(counts) {
-		if best == "" || counts[name] < counts[best] {
-			best = name
+		if fewest == "" || counts[name] < counts[fewest] {
+			fewest = name
 		}
 	}
-	own.state, own.to = slotMoving, best
-	if best != "" {
-		counts[best]++
+	own.state, own.newOwner = slotMoving, fewest
+	if fewest != "" {
+		counts[fewest]++
 	}
 }
 
 // tickDrain ends a graceful stop once nothing is owned or under way. The lease
 // stays, marked by the member itself, while other members need its stream.
 func (h *Host) tickDrain() {
-	if !h.draining || h.ready.Drained || len(h.slots.mine) > 0 || h.slots.busy || len(h.active) > 0 {
+	if !h.draining || h.ready.Drained || len(h.slots.owned) > 0 || h.slots.updating || len(h.activePrograms) > 0 {
 		return
 	}
-	if h.lease.busy || h.now < h.paced.leave {
+	if h.lease.writing || h.now < h.nextRun.leaveAt {
 		return
 	}
-	h.leave()
+	h.releaseLease()
 }
 
-func (h *Host) leave() {
-	h.paced.leave = h.now + releaseRetry
-	if !h.lease.held {
-		h.sayGoodbye()
+func (h *Host) releaseLease() {
+	h.nextRun.leaveAt = h.now + releaseRetryDelay
+	if !h.lease.acquired {
+		h.sendGoodbye()
 		return
 	}
-	h.lease.tryAt = h.now + time.Hour // no more renewals
-	o := h.lease.object
-	o.RevokedBy = h.self
-	o.FirstSegment, o.LastSegment = h.log.firstKept, h.log.writer.LastSegment()
-	h.lease.busy = true
-	h.put(h.lease.key(h), h.lease.version, mustJSON(o), func(s OpStatus, _ uint64) {
-		h.lease.busy = false
+	h.lease.renewAt = h.now + time.Hour // no more renewals
+	object := h.lease.object
+	object.RevokedBy = h.self
+	object.FirstSegment, object.LastSegment = h.log.firstNeeded, h.log.writer.LastSegment()
+	h.lease.writing = true
+	h.putObject(h.lease.key(h), h.lease.version, mustEncodeJSON(object), func(s OpStatus, _ uint64) {
+		h.lease.writing = false
 		if s == OpOK || s == OpConflict {
-			h.sayGoodbye()
+			h.sendGoodbye()
 		}
 	})
 }
 
-func (h *Host) sayGoodbye() {
+func (h *Host) sendGoodbye() {
 	for _, p := range h.members.list {
 		if !p.gone {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_Goodbye{Goodbye: &peerpb.Goodbye{}}})
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -24,24 +24,24 @@
 	ready Ready
 	sched *sched.Scheduler
 
-	ops     operations
-	lease   lease
-	members membership
-	slots   slotTables
-	log     commitLog
-	declare declaration
-
-	programs map[ident.Program]*program
-	byKey    map[createKey]ident.Program
-	active   map[*program]struct{} // programs with a call under way
-	releases map[releaseKey]*releaseTask
-	limits   map[limitKey]*rate.Limiter
+	ops         operations
+	lease       lease
+	members     membership
+	slots       slotTables
+	log         commitLog
+	declaration declarationState
+
+	programs       map[ident.Program]*program
+	programsByKey  map[createKey]ident.Program
+	activePrograms map[*program]struct{} // programs with a call under way
+	releaseTasks   map[releaseKey]*releaseTask
+	rateLimiters   map[rateLimiterKey]*rate.Limiter
 	// holdersAt are the programs with cache at a target, by its name.
-	holdersAt map[string]map[*program]struct{}
-	names     uint64 // program names given out
+	cachedPrograms map[string]map[*program]struct{}
+	namesGenerated uint64 // program names given out
 
 	draining bool
-	paced    pacing
+	nextRun  nextRunTimes
 	stats    Stats
 }
 
@@ -64,57 +64,57 @@
 	}
 	self := cfg.member()
 	h := &Host{
-		cfg:       cfg,
-		self:      self,
-		rng:       rand.New(rand.NewPCG(cfg.Seed, ident.Hash([]byte(self)))),
-		sched:     sched.New(policy),
-		programs:  map[ident.Program]*program{},
-		byKey:     map[createKey]ident.Program{},
-		active:    map[*program]struct{}{},
-		releases:  map[releaseKey]*releaseTask{},
-		limits:    map[limitKey]*rate.Limiter{},
-		holdersAt: map[string]map[*program]struct{}{},
+		cfg:            cfg,
+		self:           self,
+		rng:            rand.New(rand.NewPCG(cfg.Seed, ident.Hash([]byte(self)))),
+		sched:          sched.New(policy),
+		programs:       map[ident.Program]*program{},
+		programsByKey:  map[createKey]ident.Program{},
+		activePrograms: map[*program]struct{}{},
+		releaseTasks:   map[releaseKey]*releaseTask{},
+		rateLimiters:   map[rateLimiterKey]*rate.Limiter{},
+		cachedPrograms: map[string]map[*program]struct{}{},
 	}
 	h.ops.pending = map[uint64]*pendingOp{}
 	h.ops.reachable = true
 	h.members.peers = map[string]*peer{}
-	h.declare.seen = map[string]uint64{}
+	h.declaration.seenVersions = map[string]uint64{}
 	h.slots.tables = map[string]*slotTable{}
-	h.slots.mine = map[ident.Slot]*ownedSlot{}
+	h.slots.owned = map[ident.Slot]*ownedSlot{}
 	h.log.writer = journal.NewWriter(self, self, cfg.MaxSegmentBytes)
-	h.log.tails = map[string]*heldTail{}
-	h.log.firstKept = 1
+	h.log.peerTails = map[string]*peerTail{}
+	h.log.firstNeeded = 1
 	return h, nil
 }
 
-func withDefaults(c Config) Config {
-	d := DefaultConfig()
-	def := func(v *time.Duration, d time.Duration) {
+func withDefaults(cfg Config) Config {
+	defaults := DefaultConfig()
+	setDuration := func(v *time.Duration, defaults time.Duration) {
 		if *v == 0 {
-			*v = d
+			*v = defaults
 		}
 	}
-	num := func(v *int, d int) {
+	setInt := func(v *int, defaults int) {
 		if *v == 0 {
-			*v = d
+			*v = defaults
 		}
 	}
-	def(&c.LeaseDuration, d.LeaseDuration)
-	def(&c.RenewInterval, d.RenewInterval)
-	def(&c.ClockMargin, d.ClockMargin)
-	def(&c.DataCentreLeaseDuration, d.DataCentreLeaseDuration)
-	def(&c.HeartbeatInterval, d.HeartbeatInterval)
-	def(&c.SuspectTimeout, d.SuspectTimeout)
-	def(&c.PromiseDuration, d.PromiseDuration)
-	def(&c.FlushInterval, d.FlushInterval)
-	def(&c.OperationTimeout, d.OperationTimeout)
-	def(&c.ConfigPollInterval, d.ConfigPollInterval)
-	def(&c.Retention, d.Retention)
-	num(&c.Slots, d.Slots)
-	num(&c.MaxSegmentBytes, d.MaxSegmentBytes)
-	num(&c.MaxTailBytes, d.MaxTailBytes)
-	num(&c.MaxPrograms, d.MaxPrograms)
-	return c
+	setDuration(&cfg.LeaseDuration, defaults.LeaseDuration)
+	setDuration(&cfg.RenewInterval, defaults.RenewInterval)
+	setDuration(&cfg.ClockMargin, defaults.ClockMargin)
+	setDuration(&cfg.DataCentreLeaseDuration, defaults.DataCentreLeaseDuration)
+	setDuration(&cfg.HeartbeatInterval, defaults.HeartbeatInterval)
+	setDuration(&cfg.SuspectTimeout, defaults.SuspectTimeout)
+	setDuration(&cfg.PromiseDuration, defaults.PromiseDuration)
+	setDuration(&cfg.FlushInterval, defaults.FlushInterval)
+	setDuration(&cfg.OperationTimeout, defaults.OperationTimeout)
+	setDuration(&cfg.ConfigPollInterval, defaults.ConfigPollInterval)
+	setDuration(&cfg.Retention, defaults.Retention)
+	setInt(&cfg.Slots, defaults.Slots)
+	setInt(&cfg.MaxSegmentBytes, defaults.MaxSegmentBytes)
+	setInt(&cfg.MaxTailBytes, defaults.MaxTailBytes)
+	setInt(&cfg.MaxPrograms, defaults.MaxPrograms)
+	return cfg
 }
 
 // Member is the name of this member: "<data centre>/<host>.<incarnation>".
@@ -126,18 +126,18 @@
 	h.now = max(h.now, now)
 	h.stats.Steps++
 	if h.ready.Lost {
-		h.refuseLost(ev)
+		h.rejectAfterLoss(ev)
 		return
 	}
-	h.handle(ev)
+	h.handleEvent(ev)
 	h.dispatch()
-	h.shipTail()
+	h.sendTail()
 }
 
 // Ready returns what is to be done; it is valid until the next Step.
 func (h *Host) Ready() *Ready { return &h.ready }
 
-func (h *Host) handle(ev Event) {
+func (h *Host) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case *Tick:
 		h.tick()
@@ -146,25 +146,25 @@
 	case *Drain:
 		h.drain()
 	case *PlatformReply:
-		h.opReplied(ev)
+		h.handlePlatformReply(ev)
 	case *PeerFrame:
-		h.peerFrame(ev.Frame)
+		h.handlePeerFrame(ev.Frame)
 	case *PeerRefused:
-		h.peerRefused(ev.Address)
+		h.handlePeerRefused(ev.Address)
 	case *CreateProgram:
-		h.createProgram(ev)
+		h.handleCreateProgram(ev)
 	case *SubmitCall:
-		h.submitCall(ev)
+		h.handleSubmitCall(ev)
 	case *FetchAnswer:
-		h.fetchAnswer(ev)
+		h.handleFetchAnswer(ev)
 	case *EndProgram:
-		h.endProgram(ev)
+		h.handleEndProgram(ev)
 	case *TargetDone:
-		h.targetDone(ev)
+		h.handleTargetDone(ev)
 	case *TargetReport:
-		h.targetReport(ev)
+		h.handleTargetReport(ev)
 	case *ReleaseDone:
-		h.releaseDone(ev)
+		h.handleReleaseDone(ev)
 	}
 }
 
@@ -174,13 +174,13 @@
 		h.acceptConfig(ev.CachedConfig)
 	}
 	h.acquireLease()
-	h.refreshMembers()
+	h.listMembers()
 	h.pollShared()
 	h.watchShared()
 }
 
 func (h *Host) tick() {
-	h.expireOps()
+	h.timeOutOps()
 	h.tickLease()
 	h.tickMembers()
 	h.tickSlots()
@@ -194,28 +194,28 @@
 
 // refuseLost answers requests of a member that was replaced; its driver starts
 // a new one.
-func (h *Host) refuseLost(ev Event) {
+func (h *Host) rejectAfterLoss(ev Event) {
 	f := failure.Retry(failure.NotOwner, time.Second, "host is starting again")
 	switch ev := ev.(type) {
 	case *CreateProgram:
-		h.refuse(ev.Waiter, f)
+		h.reject(ev.Waiter, f)
 	case *SubmitCall:
-		h.refuse(ev.Waiter, f)
+		h.reject(ev.Waiter, f)
 	case *FetchAnswer:
-		h.refuse(ev.Waiter, f)
+		h.reject(ev.Waiter, f)
 	case *EndProgram:
-		h.refuse(ev.Waiter, f)
+		h.reject(ev.Waiter, f)
 	}
 }
 
-func (h *Host) refuse(waiter uint64, f *failure.Failure) {
+func (h *Host) reject(waiter uint64, f *failure.Failure) {
 	if waiter == 0 {
 		return
 	}
 	h.ready.Replies = append(h.ready.Replies, Reply{Waiter: waiter, Outcome: Outcome{Failure: f}})
 }
 
-func (h *Host) note(n Note) { h.ready.Notes = append(h.ready.Notes, n) }
+func (h *Host) addNote(n Note) { h.ready.Notes = append(h.ready.Notes, n) }
 
 func (h *Host) send(address string, f *peerpb.Frame) {
 	f.From = h.self
@@ -223,29 +223,29 @@
 }
 
 // lose ends this member: another one has replaced it.
-func (h *Host) lose(why string) {
+func (h *Host) markLost(reason string) {
 	if h.ready.Lost {
 		return
 	}
 	h.ready.Lost = true
-	h.note(Note{Kind: NoteLeaseLost, Member: h.self, Detail: why})
+	h.addNote(Note{Kind: NoteLeaseLost, Member: h.self, Detail: reason})
 	// The new owner knows what became of the calls.
-	f := failure.Unknown(failure.NotOwner, "%s", why)
+	f := failure.Unknown(failure.NotOwner, "%s", reason)
 	f.RetryAfter = time.Second
-	for _, p := range h.sortedActive() {
-		for _, w := range p.allWaiters() {
-			h.refuse(w, f)
+	for _, p := range h.sortedActivePrograms() {
+		for _, w := range p.waiters() {
+			h.reject(w, f)
 		}
 	}
 }
 
 // set returns the declaration in force, nil before the first.
-func (h *Host) set() *decl.Set { return h.declare.set }
+func (h *Host) declared() *decl.Set { return h.declaration.set }
 
 // clock converts the machine's time for libraries that want a time.Time.
-func (h *Host) clock() time.Time { return time.Unix(0, 0).Add(h.now) }
+func (h *Host) nowTime() time.Time { return time.Unix(0, 0).Add(h.now) }
 
-func (h *Host) programName() string {
-	h.names++
-	return strconv.FormatUint(h.rng.Uint64(), 36) + strconv.FormatUint(h.names, 36)
+func (h *Host) newProgramName() string {
+	h.namesGenerated++
+	return strconv.FormatUint(h.rng.Uint64(), 36) + strconv.FormatUint(h.namesGenerated, 36)
 }
--- a/core/host/lease.go
+++ b/core/host/lease.go
@@ -39,20 +39,20 @@
 // lapse counts from a later moment (when it saw that renewal), so it waits
 // longer than the holder serves, whatever their clocks show.
 type lease struct {
-	version uint64
-	object  LeaseObject
-	held    bool // acquired once
-	until   time.Duration
-	renewed time.Duration // when the last successful renewal was sent
-	tryAt   time.Duration
+	version    uint64
+	object     LeaseObject
+	acquired   bool // acquired once
+	validUntil time.Duration
+	renewedAt  time.Duration // when the last successful renewal was sent
+	renewAt    time.Duration
 	// body is the renewal under way or of unknown outcome. It is sent again
 	// unchanged until its outcome is known: another body could not be told
 	// from a revocation.
-	body   []byte
-	sentAt time.Duration
-	busy   bool
+	pendingBody []byte
+	sentAt      time.Duration
+	writing     bool
 	// suspended is what the last tick found, for notes.
-	suspended bool
+	wasSuspended bool
 }
 
 func (l *lease) key(h *Host) string { return LeaseKey(h.self) }
@@ -62,68 +62,68 @@
 		Member: h.self, Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Address: h.cfg.Address,
 		DurationMS: h.cfg.LeaseDuration.Milliseconds(),
 	}
-	h.lease.suspended = true
+	h.lease.wasSuspended = true
 	h.renewLease()
 }
 
 func (h *Host) renewLease() {
 	l := &h.lease
-	if l.busy {
+	if l.writing {
 		return
 	}
-	if l.body == nil {
+	if l.pendingBody == nil {
 		l.object.Renewal++
 		l.object.TailPeer = h.log.tailPeer
-		l.object.FirstSegment, l.object.LastSegment = h.log.firstKept, h.log.writer.LastSegment()
-		l.body = mustJSON(l.object)
+		l.object.FirstSegment, l.object.LastSegment = h.log.firstNeeded, h.log.writer.LastSegment()
+		l.pendingBody = mustEncodeJSON(l.object)
 		l.sentAt = h.now
 	}
-	l.busy = true
-	h.put(l.key(h), l.version, l.body, h.leaseWritten)
+	l.writing = true
+	h.putObject(l.key(h), l.version, l.pendingBody, h.handleLeaseWritten)
 }
 
-func (h *Host) leaseWritten(status OpStatus, version uint64) {
+func (h *Host) handleLeaseWritten(status OpStatus, version uint64) {
 	l := &h.lease
-	l.busy = false
+	l.writing = false
 	switch status {
 	case OpOK:
 		var written LeaseObject
-		_ = json.Unmarshal(l.body, &written) // our own
-		h.log.tailRegistered, h.log.firstRegistered = written.TailPeer, written.FirstSegment
-		l.version, l.renewed, l.body = version, l.sentAt, nil
-		l.until = l.renewed + h.cfg.LeaseDuration
-		l.tryAt = l.renewed + h.cfg.RenewInterval
-		if !l.held {
-			l.held = true
-			h.note(Note{Kind: NoteLeaseAcquired, Member: h.self})
+		_ = json.Unmarshal(l.pendingBody, &written) // our own
+		h.log.registeredTailPeer, h.log.registeredFirst = written.TailPeer, written.FirstSegment
+		l.version, l.renewedAt, l.pendingBody = version, l.sentAt, nil
+		l.validUntil = l.renewedAt + h.cfg.LeaseDuration
+		l.renewAt = l.renewedAt + h.cfg.RenewInterval
+		if !l.acquired {
+			l.acquired = true
+			h.addNote(Note{Kind: NoteLeaseAcquired, Member: h.self})
 		}
 	case OpConflict:
-		h.lose("lease revoked")
+		h.markLost("lease revoked")
 	default:
-		l.tryAt = h.now + h.cfg.RenewInterval/4
+		l.renewAt = h.now + h.cfg.RenewInterval/4
 	}
 }
 
 func (h *Host) tickLease() {
 	l := &h.lease
-	if h.now >= l.tryAt {
+	if h.now >= l.renewAt {
 		h.renewLease()
 	}
 	suspended := !h.mayServe()
-	if suspended == l.suspended {
+	if suspended == l.wasSuspended {
 		return
 	}
-	l.suspended = suspended
+	l.wasSuspended = suspended
 	if suspended {
-		h.note(Note{Kind: NoteSuspended, Member: h.self})
+		h.addNote(Note{Kind: NoteSuspended, Member: h.self})
 		return
 	}
-	h.note(Note{Kind: NoteResumed, Member: h.self})
+	h.addNote(Note{Kind: NoteResumed, Member: h.self})
 	h.sched.WakeAll()
 }
 
 // holdsLease reports whether the lease itself holds by this host's clock.
-func (h *Host) holdsLease() bool { return h.lease.held && h.now < h.lease.until }
+func (h *Host) holdsLease() bool { return h.lease.acquired && h.now < h.lease.validUntil }
 
 // mayServe reports whether no other member can own this member's slots now.
 func (h *Host) mayServe() bool {
@@ -140,20 +140,20 @@
 // (said goodbye, or its process is dead) needs no promise. Two hosts, one dead
 // and the other cut off, cannot be told from a split; then it does not hold.
 func (h *Host) servesUntil() time.Duration {
-	if h.ready.Lost || !h.lease.held {
+	if h.ready.Lost || !h.lease.acquired {
 		return 0
 	}
 	const forever = time.Duration(1<<63 - 1)
-	local, remote := forever, forever
+	localPromise, remotePromise := forever, forever
 	for _, p := range h.members.list {
 		switch {
 		case p.gone:
-		case h.local(p):
-			local = min(local, p.promiseUntil)
+		case h.isLocal(p):
+			localPromise = min(localPromise, p.receivedPromiseUntil)
 		default:
-			remote = min(remote, p.promiseUntil)
+			remotePromise = min(remotePromise, p.receivedPromiseUntil)
 		}
 	}
-	centre := h.lease.renewed + h.cfg.DataCentreLeaseDuration - h.cfg.ClockMargin
-	return max(h.lease.until, min(local, max(centre, remote)))
+	dataCentre := h.lease.renewedAt + h.cfg.DataCentreLeaseDuration - h.cfg.ClockMargin
+	return max(h.lease.validUntil, min(localPromise, max(dataCentre, remotePromise)))
 }
--- a/core/host/lifecycle.go
+++ b/core/host/lifecycle.go
@@ -9,170 +9,170 @@
 )
 
 // expireEvery paces the look for idle and ended programs.
-const expireEvery = 5 * time.Second
+const expireInterval = 5 * time.Second
 
 // createProgram makes a program in one of this member's slots; a sub-agent in
 // the slot of its parent, so that both always have one owner and one budget.
-func (h *Host) createProgram(ev *CreateProgram) {
-	if id, ok := h.byKey[createKey{ev.Caller, ev.Key}]; ok && ev.Key != "" {
+func (h *Host) handleCreateProgram(ev *CreateProgram) {
+	if id, ok := h.programsByKey[createKey{ev.Caller, ev.Key}]; ok && ev.Key != "" {
 		h.replyWhenDurable(ev.Waiter, id)
 		return
 	}
-	own, refused := h.placeProgram(ev)
-	if refused != nil {
-		h.refuse(ev.Waiter, refused)
+	own, rejection := h.selectSlot(ev)
+	if rejection != nil {
+		h.reject(ev.Waiter, rejection)
 		return
 	}
-	p := newProgram(ident.NewProgram(own.slot, h.programName()), own, h.now)
+	p := newProgram(ident.NewProgram(own.slot, h.newProgramName()), own, h.now)
 	m := &peerpb.ProgramCreated{
 		Caller: ev.Caller, Service: ev.Service, Parent: string(ev.Parent), BudgetTokens: ev.Budget,
 		DeadlineMs: ev.Deadline.Milliseconds(), Key: ev.Key,
 	}
-	p.created(m, h.now)
+	p.setCreated(m, h.now)
 	p.firstSegment = h.log.writer.NextSegment()
-	h.adopt(p)
-	h.append(p, &peerpb.Record{Body: &peerpb.Record_Created{Created: m}})
+	h.addProgram(p)
+	h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Created{Created: m}})
 	h.replyWhenDurable(ev.Waiter, p.id)
 }
 
 // replyWhenDurable confirms a request once all that was written is durable.
 func (h *Host) replyWhenDurable(waiter uint64, id ident.Program) {
-	h.whenDurable(h.log.writer.LastLSN(), nil, 0, func(*flight) {
+	h.whenDurable(h.log.writer.LastLSN(), nil, 0, func(*call) {
 		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: waiter, Outcome: Outcome{Program: id}})
 	})
 }
 
 // placeProgram checks a request for a program and chooses its slot.
-func (h *Host) placeProgram(ev *CreateProgram) (*ownedSlot, *failure.Failure) {
+func (h *Host) selectSlot(ev *CreateProgram) (*ownedSlot, *failure.Failure) {
 	if ev.Budget <= 0 {
 		return nil, failure.New(failure.BudgetExhausted, "a program needs a budget of at least one token")
 	}
-	set := h.set()
+	set := h.declared()
 	switch {
 	case set == nil:
-		return nil, failure.Retry(failure.PlatformUnavailable, suspendedRetry, "no declaration is known yet")
+		return nil, failure.Retry(failure.PlatformUnavailable, suspendedRetryDelay, "no declaration is known yet")
 	case set.Services[ev.Service] == nil:
 		return nil, failure.New(failure.UnknownService, "no service %q", ev.Service)
 	case len(h.programs) >= h.cfg.MaxPrograms, h.log.writer.PendingBytes() > h.cfg.MaxTailBytes:
-		return nil, failure.Retry(failure.Overloaded, suspendedRetry, "this host takes no more programs now")
+		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "this host takes no more programs now")
 	}
 	if ev.Parent != "" {
 		return h.parentSlot(ev)
 	}
 	if h.draining || !h.mayServe() {
-		return nil, failure.Retry(failure.Suspended, suspendedRetry, "this host takes no new programs now")
+		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host takes no new programs now")
 	}
-	return h.anySlot()
+	return h.nextServingSlot()
 }
 
 func (h *Host) parentSlot(ev *CreateProgram) (*ownedSlot, *failure.Failure) {
-	parent, refused := h.access(ev.Parent, ev.Caller)
+	parent, rejection := h.access(ev.Parent, ev.Caller)
 	switch {
-	case refused != nil:
-		return nil, refused
+	case rejection != nil:
+		return nil, rejection
 	case parent.ended:
-		return nil, failure.New(failure.ProgramEnded, "the parent has ended: %s", parent.reason)
+		return nil, failure.New(failure.ProgramEnded, "the parent has ended: %s", parent.endReason)
 	case parent.slot.state == slotMoving:
-		return nil, failure.Retry(failure.Moving, movingRetry, "the parent moves to another host")
+		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the parent moves to another host")
 	}
 	return parent.slot, nil
 }
 
-func (h *Host) anySlot() (*ownedSlot, *failure.Failure) {
-	mine := h.mineIn(h.cfg.DataCentre)
+func (h *Host) nextServingSlot() (*ownedSlot, *failure.Failure) {
+	mine := h.ownedSlotsIn(h.cfg.DataCentre)
 	for range mine {
-		h.slots.nextSlot++
-		own := mine[h.slots.nextSlot%len(mine)]
+		h.slots.nextCreateSlot++
+		own := mine[h.slots.nextCreateSlot%len(mine)]
 		if own.state == slotServing {
 			return own, nil
 		}
 	}
-	return nil, failure.Retry(failure.Moving, movingRetry, "this host has no slot yet")
+	return nil, failure.Retry(failure.Moving, movingRetryDelay, "this host has no slot yet")
 }
 
-func (h *Host) fetchAnswer(ev *FetchAnswer) {
-	p, refused := h.access(ev.Program, ev.Caller)
-	if refused != nil {
-		h.refuse(ev.Waiter, refused)
+func (h *Host) handleFetchAnswer(ev *FetchAnswer) {
+	p, rejection := h.access(ev.Program, ev.Caller)
+	if rejection != nil {
+		h.reject(ev.Waiter, rejection)
 		return
 	}
-	switch known := p.find(ev.Sequence); {
-	case known.turn != nil:
-		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: ev.Waiter, Outcome: known.turn.outcome(p.id)})
-	case known.flight != nil:
-		known.flight.waiters = append(known.flight.waiters, ev.Waiter)
+	switch known := p.findCall(ev.Sequence); {
+	case known.finished != nil:
+		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: ev.Waiter, Outcome: known.finished.outcome(p.id)})
+	case known.unfinished != nil:
+		known.unfinished.waiters = append(known.unfinished.waiters, ev.Waiter)
 	default:
-		h.refuse(ev.Waiter, failure.New(failure.UnknownCall, "no call %d", ev.Sequence))
+		h.reject(ev.Waiter, failure.New(failure.UnknownCall, "no call %d", ev.Sequence))
 	}
 }
 
-func (h *Host) endProgram(ev *EndProgram) {
-	p, refused := h.access(ev.Program, ev.Caller)
+func (h *Host) handleEndProgram(ev *EndProgram) {
+	p, rejection := h.access(ev.Program, ev.Caller)
 	switch {
-	case refused != nil:
-		h.refuse(ev.Waiter, refused)
+	case rejection != nil:
+		h.reject(ev.Waiter, rejection)
 		return
 	case p.slot.state == slotMoving:
-		h.refuse(ev.Waiter, failure.Retry(failure.Moving, movingRetry, "the program moves to another host"))
+		h.reject(ev.Waiter, failure.Retry(failure.Moving, movingRetryDelay, "the program moves to another host"))
 		return
 	case p.ended:
 		h.replyWhenDurable(ev.Waiter, p.id)
 		return
 	}
-	h.end(p, "ended by caller")
+	h.endProgram(p, "ended by caller")
 	h.replyWhenDurable(ev.Waiter, p.id)
 }
 
 // end ends a program and its sub-agents, and frees their cache. A call under
 // way still gets its answer; calls that wait behind it are refused.
-func (h *Host) end(p *program, reason string) {
+func (h *Host) endProgram(p *program, reason string) {
 	if p.ended {
 		return
 	}
-	p.ended, p.reason, p.endedAt = true, reason, h.now
-	h.append(p, &peerpb.Record{Body: &peerpb.Record_Ended{Ended: &peerpb.ProgramEnded{Reason: reason}}})
-	h.note(Note{Kind: NoteProgramEnded, Program: p.id, Epoch: p.slot.epoch, Detail: reason})
-	if p.active == nil {
+	p.ended, p.endReason, p.endedAt = true, reason, h.now
+	h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Ended{Ended: &peerpb.ProgramEnded{Reason: reason}}})
+	h.addNote(Note{Kind: NoteProgramEnded, Program: p.id, Epoch: p.slot.epoch, Detail: reason})
+	if p.activeCall == nil {
 		h.releaseCache(p)
 	}
-	for _, q := range sortedPrograms(p.slot.programs) {
-		if q.parent == p.id {
-			h.end(q, "parent ended")
+	for _, child := range sortedPrograms(p.slot.programs) {
+		if child.parent == p.id {
+			h.endProgram(child, "parent ended")
 		}
 	}
 }
 
 // expirePrograms ends programs that are idle too long and forgets ended ones.
 func (h *Host) expirePrograms() {
-	if h.now < h.paced.expire || h.set() == nil || !h.mayServe() {
+	if h.now < h.nextRun.expireAt || h.declared() == nil || !h.mayServe() {
 		return
 	}
-	h.paced.expire = h.now + expireEvery
-	for _, own := range h.allMine() {
+	h.nextRun.expireAt = h.now + expireInterval
+	for _, own := range h.ownedSlots() {
 		if own.state != slotServing {
 			continue
 		}
 		for _, p := range sortedPrograms(own.programs) {
-			h.expire(p)
+			h.expireProgram(p)
 		}
 	}
 }
 
-func (h *Host) expire(p *program) {
-	if p.corrupt || p.active != nil {
+func (h *Host) expireProgram(p *program) {
+	if p.corrupt || p.activeCall != nil {
 		return
 	}
 	if p.ended {
-		if h.now-p.endedAt > h.cfg.Retention && len(p.holders) == 0 && h.programs[p.parent] == nil {
-			h.forget(p)
+		if h.now-p.endedAt > h.cfg.Retention && len(p.cacheTargets) == 0 && h.programs[p.parent] == nil {
+			h.removeProgram(p)
 		}
 		return
 	}
-	svc := h.set().Services[p.service]
+	svc := h.declared().Services[p.service]
 	switch {
 	case p.deadline > 0 && h.now > p.deadline:
-		h.end(p, "deadline")
+		h.endProgram(p, "deadline")
 	case svc != nil && h.now-p.usedAt > svc.IdleTimeout:
-		h.end(p, "idle")
+		h.endProgram(p, "idle")
 	}
 }
--- a/core/host/log.go
+++ b/core/host/log.go
@@ -17,71 +17,71 @@
 type commitLog struct {
 	writer  *journal.Writer
 	flushAt time.Duration
-	flight  *segmentFlight
+	segment *segmentWrite
 	waits   []durableWait // in order of lsn
 
-	tailPeer       string // where the tail is sent
-	tailRegistered string // the same as the lease at the platform says
-	tailSent       uint64
-	tailAcked      uint64
-	tailSentAt     time.Duration
+	tailPeer           string // where the tail is sent
+	registeredTailPeer string // the same as the lease at the platform says
+	tailSent           uint64
+	tailAcked          uint64
+	tailSentAt         time.Duration
 	// secondPeer, of the own data centre, gets the tail too, without being waited
 	// for: a new owner asks every peer, and finds it there if the first is away.
-	secondPeer string
-	secondSent uint64
+	secondTailPeer string
+	secondTailSent uint64
 
-	firstKept       uint64 // first segment of the stream that is needed
-	firstRegistered uint64 // the same as the lease at the platform says
+	firstNeeded     uint64 // first segment of the stream that is needed
+	registeredFirst uint64 // the same as the lease at the platform says
 	firstExisting   uint64 // first segment not yet deleted
-	cleanTo         uint64 // segments below are free once cleanLSN is durable
+	cleanBefore     uint64 // segments below are free once cleanLSN is durable
 	cleanLSN        uint64
 	deleting        bool
 	cleanAt         time.Duration
 
-	tails map[string]*heldTail // of other members, by stream
+	peerTails map[string]*peerTail // of other members, by stream
 }
 
 // segmentFlight is a segment under way. It is sent again unchanged until its
 // outcome is known.
-type segmentFlight struct {
-	number uint64
-	body   []byte
-	busy   bool
+type segmentWrite struct {
+	number  uint64
+	body    []byte
+	writing bool
 }
 
 // durableWait is what happens once a record is durable.
 type durableWait struct {
-	lsn    uint64
-	flight *flight
-	then   func(*flight)
-	failAt time.Duration // when a failure is told without waiting any longer; 0 = never
+	lsn       uint64
+	call      *call
+	done      func(*call)
+	timeoutAt time.Duration // when a failure is told without waiting any longer; 0 = never
 }
 
 // heldTail is the tail of another member's stream.
-type heldTail struct {
+type peerTail struct {
 	records []*peerpb.Record
-	last    uint64
+	lastLSN uint64
 	sealed  bool // a new owner has read it: nothing more is taken
-	touched time.Duration
+	usedAt  time.Duration
 }
 
 const (
-	tailResendAfter = 500 * time.Millisecond
-	tailFrameBytes  = 1 << 20 // of one message to the tail peer
-	tailKeepSealed  = 10 * time.Minute
+	tailAckTimeout      = 500 * time.Millisecond
+	maxTailFrameBytes   = 1 << 20 // of one message to the tail peer
+	sealedTailRetention = 10 * time.Minute
 	// failureWait is how long a failure waits for its record to be durable
 	// before it is told as "ran: unknown".
-	failureWait = time.Second
-	cleanEvery  = time.Second
+	maxFailureWait = time.Second
+	cleanInterval  = time.Second
 	// Cleaning begins when the stream has more segments, or more bytes beyond
 	// twice the live ones, than these.
-	cleanSegments = 128
-	cleanSlack    = 4 << 20
-	cleanBatch    = 32
+	maxUncleanedSegments = 128
+	maxDeadBytes         = 4 << 20
+	cleanBatchSegments   = 32
 )
 
 // append writes a record of a program under its slot's epoch.
-func (h *Host) append(p *program, r *peerpb.Record) uint64 {
+func (h *Host) appendRecord(p *program, r *peerpb.Record) uint64 {
 	r.Program, r.Epoch = string(p.id), p.slot.epoch
 	lsn := h.log.writer.Append(r)
 	p.slot.lastLSN = lsn
@@ -89,9 +89,9 @@
 }
 
 // durable is the last lsn that is durable.
-func (h *Host) durable() uint64 {
+func (h *Host) durableLSN() uint64 {
 	d := h.log.writer.DurableLSN()
-	if h.tailCounts() {
+	if h.isTailDurable() {
 		d = max(d, h.log.tailAcked)
 	}
 	return d
@@ -100,20 +100,20 @@
 // tailCounts reports whether the tail peer's word counts. A new owner asks the
 // peer that the lease names; while the platform is out of reach the lease
 // cannot name another, and the new owner asks all it hears.
-func (h *Host) tailCounts() bool {
+func (h *Host) isTailDurable() bool {
 	return h.log.tailPeer != "" && h.mayServe() &&
-		(h.log.tailRegistered == h.log.tailPeer || !h.ops.reachable)
+		(h.log.registeredTailPeer == h.log.tailPeer || !h.ops.reachable)
 }
 
 // whenDurable calls then once lsn is durable, at once if it is.
-func (h *Host) whenDurable(lsn uint64, f *flight, failAt time.Duration, then func(*flight)) {
-	h.log.waits = append(h.log.waits, durableWait{lsn: lsn, flight: f, then: then, failAt: failAt})
+func (h *Host) whenDurable(lsn uint64, c *call, timeoutAt time.Duration, done func(*call)) {
+	h.log.waits = append(h.log.waits, durableWait{lsn: lsn, call: c, done: done, timeoutAt: timeoutAt})
 }
 
-func (h *Host) releaseWaits() {
-	d := h.durable()
+func (h *Host) completeWaits() {
+	durable := h.durableLSN()
 	n := 0
-	for n < len(h.log.waits) && h.log.waits[n].lsn <= d {
+	for n < len(h.log.waits) && h.log.waits[n].lsn <= durable {
 		n++
 	}
 	if n == 0 {
@@ -122,38 +122,38 @@
 	due := append([]durableWait(nil), h.log.waits[:n]...)
 	h.log.waits = append(h.log.waits[:0], h.log.waits[n:]...)
 	for _, w := range due {
-		w.then(w.flight)
+		w.done(w.call)
 	}
 }
 
 func (h *Host) tickLog() {
-	h.expireWaits()
-	h.chooseTail()
-	h.chooseSecond()
-	if h.log.tailAcked < h.log.tailSent && h.now-h.log.tailSentAt > tailResendAfter {
+	h.timeOutWaits()
+	h.selectTailPeer()
+	h.selectSecondTailPeer()
+	if h.log.tailAcked < h.log.tailSent && h.now-h.log.tailSentAt > tailAckTimeout {
 		h.log.tailSent = h.log.tailAcked
 		h.log.tailSentAt = h.now
 	}
 	if h.now >= h.log.flushAt {
 		h.flush()
 	}
-	h.clean()
-	for stream, t := range h.log.tails {
-		if t.sealed && h.now-t.touched > tailKeepSealed {
-			delete(h.log.tails, stream)
+	h.cleanJournal()
+	for stream, t := range h.log.peerTails {
+		if t.sealed && h.now-t.usedAt > sealedTailRetention {
+			delete(h.log.peerTails, stream)
 		}
 	}
-	h.releaseWaits()
+	h.completeWaits()
 }
 
 // expireWaits tells failures whose record is still not durable. Such a failure
 // cannot be "ran: no" any more: a new owner might not know of it and run the
 // call.
-func (h *Host) expireWaits() {
+func (h *Host) timeOutWaits() {
 	kept := h.log.waits[:0]
 	var due []durableWait
 	for _, w := range h.log.waits {
-		if w.failAt != 0 && h.now >= w.failAt {
+		if w.timeoutAt != 0 && h.now >= w.timeoutAt {
 			due = append(due, w)
 			continue
 		}
@@ -161,89 +161,89 @@
 	}
 	h.log.waits = kept
 	for _, w := range due {
-		w.flight.failure.Ran = failure.RanUnknown
-		w.then(w.flight)
+		w.call.failure.Ran = failure.RanUnknown
+		w.done(w.call)
 	}
 }
 
 // flush writes the next segment, or sends one of unknown outcome again.
 func (h *Host) flush() {
-	f := h.log.flight
-	if f == nil {
+	segment := h.log.segment
+	if segment == nil {
 		number, body, ok := h.log.writer.BeginSegment()
 		if !ok {
 			return
 		}
-		f = &segmentFlight{number: number, body: body}
-		h.log.flight = f
+		segment = &segmentWrite{number: number, body: body}
+		h.log.segment = segment
 	}
-	if f.busy {
+	if segment.writing {
 		return
 	}
-	f.busy = true
+	segment.writing = true
 	h.log.flushAt = h.now + h.cfg.FlushInterval
-	h.put(journal.SegmentKey(h.self, f.number), 0, f.body, func(s OpStatus, _ uint64) {
-		f.busy = false
+	h.putObject(journal.SegmentKey(h.self, segment.number), 0, segment.body, func(s OpStatus, _ uint64) {
+		segment.writing = false
 		switch s {
 		case OpOK:
-			h.log.flight = nil
-			h.segmentWritten(len(f.body))
+			h.log.segment = nil
+			h.segmentWritten(len(segment.body))
 		case OpConflict:
-			h.note(Note{Kind: NoteSealed, Member: h.self})
-			h.lose("journal sealed by a new owner")
+			h.addNote(Note{Kind: NoteSealed, Member: h.self})
+			h.markLost("journal sealed by a new owner")
 		}
 	})
 }
 
-func (h *Host) segmentWritten(size int) {
-	h.log.writer.EndSegment(true, size)
-	h.stats.SegmentBytes += uint64(size)
-	for _, keeper := range []string{h.log.tailPeer, h.log.secondPeer} {
-		if p := h.members.peers[keeper]; p != nil {
+func (h *Host) segmentWritten(bodyBytes int) {
+	h.log.writer.EndSegment(true, bodyBytes)
+	h.stats.SegmentBytes += uint64(bodyBytes)
+	for _, tailPeer := range []string{h.log.tailPeer, h.log.secondTailPeer} {
+		if p := h.members.peers[tailPeer]; p != nil {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_TailTrim{TailTrim: &peerpb.TailTrim{
 				Stream: h.self, Lsn: h.log.writer.DurableLSN(),
 			}}})
 		}
 	}
-	h.releaseWaits()
+	h.completeWaits()
 }
 
 // chooseTail keeps a living peer as the keeper of the tail: one of another data
 // centre first, so that the loss of a whole data centre loses no answer.
-func (h *Host) chooseTail() {
-	if p := h.members.peers[h.log.tailPeer]; p != nil && h.hears(p) && !p.draining && !h.local(p) {
+func (h *Host) selectTailPeer() {
+	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && !h.isLocal(p) {
 		return
 	}
-	best := h.prefer(false, func(p *peer) bool { return h.hears(p) && !p.draining })
-	if best == nil || best.name == h.log.tailPeer {
+	candidate := h.selectPeer(false, func(p *peer) bool { return h.isHeard(p) && !p.draining })
+	if candidate == nil || candidate.name == h.log.tailPeer {
 		return
 	}
-	if p := h.members.peers[h.log.tailPeer]; p != nil && h.hears(p) && !p.draining && h.local(best) {
+	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && h.isLocal(candidate) {
 		return // one local peer is as good as another
 	}
-	h.log.tailPeer = best.name
+	h.log.tailPeer = candidate.name
 	h.log.tailSent, h.log.tailAcked = 0, 0
-	h.lease.tryAt = min(h.lease.tryAt, h.now) // to name it in the lease
+	h.lease.renewAt = min(h.lease.renewAt, h.now) // to name it in the lease
 }
 
 // shipTail sends the tail peer what it has not been sent.
-func (h *Host) shipTail() {
+func (h *Host) sendTail() {
 	if h.ready.Lost {
 		return
 	}
-	if sent := h.shipTo(h.log.tailPeer, h.log.tailSent); sent != h.log.tailSent {
+	if sent := h.sendTailTo(h.log.tailPeer, h.log.tailSent); sent != h.log.tailSent {
 		h.log.tailSent, h.log.tailSentAt = sent, h.now
 	}
-	h.log.secondSent = h.shipTo(h.log.secondPeer, h.log.secondSent)
+	h.log.secondTailSent = h.sendTailTo(h.log.secondTailPeer, h.log.secondTailSent)
 }
 
 // shipTo sends a peer the records after sent and returns the last one sent.
-func (h *Host) shipTo(peer string, sent uint64) uint64 {
+func (h *Host) sendTailTo(peer string, sent uint64) uint64 {
 	p, w := h.members.peers[peer], h.log.writer
 	if p == nil || sent >= w.LastLSN() {
 		return sent
 	}
-	records := w.PendingAfter(sent, tailFrameBytes)
+	records := w.PendingAfter(sent, maxTailFrameBytes)
 	if len(records) == 0 {
 		return sent
 	}
@@ -254,50 +254,50 @@
 }
 
 // chooseSecond keeps a living peer of the own data centre as the second keeper.
-func (h *Host) chooseSecond() {
-	if p := h.members.peers[h.log.secondPeer]; p != nil && h.hears(p) && p.name != h.log.tailPeer {
+func (h *Host) selectSecondTailPeer() {
+	if p := h.members.peers[h.log.secondTailPeer]; p != nil && h.isHeard(p) && p.name != h.log.tailPeer {
 		return
 	}
-	h.log.secondPeer, h.log.secondSent = "", 0
-	second := h.prefer(true, func(p *peer) bool { return h.hears(p) && !p.draining && p.name != h.log.tailPeer })
+	h.log.secondTailPeer, h.log.secondTailSent = "", 0
+	second := h.selectPeer(true, func(p *peer) bool { return h.isHeard(p) && !p.draining && p.name != h.log.tailPeer })
 	if second != nil {
-		h.log.secondPeer = second.name
+		h.log.secondTailPeer = second.name
 	}
 }
 
-func (h *Host) tailAppend(from *peer, m *peerpb.TailAppend) {
+func (h *Host) handleTailAppend(from *peer, m *peerpb.TailAppend) {
 	if m.Stream != from.name {
 		return
 	}
-	t := h.log.tails[m.Stream]
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
-		t = &heldTail{}
-		h.log.tails[m.Stream] = t
+		t = &peerTail{}
+		h.log.peerTails[m.Stream] = t
 	}
-	t.touched = h.now
+	t.usedAt = h.now
 	if t.sealed {
 		return
 	}
-	t.last = max(t.last, m.Durable)
+	t.lastLSN = max(t.lastLSN, m.Durable)
 	for _, r := range m.Records {
-		if r.Lsn == t.last+1 {
+		if r.Lsn == t.lastLSN+1 {
 			t.records = append(t.records, r)
-			t.last = r.Lsn
+			t.lastLSN = r.Lsn
 		}
 	}
-	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailAck{TailAck: &peerpb.TailAck{Stream: m.Stream, Lsn: t.last}}})
+	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailAck{TailAck: &peerpb.TailAck{Stream: m.Stream, Lsn: t.lastLSN}}})
 }
 
-func (h *Host) tailAck(from *peer, m *peerpb.TailAck) {
+func (h *Host) handleTailAck(from *peer, m *peerpb.TailAck) {
 	if from.name != h.log.tailPeer || m.Stream != h.self {
 		return
 	}
 	h.log.tailAcked = min(max(h.log.tailAcked, m.Lsn), h.log.writer.LastLSN())
-	h.releaseWaits()
+	h.completeWaits()
 }
 
-func (h *Host) tailTrim(m *peerpb.TailTrim) {
-	t := h.log.tails[m.Stream]
+func (h *Host) handleTailTrim(m *peerpb.TailTrim) {
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
 		return
 	}
@@ -310,64 +310,64 @@
 
 // tailFetch hands the tail to a new owner of the stream's slots and takes
 // nothing more for it.
-func (h *Host) tailFetch(from *peer, m *peerpb.TailFetch) {
-	t := h.log.tails[m.Stream]
+func (h *Host) handleTailFetch(from *peer, m *peerpb.TailFetch) {
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
-		t = &heldTail{}
-		h.log.tails[m.Stream] = t
+		t = &peerTail{}
+		h.log.peerTails[m.Stream] = t
 	}
-	t.sealed, t.touched = true, h.now
+	t.sealed, t.usedAt = true, h.now
 	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailData{TailData: &peerpb.TailData{Stream: m.Stream, Records: t.records}}})
 }
 
 // clean frees the oldest segments: it carries their live programs forward, and
 // deletes them once that is durable and the lease says so. Nothing is freed
 // while the slots of another member need this stream.
-func (h *Host) clean() {
+func (h *Host) cleanJournal() {
 	l := &h.log
 	l.firstExisting = max(l.firstExisting, 1)
-	if l.cleanTo != 0 && l.writer.DurableLSN() >= l.cleanLSN {
-		l.firstKept, l.cleanTo = l.cleanTo, 0
+	if l.cleanBefore != 0 && l.writer.DurableLSN() >= l.cleanLSN {
+		l.firstNeeded, l.cleanBefore = l.cleanBefore, 0
 	}
-	if l.firstExisting < min(l.firstKept, l.firstRegistered) {
-		h.deleteOldest()
+	if l.firstExisting < min(l.firstNeeded, l.registeredFirst) {
+		h.deleteOldestSegment()
 	}
-	if h.now < l.cleanAt || l.cleanTo != 0 || l.firstExisting < l.firstKept {
+	if h.now < l.cleanAt || l.cleanBefore != 0 || l.firstExisting < l.firstNeeded {
 		return
 	}
-	l.cleanAt = h.now + cleanEvery
-	if !h.cleaningDue() || h.othersNeed() {
+	l.cleanAt = h.now + cleanInterval
+	if !h.isCleaningDue() || h.isNeededByOthers() {
 		return
 	}
-	cut := min(l.firstKept+cleanBatch, l.writer.LastSegment())
-	for _, own := range h.allMine() {
+	before := min(l.firstNeeded+cleanBatchSegments, l.writer.LastSegment())
+	for _, own := range h.ownedSlots() {
 		for _, p := range sortedPrograms(own.programs) {
-			if p.firstSegment < cut && !p.corrupt {
-				h.snapshot(p)
+			if p.firstSegment < before && !p.corrupt {
+				h.writeSnapshot(p)
 			}
 		}
 	}
-	l.cleanTo, l.cleanLSN = cut, l.writer.LastLSN()
+	l.cleanBefore, l.cleanLSN = before, l.writer.LastLSN()
 }
 
-func (h *Host) cleaningDue() bool {
-	segments := h.log.writer.LastSegment() + 1 - h.log.firstKept
-	if segments > cleanSegments {
+func (h *Host) isCleaningDue() bool {
+	segments := h.log.writer.LastSegment() + 1 - h.log.firstNeeded
+	if segments > maxUncleanedSegments {
 		return true
 	}
-	if segments <= cleanBatch {
+	if segments <= cleanBatchSegments {
 		return false
 	}
 	live := int64(0)
 	for _, p := range h.programs {
-		live += int64(p.size)
+		live += int64(p.sizeBytes)
 	}
 	perSegment := h.log.writer.TotalBytes() / int64(max(1, h.log.writer.LastSegment()))
-	return perSegment*int64(segments) > 2*live+cleanSlack
+	return perSegment*int64(segments) > 2*live+maxDeadBytes
 }
 
 // othersNeed reports whether a slot that is not this member's needs its stream.
-func (h *Host) othersNeed() bool {
+func (h *Host) isNeededByOthers() bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
 			if _, ok := e.Streams[h.self]; ok && e.Owner != h.self {
@@ -379,13 +379,13 @@
 }
 
 // deleteOldest deletes one segment; the next follows when it is surely gone.
-func (h *Host) deleteOldest() {
+func (h *Host) deleteOldestSegment() {
 	if h.log.deleting {
 		return
 	}
 	h.log.deleting = true
 	key := journal.SegmentKey(h.self, h.log.firstExisting)
-	h.do(PlatformOp{Kind: OpDelete, Key: key}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpDelete, Key: key}, func(r *PlatformReply) {
 		h.log.deleting = false
 		if r.Status == OpOK || r.Status == OpNotFound {
 			h.log.firstExisting++
--- a/core/host/ops.go
+++ b/core/host/ops.go
@@ -11,7 +11,7 @@
 
 // operations tracks what was asked of the platform.
 type operations struct {
-	next      uint64
+	lastID    uint64
 	pending   map[uint64]*pendingOp
 	reachable bool          // the last direct operation was answered
 	probedAt  time.Duration // last direct probe while unreachable
@@ -25,28 +25,28 @@
 }
 
 // putAttempts bounds how often one conditional write is sent.
-const putAttempts = 3
+const maxPutAttempts = 3
 
 // probeEvery paces the direct probes while the platform is out of reach.
-const probeEvery = 500 * time.Millisecond
+const probeInterval = 500 * time.Millisecond
 
 // watchTimeout is how long a waiting watch may stay unanswered.
 const watchTimeout = 40 * time.Second
 
 // do sends an operation; done is called once, in a later Step. While the
 // platform is out of reach the operation goes through a peer that reaches it.
-func (h *Host) do(op PlatformOp, done func(*PlatformReply)) {
-	h.ops.next++
-	op.ID = h.ops.next
+func (h *Host) submitOp(op PlatformOp, done func(*PlatformReply)) {
+	h.ops.lastID++
+	op.ID = h.ops.lastID
 	p := &pendingOp{op: op, deadline: h.now + h.cfg.OperationTimeout, done: done}
 	if op.Kind == OpWatch {
 		p.deadline = h.now + watchTimeout
 	}
 	h.ops.pending[op.ID] = p
 	h.stats.PlatformOps++
-	if via := h.relayPeer(op.Kind); via != nil {
-		p.relay = via.name
-		h.send(via.address, &peerpb.Frame{Body: &peerpb.Frame_RelayRequest{RelayRequest: &peerpb.RelayRequest{
+	if relay := h.relayPeer(op.Kind); relay != nil {
+		p.relay = relay.name
+		h.send(relay.address, &peerpb.Frame{Body: &peerpb.Frame_RelayRequest{RelayRequest: &peerpb.RelayRequest{
 			Op: op.ID, Kind: uint32(op.Kind), Key: op.Key, IfVersion: op.IfVersion, Body: op.Body,
 		}}})
 		return
@@ -59,10 +59,10 @@
 	if h.ops.reachable || kind == OpWatch || kind == OpList || kind == OpListKeys {
 		return nil
 	}
-	return h.prefer(true, func(p *peer) bool { return p.platformOK && h.hears(p) })
+	return h.selectPeer(true, func(p *peer) bool { return p.platformOK && h.isHeard(p) })
 }
 
-func (h *Host) opReplied(r *PlatformReply) {
+func (h *Host) handlePlatformReply(r *PlatformReply) {
 	p, ok := h.ops.pending[r.ID]
 	if !ok {
 		return
@@ -83,11 +83,11 @@
 	if !ok {
 		kind = NotePlatformDown
 	}
-	h.note(Note{Kind: kind})
+	h.addNote(Note{Kind: kind})
 }
 
 // expireOps counts operations without an answer as lost, in order.
-func (h *Host) expireOps() {
+func (h *Host) timeOutOps() {
 	var late []uint64
 	for id, p := range h.ops.pending {
 		if p.deadline <= h.now {
@@ -96,9 +96,9 @@
 	}
 	slices.Sort(late)
 	for _, id := range late {
-		h.opReplied(&PlatformReply{ID: id, Status: OpLost})
+		h.handlePlatformReply(&PlatformReply{ID: id, Status: OpLost})
 	}
-	if !h.ops.reachable && h.now-h.ops.probedAt >= probeEvery {
+	if !h.ops.reachable && h.now-h.ops.probedAt >= probeInterval {
 		h.ops.probedAt = h.now
 		h.probe()
 	}
@@ -106,8 +106,8 @@
 
 // probe asks the platform directly whether it answers.
 func (h *Host) probe() {
-	h.ops.next++
-	op := PlatformOp{ID: h.ops.next, Kind: OpGet, Key: h.lease.key(h)}
+	h.ops.lastID++
+	op := PlatformOp{ID: h.ops.lastID, Kind: OpGet, Key: h.lease.key(h)}
 	h.ops.pending[op.ID] = &pendingOp{op: op, deadline: h.now + h.cfg.OperationTimeout, done: func(*PlatformReply) {}}
 	h.stats.PlatformOps++
 	h.ready.Ops = append(h.ready.Ops, op)
@@ -116,12 +116,12 @@
 // put writes an object whose body no other writer would write. The status it
 // passes on is OpOK, OpConflict, OpUnavailable, or OpLost when even reading
 // back did not tell. A lost reply is settled by reading back.
-func (h *Host) put(key string, ifVersion uint64, body []byte, done func(OpStatus, uint64)) {
-	h.putAttempt(key, ifVersion, body, 1, done)
+func (h *Host) putObject(key string, ifVersion uint64, body []byte, done func(OpStatus, uint64)) {
+	h.tryPut(key, ifVersion, body, 1, done)
 }
 
-func (h *Host) putAttempt(key string, ifVersion uint64, body []byte, attempt int, done func(OpStatus, uint64)) {
-	h.do(PlatformOp{Kind: OpPut, Key: key, IfVersion: ifVersion, Body: body}, func(r *PlatformReply) {
+func (h *Host) tryPut(key string, ifVersion uint64, body []byte, attempt int, done func(OpStatus, uint64)) {
+	h.submitOp(PlatformOp{Kind: OpPut, Key: key, IfVersion: ifVersion, Body: body}, func(r *PlatformReply) {
 		switch r.Status {
 		case OpOK, OpUnavailable:
 			done(r.Status, r.Version)
@@ -132,22 +132,22 @@
 }
 
 func (h *Host) readBack(key string, ifVersion uint64, body []byte, attempt int, done func(OpStatus, uint64)) {
-	h.do(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
 		switch {
 		case r.Status == OpOK && bytes.Equal(r.Body, body):
 			done(OpOK, r.Version)
 		case r.Status == OpOK && r.Version > ifVersion:
 			done(OpConflict, r.Version)
-		case r.Status != OpOK && r.Status != OpNotFound, attempt >= putAttempts:
+		case r.Status != OpOK && r.Status != OpNotFound, attempt >= maxPutAttempts:
 			done(OpLost, 0)
 		default: // not in effect, or a stale read: the condition keeps it safe
-			h.putAttempt(key, ifVersion, body, attempt+1, done)
+			h.tryPut(key, ifVersion, body, attempt+1, done)
 		}
 	})
 }
 
 // relayRequest carries an operation for a peer that cannot reach the platform.
-func (h *Host) relayRequest(from *peer, m *peerpb.RelayRequest) {
+func (h *Host) handleRelayRequest(from *peer, m *peerpb.RelayRequest) {
 	reply := func(r *PlatformReply) {
 		h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_RelayReply{RelayReply: &peerpb.RelayReply{
 			Op: m.Op, Status: uint32(r.Status), Version: r.Version, Body: r.Body,
@@ -158,13 +158,13 @@
 		reply(&PlatformReply{Status: OpUnavailable})
 		return
 	}
-	h.do(PlatformOp{Kind: kind, Key: m.Key, IfVersion: m.IfVersion, Body: m.Body}, reply)
+	h.submitOp(PlatformOp{Kind: kind, Key: m.Key, IfVersion: m.IfVersion, Body: m.Body}, reply)
 }
 
-func (h *Host) relayReply(m *peerpb.RelayReply) {
+func (h *Host) handleRelayReply(m *peerpb.RelayReply) {
 	status := OpStatus(m.Status)
 	if status > OpLost {
 		status = OpLost
 	}
-	h.opReplied(&PlatformReply{ID: m.Op, Status: status, Version: m.Version, Body: m.Body})
+	h.handlePlatformReply(&PlatformReply{ID: m.Op, Status: status, Version: m.Version, Body: m.Body})
 }
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -11,233 +11,233 @@
 // targetDone takes the end of an attempt. Only the attempt under way counts:
 // a late answer of an earlier one, or one that belongs to another call, is
 // dropped and counted.
-func (h *Host) targetDone(ev *TargetDone) {
+func (h *Host) handleTargetDone(ev *TargetDone) {
 	p := h.programs[ev.Call.Program]
-	if p == nil || p.active == nil || p.active.state != stateSent || p.active.call() != ev.Call {
+	if p == nil || p.activeCall == nil || p.activeCall.state != stateSent || p.activeCall.id() != ev.Call {
 		h.stats.Duplicates++
-		h.note(Note{Kind: NoteAnswerDuplicate, Program: ev.Call.Program, Call: ev.Call.Sequence, Target: ev.Target})
+		h.addNote(Note{Kind: NoteAnswerDuplicate, Program: ev.Call.Program, Call: ev.Call.Sequence, Target: ev.Target})
 		return
 	}
-	f := p.active
+	c := p.activeCall
 	if ev.Outcome == TargetAnswered && ev.Echo != "" && ev.Echo != ev.Call.ID() {
 		h.stats.Crossed++
-		h.note(Note{Kind: NoteAnswerCrossed, Program: p.id, Call: ev.Call.Sequence, Target: ev.Target})
+		h.addNote(Note{Kind: NoteAnswerCrossed, Program: p.id, Call: ev.Call.Sequence, Target: ev.Target})
 		ev = &TargetDone{Call: ev.Call, Target: ev.Target, Outcome: TargetLost, Detail: "the answer belongs to another call"}
 	}
 	healthy := ev.Outcome == TargetAnswered || ev.Outcome == TargetInvalid || ev.Outcome == TargetFenced
-	h.sched.Done(h.now, f.target, healthy, h.now-f.sentAt)
+	h.sched.Done(h.now, c.target, healthy, h.now-c.sentAt)
 	if ev.Outcome == TargetAnswered {
-		h.answer(f, ev)
+		h.recordAnswer(c, ev)
 		return
 	}
-	h.attemptFailed(f, ev.Outcome, ev.Detail)
+	h.handleAttemptFailure(c, ev.Outcome, ev.Detail)
 }
 
-func (h *Host) answer(f *flight, ev *TargetDone) {
-	p := f.p
-	f.fire(eventAnswer)
-	used := newTokens(f.accepted.PromptTokens, ev.Usage, p.history) + ev.Usage.Output
+func (h *Host) recordAnswer(c *call, ev *TargetDone) {
+	p := c.program
+	c.transition(eventAnswer)
+	usedTokens := newTokens(c.accepted.PromptTokens, ev.Usage, p.historyTokens) + ev.Usage.Output
 	if ev.Usage == (Usage{}) {
-		used = f.attemptTokens() // the target does not say
+		usedTokens = c.attemptTokens() // the target does not say
 	}
-	if used > f.attemptTokens() {
-		h.note(Note{Kind: NoteBudgetOverrun, Program: p.id, Call: f.accepted.Sequence, Target: f.target})
+	if usedTokens > c.attemptTokens() {
+		h.addNote(Note{Kind: NoteBudgetOverrun, Program: p.id, Call: c.accepted.Sequence, Target: c.target})
 	}
-	h.retain(f, ev.Usage)
-	h.finish(f, &peerpb.CallFinished{
-		Sequence: f.accepted.Sequence, Answer: ev.Answer, Target: f.target,
+	h.updateCacheEstimate(c, ev.Usage)
+	h.recordOutcome(c, &peerpb.CallFinished{
+		Sequence: c.accepted.Sequence, Answer: ev.Answer, Target: c.target,
 		PromptTokens: ev.Usage.Prompt, OutputTokens: ev.Usage.Output, CachedTokens: ev.Usage.Cached,
-		ChargedTokens: f.reserved - f.attemptTokens() + used,
+		ChargedTokens: c.reservedTokens - c.attemptTokens() + usedTokens,
 	})
-	h.whenDurable(h.log.writer.LastLSN(), f, 0, h.close)
+	h.whenDurable(h.log.writer.LastLSN(), c, 0, h.closeCall)
 }
 
 // retain updates the estimate of cache that the target keeps for the program.
-func (h *Host) retain(f *flight, u Usage) {
-	p, tokens := f.p, u.Prompt+u.Output
-	for i := range p.holders {
-		x := &p.holders[i]
-		if x.target == f.target {
-			h.setHeld(p, x, tokens)
+func (h *Host) updateCacheEstimate(c *call, u Usage) {
+	p, tokens := c.program, u.Prompt+u.Output
+	for i := range p.cacheTargets {
+		cache := &p.cacheTargets[i]
+		if cache.target == c.target {
+			h.setCachedTokens(p, cache, tokens)
 		}
 	}
 }
 
 // finish records the outcome and settles the budget.
-func (h *Host) finish(f *flight, m *peerpb.CallFinished) {
-	f.finished = m
-	h.settle(f.p, f.reserved, m.ChargedTokens)
-	f.reserved = 0
-	h.append(f.p, &peerpb.Record{Body: &peerpb.Record_Finished{Finished: m}})
+func (h *Host) recordOutcome(c *call, m *peerpb.CallFinished) {
+	c.finished = m
+	h.settleBudget(c.program, c.reservedTokens, m.ChargedTokens)
+	c.reservedTokens = 0
+	h.appendRecord(c.program, &peerpb.Record{Body: &peerpb.Record_Finished{Finished: m}})
 }
 
 // attemptFailed retries a call or gives it up. A non-idempotent call is tried
 // again only with the target's proof that it did not start.
-func (h *Host) attemptFailed(f *flight, outcome TargetOutcome, detail string) {
-	h.note(Note{Kind: NoteAttemptFailed, Program: f.p.id, Call: f.accepted.Sequence, Target: f.target, Epoch: f.p.slot.epoch, Detail: detail})
+func (h *Host) handleAttemptFailure(c *call, outcome TargetOutcome, detail string) {
+	h.addNote(Note{Kind: NoteAttemptFailed, Program: c.program.id, Call: c.accepted.Sequence, Target: c.target, Epoch: c.program.slot.epoch, Detail: detail})
 	if outcome == TargetFenced {
 		h.readTable(h.cfg.DataCentre)
 	}
 	if outcome == TargetInvalid {
-		h.fail(f, failure.New(failure.TargetFailed, "target %s refused the request: %s", f.target, detail))
+		h.failCall(c, failure.New(failure.TargetFailed, "target %s refused the request: %s", c.target, detail))
 		return
 	}
 	lost := outcome == TargetLost
 	if lost {
-		f.lostAttempts++
-		if !f.accepted.Idempotent {
-			h.fail(f, failure.Unknown(failure.TargetFailed, "target %s: %s", f.target, detail))
+		c.lostAttempts++
+		if !c.accepted.Idempotent {
+			h.failCall(c, failure.Unknown(failure.TargetFailed, "target %s: %s", c.target, detail))
 			return
 		}
 	}
-	if refused := h.mayRetry(f, lost); refused != nil {
-		h.fail(f, refused)
+	if rejection := h.takeRetry(c, lost); rejection != nil {
+		h.failCall(c, rejection)
 		return
 	}
 	h.stats.Retries++
-	f.fire(eventRetry)
-	f.item.NotBefore = h.now + sched.Backoff(h.rng, int(f.attempt))
-	f.item.AvoidTarget = f.target
-	h.enqueue(f, true)
+	c.transition(eventRetry)
+	c.item.NotBefore = h.now + sched.Backoff(h.rng, int(c.lastAttempt))
+	c.item.AvoidTarget = c.target
+	h.enqueueCall(c, true)
 }
 
 // mayRetry spends a retry, and for a lost attempt reserves tokens once more.
-func (h *Host) mayRetry(f *flight, lost bool) *failure.Failure {
-	budget := h.sched.RetryBudget(f.accepted.Service)
+func (h *Host) takeRetry(c *call, lost bool) *failure.Failure {
+	budget := h.sched.RetryBudget(c.accepted.Service)
 	switch {
-	case int(f.attempt) > f.then.Retries:
-		return failure.Retry(failure.TargetFailed, noTargetRetry, "all %d attempts failed", f.attempt)
+	case int(c.lastAttempt) > c.directives.Retries:
+		return failure.Retry(failure.TargetFailed, noTargetRetryDelay, "all %d attempts failed", c.lastAttempt)
 	case budget == nil || !budget.TakeToken():
-		return failure.Retry(failure.TargetFailed, noTargetRetry, "the retry budget of %s is spent", f.accepted.Service)
-	case lost && h.left(f.p) < f.attemptTokens():
+		return failure.Retry(failure.TargetFailed, noTargetRetryDelay, "the retry budget of %s is spent", c.accepted.Service)
+	case lost && h.remainingBudget(c.program) < c.attemptTokens():
 		return failure.New(failure.BudgetExhausted, "the budget does not allow another attempt")
 	}
 	if lost {
-		h.reserve(f.p, f.attemptTokens())
-		f.reserved += f.attemptTokens()
+		h.reserveTokens(c.program, c.attemptTokens())
+		c.reservedTokens += c.attemptTokens()
 	}
 	return nil
 }
 
 // fail gives the call up. "ran: no" is told once its record is durable, so that
 // no new owner can run the call; "ran: unknown" is told at once.
-func (h *Host) fail(f *flight, why *failure.Failure) {
-	if f.state == stateIntending {
-		h.withdraw(f)
-	}
-	if f.lostAttempts > 0 && why.Ran == failure.RanNo {
-		g := *why
-		g.Ran = failure.RanUnknown
-		why = &g
-	}
-	if f.finished == nil && callChart.StateName(f.state) == "waiting" {
-		f.fire(eventAdmit) // recovered, and given up before it was queued
-	}
-	f.fire(eventFail)
-	f.failure = why
-	charged := int64(f.lostAttempts) * f.attemptTokens()
-	m := &peerpb.CallFinished{Sequence: f.accepted.Sequence, Target: f.target, ChargedTokens: min(charged, f.reserved)}
-	setFailure(m, why)
-	h.finish(f, m)
-	if why.Ran != failure.RanNo {
-		h.close(f)
+func (h *Host) failCall(c *call, reason *failure.Failure) {
+	if c.state == stateIntending {
+		h.withdrawAttempt(c)
+	}
+	if c.lostAttempts > 0 && reason.Ran == failure.RanNo {
+		unknown := *reason
+		unknown.Ran = failure.RanUnknown
+		reason = &unknown
+	}
+	if c.finished == nil && callChart.StateName(c.state) == "waiting" {
+		c.transition(eventAdmit) // recovered, and given up before it was queued
+	}
+	c.transition(eventFail)
+	c.failure = reason
+	chargedTokens := int64(c.lostAttempts) * c.attemptTokens()
+	m := &peerpb.CallFinished{Sequence: c.accepted.Sequence, Target: c.target, ChargedTokens: min(chargedTokens, c.reservedTokens)}
+	setFailure(m, reason)
+	h.recordOutcome(c, m)
+	if reason.Ran != failure.RanNo {
+		h.closeCall(c)
 		return
 	}
-	h.whenDurable(h.log.writer.LastLSN(), f, h.now+failureWait, h.close)
+	h.whenDurable(h.log.writer.LastLSN(), c, h.now+maxFailureWait, h.closeCall)
 }
 
 // close tells the waiters the outcome and lets the next call begin.
-func (h *Host) close(f *flight) {
-	p := f.p
-	if p.active != f {
+func (h *Host) closeCall(c *call) {
+	p := c.program
+	if p.activeCall != c {
 		return
 	}
-	if f.finished != nil {
-		f.fire(eventSettle)
+	if c.finished != nil {
+		c.transition(eventSettle)
 	}
-	p.active = nil
-	p.slot.busy--
+	p.activeCall = nil
+	p.slot.activeCalls--
 	p.usedAt = h.now
-	delete(h.active, p)
-	out := Outcome{Program: p.id, Failure: f.failure}
+	delete(h.activePrograms, p)
+	outcome := Outcome{Program: p.id, Failure: c.failure}
 	consumed := false
-	if f.finished != nil {
-		t := finishedTurn(f.accepted, f.finished)
-		consumed = t.consumes() // as the record says, and a new owner will see
+	if c.finished != nil {
+		t := finishedTurn(c.accepted, c.finished)
+		consumed = t.consumesSequence() // as the record says, and a new owner will see
 		if consumed {
 			p.addTurn(t)
 		}
-		out = t.outcome(p.id)
-		out.Failure = f.failure
+		outcome = t.outcome(p.id)
+		outcome.Failure = c.failure
 	}
-	h.count(p, f)
-	for _, w := range f.waiters {
-		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: w, Outcome: out})
+	h.countOutcome(p, c)
+	for _, w := range c.waiters {
+		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: w, Outcome: outcome})
 	}
 	if p.ended {
 		h.releaseCache(p)
 	}
-	h.next(p, consumed)
+	h.startNextCall(p, consumed)
 }
 
-func (h *Host) count(p *program, f *flight) {
+func (h *Host) countOutcome(p *program, c *call) {
 	switch {
-	case f.failure == nil:
+	case c.failure == nil:
 		h.stats.Answered++
 		return
-	case f.failure.Ran == failure.RanNo:
+	case c.failure.Ran == failure.RanNo:
 		h.stats.NotRun++
 	default:
 		h.stats.Unknown++
 	}
-	h.note(Note{Kind: NoteCallFailed, Program: p.id, Call: f.accepted.Sequence, Target: f.target, Epoch: p.slot.epoch, Detail: f.failure.Error()})
+	h.addNote(Note{Kind: NoteCallFailed, Program: p.id, Call: c.accepted.Sequence, Target: c.target, Epoch: p.slot.epoch, Detail: c.failure.Error()})
 }
 
 // next begins the pipelined call that follows, or refuses all that wait when
 // the one before them left no outcome to build on.
-func (h *Host) next(p *program, consumed bool) {
-	waiting := p.pending
+func (h *Host) startNextCall(p *program, consumed bool) {
+	waiting := p.pendingCalls
 	if len(waiting) == 0 {
 		return
 	}
 	if consumed && !p.ended {
-		p.pending = waiting[1:]
-		h.begin(waiting[0])
+		p.pendingCalls = waiting[1:]
+		h.startCall(waiting[0])
 		return
 	}
-	p.pending = nil
-	for _, f := range waiting {
-		for _, w := range f.waiters {
-			h.refuse(w, failure.New(failure.SequenceGap, "an earlier call of the program was not answered"))
+	p.pendingCalls = nil
+	for _, c := range waiting {
+		for _, w := range c.waiters {
+			h.reject(w, failure.New(failure.SequenceGap, "an earlier call of the program was not answered"))
 		}
 	}
 }
 
 // tickCalls ends what took too long.
 func (h *Host) tickCalls() {
-	for _, p := range h.sortedActive() {
-		f := p.active
-		if f == nil {
+	for _, p := range h.sortedActivePrograms() {
+		c := p.activeCall
+		if c == nil {
 			continue
 		}
 		switch {
-		case f.state == stateSent && h.now >= f.until:
-			h.attemptTimedOut(f)
-		case (f.state == stateQueued || f.state == stateIntending) && f.deadline > 0 && h.now >= f.deadline:
-			h.sched.Remove(&f.item)
-			h.fail(f, failure.Retry(failure.DeadlineExceeded, max(overloadedRetry, h.sched.ExpectedWait(f.accepted.Service)), "the deadline passed in the queue"))
+		case c.state == stateSent && h.now >= c.timeoutAt:
+			h.handleAttemptTimeout(c)
+		case (c.state == stateQueued || c.state == stateIntending) && c.deadline > 0 && h.now >= c.deadline:
+			h.sched.Remove(&c.item)
+			h.failCall(c, failure.Retry(failure.DeadlineExceeded, max(overloadedRetryDelay, h.sched.ExpectedWait(c.accepted.Service)), "the deadline passed in the queue"))
 		}
 	}
 	h.expirePrograms()
 }
 
-func (h *Host) attemptTimedOut(f *flight) {
-	h.ready.Cancels = append(h.ready.Cancels, f.call())
-	h.sched.Done(h.now, f.target, false, h.now-f.sentAt)
-	if f.deadline > 0 && h.now >= f.deadline {
-		f.lostAttempts++
-		h.fail(f, failure.Unknown(failure.DeadlineExceeded, "the deadline passed while the call ran at %s", f.target))
+func (h *Host) handleAttemptTimeout(c *call) {
+	h.ready.Cancels = append(h.ready.Cancels, c.id())
+	h.sched.Done(h.now, c.target, false, h.now-c.sentAt)
+	if c.deadline > 0 && h.now >= c.deadline {
+		c.lostAttempts++
+		h.failCall(c, failure.Unknown(failure.DeadlineExceeded, "the deadline passed while the call ran at %s", c.target))
 		return
 	}
-	h.attemptFailed(f, TargetLost, "timeout after "+(h.now-f.sentAt).Round(time.Millisecond).String())
+	h.handleAttemptFailure(c, TargetLost, "timeout after "+(h.now-c.sentAt).Round(time.Millisecond).String())
 }
--- a/core/host/watchpeer.go
+++ b/core/host/peerlease.go
@@ -6,81 +6,81 @@
 )
 
 // leaseCheckEvery paces the reads of a suspected member's lease.
-const leaseCheckEvery = 500 * time.Millisecond
+const leaseCheckInterval = 500 * time.Millisecond
 
 // watchPeer follows a silent peer until its lease has lapsed, then revokes the
 // lease. Only a member that itself holds its lease and reaches the platform
 // does so.
-func (h *Host) watchPeer(p *peer) {
+func (h *Host) checkPeer(p *peer) {
 	if p.revoked {
-		h.claimDead(p)
+		h.claimSlotsOf(p)
 		return
 	}
-	if h.hears(p) || !p.heard && h.now < h.cfg.SuspectTimeout {
+	if h.isHeard(p) || !p.heard && h.now < h.cfg.SuspectTimeout {
 		return
 	}
 	if !p.suspected {
 		p.suspected = true
 		h.sched.SetPeer(p.name, nil)
-		h.note(Note{Kind: NotePeerSuspected, Member: p.name})
+		h.addNote(Note{Kind: NotePeerSuspected, Member: p.name})
 	}
-	if h.now < p.checkAt || !h.holdsLease() || !h.ops.reachable {
+	if h.now < p.leaseCheckAt || !h.holdsLease() || !h.ops.reachable {
 		return
 	}
-	p.checkAt = h.now + leaseCheckEvery
-	if !h.local(p) {
-		p.checkAt = h.now + refreshEvery
+	p.leaseCheckAt = h.now + leaseCheckInterval
+	if !h.isLocal(p) {
+		p.leaseCheckAt = h.now + leaseListInterval
 	}
 	h.checkLease(p)
 }
 
 func (h *Host) checkLease(p *peer) {
-	h.do(PlatformOp{Kind: OpGet, Key: LeaseKey(p.name)}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: LeaseKey(p.name)}, func(r *PlatformReply) {
 		switch r.Status {
 		case OpNotFound: // left in good order, and removed its lease
-			h.peerGone(p)
+			h.markGone(p)
 			if !h.ownsSlots(p) {
 				h.members.remove(p)
 			}
 		case OpOK:
 			o := Object{Key: LeaseKey(p.name), Version: r.Version, Body: r.Body}
-			h.seeLease(o)
-			if !p.revoked && h.lapsed(p) {
-				h.revoke(p, o)
+			h.updateFromLease(o)
+			if !p.revoked && h.hasLapsed(p) {
+				h.revokeLease(p, o)
 			}
 		}
 	})
 }
 
 // lapsed reports whether the peer's lease has surely lapsed by its own clock.
-func (h *Host) lapsed(p *peer) bool {
-	if h.now < p.promisedUntil || h.hears(p) || !h.holdsLease() {
+func (h *Host) hasLapsed(p *peer) bool {
+	if h.now < p.givenPromiseUntil || h.isHeard(p) || !h.holdsLease() {
 		return false
 	}
 	wait := h.cfg.LeaseDuration + h.cfg.ClockMargin
-	if !h.local(p) || !p.heard {
+	if !h.isLocal(p) || !p.heard {
 		// A member of another data centre, or one that does not know of us and
 		// may be serving on the promises of its own peers.
 		wait += h.cfg.DataCentreLeaseDuration
 	}
-	return h.now >= p.seenAt+wait
+	return h.now >= p.leaseSeenAt+wait
 }
 
 // revoke marks a lapsed lease by conditional update, so that its holder can
 // never renew it. Of several members that try, one succeeds.
-func (h *Host) revoke(p *peer, o Object) {
+func (h *Host) revokeLease(p *peer, o Object) {
 	var l LeaseObject
 	if json.Unmarshal(o.Body, &l) != nil {
 		return
 	}
 	l.RevokedBy = h.self
-	h.put(o.Key, o.Version, mustJSON(l), func(s OpStatus, version uint64) {
+	h.putObject(o.Key, o.Version, mustEncodeJSON(l), func(s OpStatus, version uint64) {
 		if s != OpOK {
 			return
 		}
-		p.revoked, p.revokedAt, p.tail, p.leaseVersion = true, h.now, l.TailPeer, version
-		h.peerGone(p)
-		h.note(Note{Kind: NoteTakeover, Member: p.name, Detail: "lease revoked"})
-		h.claimDead(p)
+		p.revoked, p.revokedAt, p.tailPeer, p.leaseVersion = true, h.now, l.TailPeer, version
+		h.markGone(p)
+		h.addNote(Note{Kind: NoteTakeover, Member: p.name, Detail: "lease revoked"})
+		h.claimSlotsOf(p)
 	})
 }
--- a/core/host/program.go
+++ b/core/host/program.go
@@ -19,38 +19,38 @@
 // len(turns); pending follow it without gaps. spent+reserved never exceeds
 // budget, for the program and each of its ancestors.
 type program struct {
-	id       ident.Program
-	slot     *ownedSlot
-	caller   string
-	service  string
-	parent   ident.Program // in the same slot; empty for none
-	key      string
-	budget   int64
-	deadline time.Duration // in this host's time, 0 = none
-
-	spent    int64 // tokens, with those of its sub-agents
-	reserved int64
-
-	turns   []*turn
-	active  *flight
-	pending []*flight
-	history int64 // tokens of the turns
-	size    int   // bytes of the turns
-
-	holders []holder
-	ended   bool
-	reason  string
-	endedAt time.Duration
-	usedAt  time.Duration
-	begun   time.Duration // when its first call arrived here
-	pause   time.Duration // moving average of its tool pauses, 0 before the first
-	corrupt bool
+	id           ident.Program
+	slot         *ownedSlot
+	caller       string
+	service      string
+	parent       ident.Program // in the same slot; empty for none
+	key          string
+	budgetTokens int64
+	deadline     time.Duration // in this host's time, 0 = none
+
+	spentTokens    int64 // tokens, with those of its sub-agents
+	reservedTokens int64
+
+	turns         []*turn
+	activeCall    *call
+	pendingCalls  []*call
+	historyTokens int64 // tokens of the turns
+	sizeBytes     int   // bytes of the turns
+
+	cacheTargets []cacheTarget
+	ended        bool
+	endReason    string
+	endedAt      time.Duration
+	usedAt       time.Duration
+	startedAt    time.Duration // when its first call arrived here
+	meanPause    time.Duration // moving average of its tool pauses, 0 before the first
+	corrupt      bool
 
 	firstSegment uint64
 }
 
 // holder is a target that may keep cache of the program.
-type holder struct {
+type cacheTarget struct {
 	target string
 	tokens int64 // estimate, counted at the scheduler
 }
@@ -68,7 +68,7 @@
 // consumes reports whether the outcome uses up the call's sequence number. A
 // call that did not run may be sent again under its number, and so may an
 // idempotent one that failed.
-func (t *turn) consumes() bool {
+func (t *turn) consumesSequence() bool {
 	return t.failure == nil || !t.accepted.Idempotent && t.failure.Ran != failure.RanNo
 }
 
@@ -80,9 +80,9 @@
 	return &program{id: id, slot: own, usedAt: now}
 }
 
-func (p *program) created(m *peerpb.ProgramCreated, now time.Duration) {
+func (p *program) setCreated(m *peerpb.ProgramCreated, now time.Duration) {
 	p.caller, p.service, p.parent = m.Caller, m.Service, ident.Program(m.Parent)
-	p.budget, p.key = m.BudgetTokens, m.Key
+	p.budgetTokens, p.key = m.BudgetTokens, m.Key
 	if m.DeadlineMs > 0 {
 		p.deadline = now + time.Duration(m.DeadlineMs)*time.Millisecond
 	}
@@ -90,38 +90,38 @@
 
 // hold notes that a target may keep cache of the program; tokens 0 keeps an
 // earlier estimate.
-func (p *program) hold(target string, tokens int64) {
-	for i := range p.holders {
-		if p.holders[i].target == target {
-			p.holders[i].tokens = max(p.holders[i].tokens, tokens)
+func (p *program) addCacheTarget(target string, tokens int64) {
+	for i := range p.cacheTargets {
+		if p.cacheTargets[i].target == target {
+			p.cacheTargets[i].tokens = max(p.cacheTargets[i].tokens, tokens)
 			return
 		}
 	}
-	p.holders = append(p.holders, holder{target: target, tokens: tokens})
+	p.cacheTargets = append(p.cacheTargets, cacheTarget{target: target, tokens: tokens})
 }
 
-func (p *program) unhold(target string) {
-	p.holders = slices.DeleteFunc(p.holders, func(x holder) bool { return x.target == target })
+func (p *program) removeCacheTarget(target string) {
+	p.cacheTargets = slices.DeleteFunc(p.cacheTargets, func(cache cacheTarget) bool { return cache.target == target })
 }
 
 // turnOverhead is what a turn takes in memory and in a snapshot besides its
 // text.
-const turnOverhead = 200
+const turnOverheadBytes = 200
 
 func (p *program) addTurn(t *turn) {
 	p.turns = append(p.turns, t)
-	p.size += len(t.accepted.Prompt) + len(t.answer) + turnOverhead
-	p.history += newTokens(t.accepted.PromptTokens, t.usage, p.history) + t.usage.Output
+	p.sizeBytes += len(t.accepted.Prompt) + len(t.answer) + turnOverheadBytes
+	p.historyTokens += newTokens(t.accepted.PromptTokens, t.usage, p.historyTokens) + t.usage.Output
 }
 
 // newTokens is what a turn added to the prompt: the target counts the whole
 // history, and the caller's bound holds if it counts less.
-func newTokens(bound int64, u Usage, history int64) int64 {
-	return min(bound, max(0, u.Prompt-history))
+func newTokens(maxTokens int64, u Usage, history int64) int64 {
+	return min(maxTokens, max(0, u.Prompt-history))
 }
 
 // repeats reports whether each of the last n turns had this body.
-func (p *program) repeats(hash uint64, n int) bool {
+func (p *program) repeatsBody(hash uint64, n int) bool {
 	if len(p.turns) < n {
 		return false
 	}
@@ -135,89 +135,89 @@
 
 // nextSequence is the sequence of the next new call.
 func (p *program) nextSequence() uint32 {
-	n := len(p.turns) + len(p.pending)
-	if p.active != nil {
+	n := len(p.turns) + len(p.pendingCalls)
+	if p.activeCall != nil {
 		n++
 	}
 	return uint32(n)
 }
 
-func (p *program) allWaiters() []uint64 {
+func (p *program) waiters() []uint64 {
 	var all []uint64
-	if p.active != nil {
-		all = append(all, p.active.waiters...)
+	if p.activeCall != nil {
+		all = append(all, p.activeCall.waiters...)
 	}
-	for _, f := range p.pending {
-		all = append(all, f.waiters...)
+	for _, c := range p.pendingCalls {
+		all = append(all, c.waiters...)
 	}
 	return all
 }
 
 // past returns the turns as history for the next call.
-func (p *program) past() []Turn {
-	past := make([]Turn, 0, len(p.turns))
+func (p *program) answeredTurns() []Turn {
+	answered := make([]Turn, 0, len(p.turns))
 	for _, t := range p.turns {
 		if t.failure == nil {
-			past = append(past, Turn{Service: t.accepted.Service, Prompt: t.accepted.Prompt, Answer: t.answer})
+			answered = append(answered, Turn{Service: t.accepted.Service, Prompt: t.accepted.Prompt, Answer: t.answer})
 		}
 	}
-	return past
+	return answered
 }
 
 // chain calls f for the program and each ancestor.
-func (h *Host) chain(p *program, f func(*program)) {
+func (h *Host) forSelfAndAncestors(p *program, do func(*program)) {
 	for q := p; q != nil; q = h.programs[q.parent] {
-		f(q)
+		do(q)
 	}
 }
 
 // left is how many tokens the program may still reserve.
-func (h *Host) left(p *program) int64 {
-	least := int64(1<<63 - 1)
-	h.chain(p, func(q *program) { least = min(least, q.budget-q.spent-q.reserved) })
-	return max(0, least)
+func (h *Host) remainingBudget(p *program) int64 {
+	remaining := int64(1<<63 - 1)
+	h.forSelfAndAncestors(p, func(q *program) { remaining = min(remaining, q.budgetTokens-q.spentTokens-q.reservedTokens) })
+	return max(0, remaining)
 }
 
-func (h *Host) reserve(p *program, tokens int64) {
-	h.chain(p, func(q *program) { q.reserved += tokens })
+func (h *Host) reserveTokens(p *program, tokens int64) {
+	h.forSelfAndAncestors(p, func(q *program) { q.reservedTokens += tokens })
 }
 
 // settle ends a reservation and charges what was used.
-func (h *Host) settle(p *program, reserved, charged int64) {
-	h.chain(p, func(q *program) {
-		q.reserved -= reserved
-		q.spent += charged
+func (h *Host) settleBudget(p *program, reserved, charged int64) {
+	h.forSelfAndAncestors(p, func(q *program) {
+		q.reservedTokens -= reserved
+		q.spentTokens += charged
 	})
 }
 
 type createKey struct{ caller, key string }
 
 // adopt adds a program to the tables.
-func (h *Host) adopt(p *program) {
+func (h *Host) addProgram(p *program) {
 	h.programs[p.id] = p
 	p.slot.programs[p.id] = p
 	if p.key != "" {
-		h.byKey[createKey{p.caller, p.key}] = p.id
+		h.programsByKey[createKey{p.caller, p.key}] = p.id
 	}
 }
 
 // forget takes a program out of memory, as when it was handed over.
-func (h *Host) forget(p *program) {
+func (h *Host) removeProgram(p *program) {
 	delete(h.programs, p.id)
 	delete(p.slot.programs, p.id)
-	delete(h.active, p)
+	delete(h.activePrograms, p)
 	if p.key != "" {
-		delete(h.byKey, createKey{p.caller, p.key})
+		delete(h.programsByKey, createKey{p.caller, p.key})
 	}
-	for i := range p.holders {
-		x := &p.holders[i]
-		h.setHeld(p, x, 0)
-		delete(h.releases, releaseKey{x.target, p.id})
+	for i := range p.cacheTargets {
+		cache := &p.cacheTargets[i]
+		h.setCachedTokens(p, cache, 0)
+		delete(h.releaseTasks, releaseKey{cache.target, p.id})
 	}
 }
 
 // resume goes on with a recovered program.
-func (h *Host) resume(p *program) {
+func (h *Host) resumeProgram(p *program) {
 	if p.corrupt {
 		return
 	}
@@ -225,63 +225,63 @@
 		h.releaseCache(p)
 		return
 	}
-	f := p.active
-	if f == nil {
+	c := p.activeCall
+	if c == nil {
 		return
 	}
-	p.slot.busy++
-	p.begun = h.now
-	h.active[p] = struct{}{}
-	reserve := f.attemptTokens()
-	f.reserved = int64(f.lostAttempts) * reserve // what they may have used
-	h.reserve(p, f.reserved)
+	p.slot.activeCalls++
+	p.startedAt = h.now
+	h.activePrograms[p] = struct{}{}
+	attemptTokens := c.attemptTokens()
+	c.reservedTokens = int64(c.lostAttempts) * attemptTokens // what they may have used
+	h.reserveTokens(p, c.reservedTokens)
 	switch {
-	case f.failure != nil:
-		h.fail(f, f.failure)
-	case h.left(p) < reserve:
-		h.fail(f, failure.New(failure.BudgetExhausted, "the budget does not allow another attempt"))
+	case c.failure != nil:
+		h.failCall(c, c.failure)
+	case h.remainingBudget(p) < attemptTokens:
+		h.failCall(c, failure.New(failure.BudgetExhausted, "the budget does not allow another attempt"))
 	default:
-		h.reserve(p, reserve)
-		f.reserved += reserve
-		f.state = stateQueued
-		h.decide(f)
-		h.enqueue(f, true)
+		h.reserveTokens(p, attemptTokens)
+		c.reservedTokens += attemptTokens
+		c.state = stateQueued
+		h.applyRules(c)
+		h.enqueueCall(c, true)
 	}
 }
 
 // snapshot writes the program whole into this member's stream.
-func (h *Host) snapshot(p *program) {
+func (h *Host) writeSnapshot(p *program) {
 	s := &peerpb.ProgramSnapshot{
 		Created:     p.createdRecord(h.now),
-		SpentTokens: p.spent,
+		SpentTokens: p.spentTokens,
 	}
-	for _, x := range p.holders {
-		s.Holders = append(s.Holders, x.target)
+	for _, cache := range p.cacheTargets {
+		s.Holders = append(s.Holders, cache.target)
 	}
 	if p.ended {
-		s.Ended = p.reason
+		s.Ended = p.endReason
 	}
 	turns := p.snapshotTurns()
 	s.TurnCount = uint32(len(turns))
-	s.Turns, turns = cutTurns(turns)
+	s.Turns, turns = splitTurns(turns)
 	p.firstSegment = h.log.writer.NextSegment()
-	h.append(p, &peerpb.Record{Body: &peerpb.Record_Snapshot{Snapshot: s}})
+	h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Snapshot{Snapshot: s}})
 	for len(turns) > 0 {
 		part := &peerpb.SnapshotPart{}
-		part.Turns, turns = cutTurns(turns)
-		h.append(p, &peerpb.Record{Body: &peerpb.Record_Part{Part: part}})
+		part.Turns, turns = splitTurns(turns)
+		h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Part{Part: part}})
 	}
 }
 
 func (p *program) snapshotTurns() []*peerpb.Turn {
 	turns := make([]*peerpb.Turn, 0, len(p.turns)+1)
 	for _, t := range p.turns {
-		turns = append(turns, &peerpb.Turn{Accepted: t.accepted, Finished: t.finished()})
+		turns = append(turns, &peerpb.Turn{Accepted: t.accepted, Finished: t.finishedRecord()})
 	}
-	if f := p.active; f != nil {
-		t := &peerpb.Turn{Accepted: f.accepted, Finished: f.finished}
-		if f.finished == nil {
-			t.Intent = &peerpb.CallIntent{Sequence: f.accepted.Sequence, Target: f.target, Attempt: f.attempt}
+	if c := p.activeCall; c != nil {
+		t := &peerpb.Turn{Accepted: c.accepted, Finished: c.finished}
+		if c.finished == nil {
+			t.Intent = &peerpb.CallIntent{Sequence: c.accepted.Sequence, Target: c.target, Attempt: c.lastAttempt}
 		}
 		turns = append(turns, t)
 	}
@@ -293,10 +293,10 @@
 const snapshotPartBytes = 128 << 10
 
 // cutTurns takes as many turns as one record should hold, at least one.
-func cutTurns(turns []*peerpb.Turn) (first, rest []*peerpb.Turn) {
-	size, n := 0, 0
-	for n < len(turns) && (n == 0 || size < snapshotPartBytes) {
-		size += proto.Size(turns[n])
+func splitTurns(turns []*peerpb.Turn) (first, rest []*peerpb.Turn) {
+	bytes, n := 0, 0
+	for n < len(turns) && (n == 0 || bytes < snapshotPartBytes) {
+		bytes += proto.Size(turns[n])
 		n++
 	}
 	return turns[:n], turns[n:]
@@ -304,7 +304,7 @@
 
 func (p *program) createdRecord(now time.Duration) *peerpb.ProgramCreated {
 	m := &peerpb.ProgramCreated{
-		Caller: p.caller, Service: p.service, Parent: string(p.parent), BudgetTokens: p.budget, Key: p.key,
+		Caller: p.caller, Service: p.service, Parent: string(p.parent), BudgetTokens: p.budgetTokens, Key: p.key,
 	}
 	if p.deadline > 0 {
 		m.DeadlineMs = max(1, (p.deadline - now).Milliseconds())
@@ -312,7 +312,7 @@
 	return m
 }
 
-func (t *turn) finished() *peerpb.CallFinished {
+func (t *turn) finishedRecord() *peerpb.CallFinished {
 	m := &peerpb.CallFinished{
 		Sequence: t.accepted.Sequence, Answer: t.answer, Target: t.target,
 		PromptTokens: t.usage.Prompt, OutputTokens: t.usage.Output, CachedTokens: t.usage.Cached,
@@ -329,6 +329,6 @@
 	m.RetryAfterMs = f.RetryAfter.Milliseconds()
 }
 
-func (h *Host) sortedActive() []*program {
-	return slices.SortedFunc(maps.Keys(h.active), func(a, b *program) int { return cmp.Compare(a.id, b.id) })
+func (h *Host) sortedActivePrograms() []*program {
+	return slices.SortedFunc(maps.Keys(h.activePrograms), func(a, b *program) int { return cmp.Compare(a.id, b.id) })
 }
--- /dev/null
+++ b/core/host/rebuild.go
@@ -0,0 +1,231 @@
+package host
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/pistachioarch/pistachioarch/core/failure"
+	"github.com/pistachioarch/pistachioarch/core/ident"
+	"github.com/pistachioarch/pistachioarch/core/peerpb"
+)
+
+// fold rebuilds programs from the records of one or more streams.
+//
+// Each epoch of a slot was written by one member, so the records of a slot in
+// order of epoch, then lsn, are its history whatever streams they came from.
+type rebuilder struct {
+	slots         map[int]*ownedSlot
+	recordsBySlot map[int][]streamRecord
+	// gaps are the missing parts of streams, for each stream.
+	gaps        map[string][]uint64
+	keepStreams bool
+}
+
+type streamRecord struct {
+	*peerpb.Record
+	stream string
+}
+
+// foldProgram is a program under reconstruction.
+type rebuiltProgram struct {
+	program *program
+	// base is the record that states the program whole: its creation or a
+	// snapshot.
+	base     streamRecord
+	openCall *openCall
+	// partial is a newer statement of the program of which parts are missing
+	// yet. If they never come, what was known before still holds.
+	snapshot     *rebuiltProgram
+	missingTurns int // turns of partial
+}
+
+// openCall is a call that was accepted and has no outcome.
+type openCall struct {
+	accepted *peerpb.CallAccepted
+	attempts int
+}
+
+func newRebuilder(slots map[int]*ownedSlot) *rebuilder {
+	return &rebuilder{slots: slots, recordsBySlot: map[int][]streamRecord{}, gaps: map[string][]uint64{}}
+}
+
+func (r *rebuilder) addStream(s *streamReader) {
+	for _, record := range s.records {
+		slot, err := ident.Program(record.Program).Slot()
+		if err != nil || r.slots[slot.Number] == nil {
+			continue
+		}
+		r.recordsBySlot[slot.Number] = append(r.recordsBySlot[slot.Number], streamRecord{Record: record, stream: s.name})
+	}
+	if len(s.gaps) > 0 {
+		r.gaps[s.name] = s.gaps
+		r.keepStreams = true
+	}
+}
+
+// programs returns the programs of all slots, in order of identifier.
+func (r *rebuilder) programs(h *Host) []*program {
+	var all []*program
+	for _, number := range slices.Sorted(maps.Keys(r.recordsBySlot)) {
+		records := r.recordsBySlot[number]
+		slices.SortStableFunc(records, func(a, b streamRecord) int {
+			return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Lsn, b.Lsn))
+		})
+		found := map[ident.Program]*rebuiltProgram{}
+		for _, record := range records {
+			r.applyRecord(h, r.slots[number], found, record)
+		}
+		for _, id := range slices.Sorted(maps.Keys(found)) {
+			rebuilt := found[id]
+			rebuilt.program.corrupt = rebuilt.program.corrupt || r.mayMissRecords(rebuilt, records)
+			rebuilt.settleOpenCall(h)
+			all = append(all, rebuilt.program)
+		}
+	}
+	return all
+}
+
+// damaged reports whether records of the program may be missing: a stream with
+// a gap may have held some, unless the program was stated whole after it.
+func (r *rebuilder) mayMissRecords(rebuilt *rebuiltProgram, records []streamRecord) bool {
+	for stream, gaps := range r.gaps {
+		lastGap := gaps[len(gaps)-1]
+		if rebuilt.base.stream == stream && rebuilt.base.Lsn >= lastGap {
+			continue
+		}
+		newestEpoch := uint64(0)
+		for _, record := range records {
+			if record.stream == stream {
+				newestEpoch = max(newestEpoch, record.Epoch)
+			}
+		}
+		if newestEpoch > 0 && rebuilt.base.Epoch > newestEpoch {
+			continue
+		}
+		return true
+	}
+	return false
+}
+
+func (r *rebuilder) applyRecord(h *Host, own *ownedSlot, found map[ident.Program]*rebuiltProgram, record streamRecord) {
+	id := ident.Program(record.Program)
+	rebuilt := found[id]
+	if rebuilt == nil {
+		rebuilt = &rebuiltProgram{program: newProgram(id, own, h.now)}
+		found[id] = rebuilt
+		rebuilt.program.corrupt = record.GetCreated() == nil // until a snapshot is whole
+	}
+	switch m := record.Body.(type) {
+	case *peerpb.Record_Created:
+		rebuilt.base = record
+		rebuilt.program.setCreated(m.Created, h.now)
+	case *peerpb.Record_Snapshot:
+		rebuilt.snapshot = newSnapshotProgram(h, own, id, m.Snapshot, record)
+		rebuilt.addTurns(m.Snapshot.Turns)
+	case *peerpb.Record_Part:
+		rebuilt.addTurns(m.Part.Turns)
+	case *peerpb.Record_Accepted:
+		rebuilt.openCall = &openCall{accepted: m.Accepted}
+	case *peerpb.Record_Intent:
+		rebuilt.program.addCacheTarget(m.Intent.Target, 0)
+		if rebuilt.openCall != nil && rebuilt.openCall.accepted.Sequence == m.Intent.Sequence {
+			rebuilt.openCall.attempts++
+		}
+	case *peerpb.Record_Finished:
+		rebuilt.finishCall(m.Finished)
+		for ancestor := rebuilt; ancestor != nil; ancestor = found[ancestor.program.parent] {
+			ancestor.program.spentTokens += m.Finished.ChargedTokens
+		}
+	case *peerpb.Record_Ended:
+		rebuilt.program.ended, rebuilt.program.endReason, rebuilt.program.endedAt = true, m.Ended.Reason, h.now
+	case *peerpb.Record_Released:
+		rebuilt.program.removeCacheTarget(m.Released.Target)
+	}
+}
+
+// newPartial begins a program as a snapshot states it, without its turns.
+func newSnapshotProgram(h *Host, own *ownedSlot, id ident.Program, s *peerpb.ProgramSnapshot, r streamRecord) *rebuiltProgram {
+	snapshot := &rebuiltProgram{program: newProgram(id, own, h.now), base: r, missingTurns: int(s.TurnCount)}
+	snapshot.program.setCreated(s.Created, h.now)
+	snapshot.program.spentTokens = s.SpentTokens
+	for _, target := range s.Holders {
+		snapshot.program.addCacheTarget(target, 0)
+	}
+	if s.Ended != "" {
+		snapshot.program.ended, snapshot.program.endReason, snapshot.program.endedAt = true, s.Ended, h.now
+	}
+	return snapshot
+}
+
+// addTurns adds turns to the snapshot under way; the last makes it count.
+func (rebuilt *rebuiltProgram) addTurns(turns []*peerpb.Turn) {
+	snapshot := rebuilt.snapshot
+	if snapshot == nil {
+		return
+	}
+	for _, t := range turns {
+		snapshot.openCall = &openCall{accepted: t.Accepted}
+		if t.Intent != nil {
+			snapshot.openCall.attempts = int(t.Intent.Attempt)
+		}
+		if t.Finished != nil {
+			snapshot.finishCall(t.Finished) // its charge is in the snapshot's sum
+		}
+		snapshot.missingTurns--
+	}
+	if snapshot.missingTurns <= 0 {
+		*rebuilt = *snapshot
+	}
+}
+
+// finish closes the open call with its outcome.
+func (rebuilt *rebuiltProgram) finishCall(m *peerpb.CallFinished) {
+	if rebuilt.openCall == nil || rebuilt.openCall.accepted.Sequence != m.Sequence {
+		rebuilt.program.corrupt = true
+		return
+	}
+	a := rebuilt.openCall.accepted
+	rebuilt.openCall = nil
+	t := finishedTurn(a, m)
+	if !t.consumesSequence() {
+		return
+	}
+	if int(a.Sequence) != len(rebuilt.program.turns) {
+		rebuilt.program.corrupt = true
+		return
+	}
+	rebuilt.program.addTurn(t)
+}
+
+// close settles a call that was open when its owner died. A non-idempotent call
+// that may have been sent is never sent again; any other will run.
+func (rebuilt *rebuiltProgram) settleOpenCall(h *Host) {
+	if rebuilt.openCall == nil || rebuilt.program.corrupt || rebuilt.program.ended {
+		return
+	}
+	a := rebuilt.openCall.accepted
+	c := newCall(rebuilt.program, a, h.now)
+	lost := rebuilt.openCall.attempts
+	c.lastAttempt = uint32(lost)
+	c.lostAttempts = lost
+	if lost > 0 && !a.Idempotent {
+		c.failure = failure.Unknown(failure.OwnerLost, "the owner was lost after the call may have been sent")
+	}
+	rebuilt.program.activeCall = c
+}
+
+func finishedTurn(a *peerpb.CallAccepted, m *peerpb.CallFinished) *turn {
+	t := &turn{
+		accepted: a, answer: m.Answer, target: m.Target,
+		usage: Usage{Prompt: m.PromptTokens, Output: m.OutputTokens, Cached: m.CachedTokens},
+	}
+	if m.FailureKind != "" {
+		t.failure = &failure.Failure{
+			Kind: failure.Kind(m.FailureKind), Ran: failure.Ran(m.Ran), Detail: m.FailureDetail,
+			RetryAfter: time.Duration(m.RetryAfterMs) * time.Millisecond,
+		}
+	}
+	return t
+}
--- a/core/host/takeover.go
+++ b/core/host/recovery.go
@@ -31,56 +31,56 @@
 
 // streamReader is the progress through one stream.
 type streamReader struct {
-	name string
-	upto uint64 // last segment to read; 0 means to the end, and seal
-	next uint64 // segment to read next
-	last uint64 // segments up to here surely exist
+	name         string
+	lastToRead   uint64 // last segment to read; 0 means to the end, and seal
+	nextSegment  uint64 // segment to read next
+	lastExisting uint64 // segments up to here surely exist
 	// bounded says that the bounds were read from the lease.
-	bounded bool
+	hasBounds bool
 
-	lastLSN uint64
-	gaps    []uint64 // lsn from which records are missing
-	records []*peerpb.Record
-	read    bool // all segments are read, the stream is sealed if need be
+	lastLSN      uint64
+	gaps         []uint64 // lsn from which records are missing
+	records      []*peerpb.Record
+	segmentsRead bool // all segments are read, the stream is sealed if need be
 
-	tail      string // member that keeps the tail
-	tailAsked time.Duration
-	tailFrom  map[string]bool
+	tailPeer         string // member that keeps the tail
+	tailRequestedAt  time.Duration
+	tailReceivedFrom map[string]bool
 	// tailGone says that the keeper has no lease any more; tailLookAt is when to
 	// look for one again.
-	tailGone   bool
-	tailLookAt time.Duration
-	tailDone   bool
-	tailPart   []*peerpb.Record
+	tailPeerGone     bool
+	tailLeaseCheckAt time.Duration
+	tailMerged       bool
+	tailRecords      []*peerpb.Record
 }
 
 const (
-	recoveryRetry = 200 * time.Millisecond
-	tailWait      = time.Second
+	recoveryRetryDelay = 200 * time.Millisecond
+	maxTailWait        = time.Second
 	// recoveryAttempts to find an object that must exist take about two minutes;
 	// after boundsAttempts the bounds of the stream are read again.
-	recoveryAttempts = 600
-	boundsAttempts   = 5
+	maxRecoveryAttempts   = 600
+	attemptsPerBoundsRead = 5
 )
 
 // recover starts the recovery of slots that became this member's.
-func (h *Host) recover(t *slotTable, gained []*ownedSlot) {
+func (h *Host) recoverSlots(t *slotTable, gained []*ownedSlot) {
 	r := &recovery{slots: map[int]*ownedSlot{}}
-	upto := map[string]uint64{}
+	lastToRead := map[string]uint64{}
 	for _, own := range gained {
 		r.slots[own.slot.Number] = own
 		for stream, last := range t.Slots[own.slot.Number].Streams {
 			if stream == h.self && last == 0 {
 				continue // nothing was written for the slot yet
 			}
-			if old, ok := upto[stream]; ok && (old == 0 || last != 0 && old > last) {
+			if old, ok := lastToRead[stream]; ok && (old == 0 || last != 0 && old > last) {
 				last = old
 			}
-			upto[stream] = last
+			lastToRead[stream] = last
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(upto)) {
-		r.streams = append(r.streams, &streamReader{name: name, upto: upto[name], tailFrom: map[string]bool{}})
+	for _, name := range slices.Sorted(maps.Keys(lastToRead)) {
+		r.streams = append(r.streams, &streamReader{name: name, lastToRead: lastToRead[name], tailReceivedFrom: map[string]bool{}})
 	}
 	h.slots.recoveries = append(h.slots.recoveries, r)
 	h.advanceRecovery(r)
@@ -103,17 +103,17 @@
 	r.waiting = true
 	r.retryAt = h.now + h.cfg.OperationTimeout + time.Second
 	for _, s := range r.streams {
-		if !s.read {
+		if !s.segmentsRead {
 			h.readStream(r, s)
 			return
 		}
-		if !s.tailDone && !h.collectTail(s) {
+		if !s.tailMerged && !h.collectTail(s) {
 			r.retryAt = h.now + TickInterval
 			return
 		}
 	}
-	if h.set() == nil && r.found() {
-		r.retryAt = h.now + recoveryRetry // calls cannot go on without a declaration
+	if h.declared() == nil && r.hasRecords() {
+		r.retryAt = h.now + recoveryRetryDelay // calls cannot go on without a declaration
 		return
 	}
 	h.slots.recoveries = slices.DeleteFunc(h.slots.recoveries, func(x *recovery) bool { return x == r })
@@ -121,13 +121,13 @@
 }
 
 // found reports whether any record was read.
-func (r *recovery) found() bool {
+func (r *recovery) hasRecords() bool {
 	return slices.ContainsFunc(r.streams, func(s *streamReader) bool { return len(s.records) > 0 })
 }
 
 // step wraps the answer to an operation of the current attempt. A handler
 // returns whether to go on at once; otherwise the step is tried again later.
-func (h *Host) step(r *recovery, handle func(*PlatformReply) bool) func(*PlatformReply) {
+func (h *Host) onReply(r *recovery, handle func(*PlatformReply) bool) func(*PlatformReply) {
 	generation := r.generation
 	return func(reply *PlatformReply) {
 		if generation != r.generation {
@@ -138,22 +138,22 @@
 			h.advanceRecovery(r)
 			return
 		}
-		r.retryAt = h.now + recoveryRetry
+		r.retryAt = h.now + recoveryRetryDelay
 	}
 }
 
 func (h *Host) readStream(r *recovery, s *streamReader) {
 	switch {
-	case !s.bounded:
+	case !s.hasBounds:
 		h.readBounds(r, s)
-	case s.upto != 0 && s.next > s.upto:
-		s.read, s.tailDone = true, true // handed over: all was at the platform
+	case s.lastToRead != 0 && s.nextSegment > s.lastToRead:
+		s.segmentsRead, s.tailMerged = true, true // handed over: all was at the platform
 		r.waiting = false
 		h.advanceRecovery(r)
-	case s.upto != 0 || s.next <= s.last:
+	case s.lastToRead != 0 || s.nextSegment <= s.lastExisting:
 		h.readSegment(r, s)
 	default:
-		h.seal(r, s)
+		h.sealStream(r, s)
 	}
 }
 
@@ -161,21 +161,21 @@
 // begins, how far it surely goes, and who keeps its tail.
 func (h *Host) readBounds(r *recovery, s *streamReader) {
 	if s.name == h.self {
-		s.bound(h.log.firstKept, h.log.writer.LastSegment())
+		s.setBounds(h.log.firstNeeded, h.log.writer.LastSegment())
 		r.waiting = false
 		h.advanceRecovery(r)
 		return
 	}
 	key := LeaseKey(s.name)
-	h.do(PlatformOp{Kind: OpGet, Key: key}, h.step(r, func(reply *PlatformReply) bool {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: key}, h.onReply(r, func(reply *PlatformReply) bool {
 		var l LeaseObject
 		switch {
 		case reply.Status == OpOK && json.Unmarshal(reply.Body, &l) == nil:
-			s.tail = l.TailPeer
-			s.bound(max(1, l.FirstSegment), l.LastSegment)
+			s.tailPeer = l.TailPeer
+			s.setBounds(max(1, l.FirstSegment), l.LastSegment)
 			return true
 		case reply.Status == OpNotFound:
-			return r.givesUp(h, s, "lease")
+			return r.skipMissing(h, s, "lease")
 		}
 		return false
 	}))
@@ -183,26 +183,26 @@
 
 // bound notes how far the stream surely goes. Segments before first were freed:
 // their live records stand again in later ones.
-func (s *streamReader) bound(first, last uint64) {
-	s.bounded = true
-	s.last = max(s.last, last)
-	if first > s.next {
-		s.next, s.lastLSN, s.gaps, s.records = first, 0, nil, nil
+func (s *streamReader) setBounds(first, last uint64) {
+	s.hasBounds = true
+	s.lastExisting = max(s.lastExisting, last)
+	if first > s.nextSegment {
+		s.nextSegment, s.lastLSN, s.gaps, s.records = first, 0, nil, nil
 	}
 }
 
 func (h *Host) readSegment(r *recovery, s *streamReader) {
-	h.do(PlatformOp{Kind: OpGet, Key: journal.SegmentKey(s.name, s.next)}, h.step(r, func(reply *PlatformReply) bool {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: journal.SegmentKey(s.name, s.nextSegment)}, h.onReply(r, func(reply *PlatformReply) bool {
 		switch reply.Status {
 		case OpOK:
-			h.takeSegment(r, s, reply.Body)
+			h.addSegment(r, s, reply.Body)
 			return true
 		case OpNotFound: // a stale read, or freed since the bounds were read
-			if r.givesUp(h, s, "segment "+strconv.FormatUint(s.next, 10)) {
+			if r.skipMissing(h, s, "segment "+strconv.FormatUint(s.nextSegment, 10)) {
 				return true
 			}
-			if r.attempts%boundsAttempts == 0 {
-				s.bounded = false
+			if r.attempts%attemptsPerBoundsRead == 0 {
+				s.hasBounds = false
 			}
 		}
 		return false
@@ -211,98 +211,98 @@
 
 // givesUp counts a failed look for something that must exist. After many it
 // reports true and the records that should be there count as missing.
-func (r *recovery) givesUp(h *Host, s *streamReader, what string) bool {
+func (r *recovery) skipMissing(h *Host, s *streamReader, object string) bool {
 	r.attempts++
-	if r.attempts < recoveryAttempts {
+	if r.attempts < maxRecoveryAttempts {
 		return false
 	}
-	h.note(Note{Kind: NoteCorrupt, Member: s.name, Detail: what + " is missing"})
+	h.addNote(Note{Kind: NoteCorrupt, Member: s.name, Detail: object + " is missing"})
 	s.gaps = append(s.gaps, s.lastLSN+1)
-	s.next++
-	s.bounded = true
+	s.nextSegment++
+	s.hasBounds = true
 	r.attempts = 0
 	return true
 }
 
-func (h *Host) takeSegment(r *recovery, s *streamReader, body []byte) {
-	seg, err := journal.Decode(body)
-	s.next++
+func (h *Host) addSegment(r *recovery, s *streamReader, body []byte) {
+	segment, err := journal.Decode(body)
+	s.nextSegment++
 	r.attempts = 0
 	if err != nil {
-		h.note(Note{Kind: NoteCorrupt, Member: s.name, Detail: err.Error()})
+		h.addNote(Note{Kind: NoteCorrupt, Member: s.name, Detail: err.Error()})
 		s.gaps = append(s.gaps, s.lastLSN+1)
 		return
 	}
-	if seg.Seal {
-		s.read = true
+	if segment.Seal {
+		s.segmentsRead = true
 		return
 	}
-	s.records = append(s.records, seg.Records...)
-	if n := len(seg.Records); n > 0 {
-		s.lastLSN = seg.Records[n-1].Lsn
+	s.records = append(s.records, segment.Records...)
+	if n := len(segment.Records); n > 0 {
+		s.lastLSN = segment.Records[n-1].Lsn
 	}
 }
 
 // seal ends the stream of a dead member by creating its next segment.
-func (h *Host) seal(r *recovery, s *streamReader) {
-	body, err := journal.Encode(&peerpb.Segment{Stream: s.name, Number: s.next, Nonce: h.self, Seal: true})
+func (h *Host) sealStream(r *recovery, s *streamReader) {
+	body, err := journal.Encode(&peerpb.Segment{Stream: s.name, Number: s.nextSegment, Nonce: h.self, Seal: true})
 	if err != nil {
 		return
 	}
 	generation := r.generation
-	h.put(journal.SegmentKey(s.name, s.next), 0, body, func(status OpStatus, _ uint64) {
+	h.putObject(journal.SegmentKey(s.name, s.nextSegment), 0, body, func(status OpStatus, _ uint64) {
 		if generation != r.generation {
 			return
 		}
 		r.waiting = false
 		switch status {
 		case OpOK:
-			s.read = true
+			s.segmentsRead = true
 			h.advanceRecovery(r)
 		case OpConflict: // the dead member wrote one more, or a seal stands
-			s.last = s.next
+			s.lastExisting = s.nextSegment
 			h.advanceRecovery(r)
 		default:
-			r.retryAt = h.now + recoveryRetry
+			r.retryAt = h.now + recoveryRetryDelay
 		}
 	})
 }
 
 // finishRecovery rebuilds the programs, carries them forward and serves.
 func (h *Host) finishRecovery(r *recovery) {
-	f := newFold(r.slots)
+	rb := newRebuilder(r.slots)
 	for _, s := range r.streams {
-		f.addStream(s)
+		rb.addStream(s)
 	}
-	for _, p := range f.programs(h) {
-		h.adopt(p)
+	for _, p := range rb.programs(h) {
+		h.addProgram(p)
 	}
 	for _, n := range slices.Sorted(maps.Keys(r.slots)) {
 		own := r.slots[n]
-		own.state, own.damaged = slotServing, f.keepStreams
-		h.carryForward(own, f.keepStreams)
+		own.state, own.mayMissRecords = slotServing, rb.keepStreams
+		h.carryForward(own, rb.keepStreams)
 	}
-	h.note(Note{Kind: NoteSlotsServing, Detail: strconv.Itoa(len(r.slots)) + " slots"})
+	h.addNote(Note{Kind: NoteSlotsServing, Detail: strconv.Itoa(len(r.slots)) + " slots"})
 	for _, n := range slices.Sorted(maps.Keys(r.slots)) {
 		for _, p := range sortedPrograms(r.slots[n].programs) {
-			h.resume(p)
+			h.resumeProgram(p)
 		}
 	}
 }
 
 // carryForward writes the programs of a slot into this member's own stream, so
 // that the older streams can be let go.
-func (h *Host) carryForward(own *ownedSlot, keep bool) {
+func (h *Host) carryForward(own *ownedSlot, keepStreams bool) {
 	for _, p := range sortedPrograms(own.programs) {
 		if p.corrupt {
-			keep = true
+			keepStreams = true
 			continue
 		}
-		h.snapshot(p)
+		h.writeSnapshot(p)
 	}
-	own.carried = own.lastLSN
-	if keep {
-		own.carried = noLSN
+	own.carriedLSN = own.lastLSN
+	if keepStreams {
+		own.carriedLSN = neverLSN
 	}
 }
 
--- a/core/host/release.go
+++ b/core/host/release.go
@@ -18,51 +18,51 @@
 
 // releaseTask is an order to drop cache, repeated until the target confirms.
 type releaseTask struct {
-	tryAt    time.Duration
+	retryAt  time.Duration
 	attempts int
 }
 
 // pacing holds the next times of work that is not done on every tick.
-type pacing struct{ expire, leave time.Duration }
+type nextRunTimes struct{ expireAt, leaveAt time.Duration }
 
 const (
-	releaseRetry    = time.Second
-	releaseRetryMax = 30 * time.Second
+	releaseRetryDelay    = time.Second
+	maxReleaseRetryDelay = 30 * time.Second
 )
 
 // releaseCache frees the cache of an ended program at each target that may
 // hold some. The duty is in the journal: a new owner takes it over, since the
 // program stays there until every target has confirmed.
 func (h *Host) releaseCache(p *program) {
-	for _, x := range slices.Clone(p.holders) {
-		h.release(x.target, p)
+	for _, cache := range slices.Clone(p.cacheTargets) {
+		h.orderRelease(cache.target, p)
 	}
 }
 
-func (h *Host) release(target string, p *program) {
+func (h *Host) orderRelease(target string, p *program) {
 	key := releaseKey{target, p.id}
-	task := h.releases[key]
+	task := h.releaseTasks[key]
 	if task == nil {
 		task = &releaseTask{}
-		h.releases[key] = task
+		h.releaseTasks[key] = task
 	}
 	t, declared := h.sched.Target(target)
 	if !declared {
-		h.released(p, target) // nobody can be told, and nothing is kept
+		h.recordRelease(p, target) // nobody can be told, and nothing is kept
 		return
 	}
 	task.attempts++
-	task.tryAt = h.now + min(releaseRetry<<min(task.attempts-1, 8), releaseRetryMax)
+	task.retryAt = h.now + min(releaseRetryDelay<<min(task.attempts-1, 8), maxReleaseRetryDelay)
 	h.ready.Releases = append(h.ready.Releases, Release{Target: t.Decl, Program: p.id, Slot: p.slot.slot, Epoch: p.slot.epoch})
 }
 
 func (h *Host) tickReleases() {
-	if !h.mayServe() || h.set() == nil {
+	if !h.mayServe() || h.declared() == nil {
 		return
 	}
 	var due []releaseKey
-	for key, task := range h.releases {
-		if h.now >= task.tryAt {
+	for key, task := range h.releaseTasks {
+		if h.now >= task.retryAt {
 			due = append(due, key)
 		}
 	}
@@ -71,24 +71,24 @@
 	})
 	for _, key := range due {
 		if p := h.programs[key.program]; p != nil && p.slot.state == slotServing {
-			h.release(key.target, p)
+			h.orderRelease(key.target, p)
 		}
 	}
 }
 
-func (h *Host) releaseDone(ev *ReleaseDone) {
-	if p := h.programs[ev.Program]; p != nil && ev.OK && p.ended && p.active == nil {
-		h.released(p, ev.Target)
+func (h *Host) handleReleaseDone(ev *ReleaseDone) {
+	if p := h.programs[ev.Program]; p != nil && ev.OK && p.ended && p.activeCall == nil {
+		h.recordRelease(p, ev.Target)
 	}
 }
 
-func (h *Host) released(p *program, target string) {
-	delete(h.releases, releaseKey{target, p.id})
-	for i := range p.holders {
-		if x := &p.holders[i]; x.target == target {
-			h.setHeld(p, x, 0)
-			p.unhold(target)
-			h.append(p, &peerpb.Record{Body: &peerpb.Record_Released{Released: &peerpb.CacheReleased{Target: target}}})
+func (h *Host) recordRelease(p *program, target string) {
+	delete(h.releaseTasks, releaseKey{target, p.id})
+	for i := range p.cacheTargets {
+		if cache := &p.cacheTargets[i]; cache.target == target {
+			h.setCachedTokens(p, cache, 0)
+			p.removeCacheTarget(target)
+			h.appendRecord(p, &peerpb.Record{Body: &peerpb.Record_Released{Released: &peerpb.CacheReleased{Target: target}}})
 			return
 		}
 	}
@@ -97,7 +97,7 @@
 // targetReport takes a target's own account. Estimates of what it keeps are
 // corrected by it. The sweep: what it keeps for a program of this member that has
 // ended, or that nobody knows, is released.
-func (h *Host) targetReport(ev *TargetReport) {
+func (h *Host) handleTargetReport(ev *TargetReport) {
 	t, ok := h.sched.Target(ev.Target)
 	if !ok {
 		return
@@ -107,23 +107,23 @@
 		return
 	}
 	if ev.CachedPrograms != nil {
-		h.forgetEvicted(ev)
+		h.applyCacheReport(ev)
 	}
 	for _, id := range ev.CachedPrograms {
 		slot, err := id.Slot()
 		if err != nil {
 			continue
 		}
-		own := h.slots.mine[slot]
+		own := h.slots.owned[slot]
 		if own == nil || own.state != slotServing {
 			continue
 		}
 		p := h.programs[id]
-		if p != nil && (!p.ended || p.active != nil) {
+		if p != nil && (!p.ended || p.activeCall != nil) {
 			continue
 		}
 		h.stats.Swept++
-		h.note(Note{Kind: NoteSwept, Program: id, Target: ev.Target})
+		h.addNote(Note{Kind: NoteSwept, Program: id, Target: ev.Target})
 		h.ready.Releases = append(h.ready.Releases, Release{Target: t.Decl, Program: id, Slot: slot, Epoch: own.epoch})
 	}
 }
--- a/core/host/shared.go
+++ b/core/host/shared.go
@@ -33,26 +33,26 @@
 // declaration is the declaration in force at this host.
 //
 // Invariant: version never goes down, whatever is read, watched or told.
-type declaration struct {
-	version uint64
-	set     *decl.Set
-	object  []byte            // the ConfigObject, for peers and for the disk
-	refused uint64            // newest version that could not be used
-	seen    map[string]uint64 // object versions seen, by key
-
-	pollAt   time.Duration
-	revision uint64
-	watching bool
-	watchAt  time.Duration
+type declarationState struct {
+	version         uint64
+	set             *decl.Set
+	objectBody      []byte            // the ConfigObject, for peers and for the disk
+	rejectedVersion uint64            // newest version that could not be used
+	seenVersions    map[string]uint64 // object versions seen, by key
+
+	pollAt        time.Duration
+	watchRevision uint64
+	watching      bool
+	watchAt       time.Duration
 }
 
-const watchRetry = 500 * time.Millisecond
+const watchRetryDelay = 500 * time.Millisecond
 
 func (h *Host) tickShared() {
-	if h.now >= h.declare.pollAt {
+	if h.now >= h.declaration.pollAt {
 		h.pollShared()
 	}
-	if !h.declare.watching && h.now >= h.declare.watchAt {
+	if !h.declaration.watching && h.now >= h.declaration.watchAt {
 		h.watchShared()
 	}
 }
@@ -61,10 +61,10 @@
 // stuck. The members of a data centre take turns, so that one of them looks every
 // ConfigPollEvery; what it finds it tells the others.
 func (h *Host) pollShared() {
-	h.declare.pollAt = h.now + h.cfg.ConfigPollInterval*time.Duration(max(1, h.aliveLocal()))
-	h.do(PlatformOp{Kind: OpListKeys, Key: SharedPrefix}, func(r *PlatformReply) {
+	h.declaration.pollAt = h.now + h.cfg.ConfigPollInterval*time.Duration(max(1, h.countLocalMembers()))
+	h.submitOp(PlatformOp{Kind: OpListKeys, Key: SharedPrefix}, func(r *PlatformReply) {
 		if r.Status != OpOK {
-			h.declare.pollAt = min(h.declare.pollAt, h.now+h.cfg.ConfigPollInterval)
+			h.declaration.pollAt = min(h.declaration.pollAt, h.now+h.cfg.ConfigPollInterval)
 			return
 		}
 		h.fetchNewer(r.Objects)
@@ -76,42 +76,42 @@
 	tableFound := false
 	for _, o := range objects {
 		tableFound = tableFound || o.Key == SlotsPrefix+h.cfg.DataCentre
-		if o.Version <= h.declare.seen[o.Key] {
+		if o.Version <= h.declaration.seenVersions[o.Key] {
 			continue
 		}
-		h.do(PlatformOp{Kind: OpGet, Key: o.Key}, func(r *PlatformReply) {
+		h.submitOp(PlatformOp{Kind: OpGet, Key: o.Key}, func(r *PlatformReply) {
 			if r.Status == OpOK {
-				h.seeShared([]Object{{Key: o.Key, Version: r.Version, Body: r.Body}})
+				h.applyShared([]Object{{Key: o.Key, Version: r.Version, Body: r.Body}})
 			}
 		})
 	}
 	if !tableFound && h.ownTable() == nil {
 		h.createTable()
-		h.declare.pollAt = h.now + slotsEvery
+		h.declaration.pollAt = h.now + slotCheckInterval
 	}
 }
 
 func (h *Host) watchShared() {
-	h.declare.watching = true
-	h.do(PlatformOp{Kind: OpWatch, Key: SharedPrefix, IfVersion: h.declare.revision}, func(r *PlatformReply) {
-		h.declare.watching = false
+	h.declaration.watching = true
+	h.submitOp(PlatformOp{Kind: OpWatch, Key: SharedPrefix, IfVersion: h.declaration.watchRevision}, func(r *PlatformReply) {
+		h.declaration.watching = false
 		if r.Status != OpOK {
-			h.declare.watchAt = h.now + watchRetry
+			h.declaration.watchAt = h.now + watchRetryDelay
 			return
 		}
-		h.declare.revision = r.Revision
-		h.seeShared(r.Objects)
+		h.declaration.watchRevision = r.Revision
+		h.applyShared(r.Objects)
 	})
 }
 
-func (h *Host) seeShared(objects []Object) {
+func (h *Host) applyShared(objects []Object) {
 	for _, o := range objects {
-		h.declare.seen[o.Key] = max(h.declare.seen[o.Key], o.Version)
+		h.declaration.seenVersions[o.Key] = max(h.declaration.seenVersions[o.Key], o.Version)
 		switch {
 		case o.Key == ConfigKey:
 			h.acceptConfig(o.Body)
 		case strings.HasPrefix(o.Key, SlotsPrefix):
-			h.seeTable(o)
+			h.applyTable(o)
 		}
 	}
 }
@@ -120,43 +120,43 @@
 // and sound. One that this host cannot use leaves the present one in force.
 func (h *Host) acceptConfig(body []byte) {
 	var o ConfigObject
-	if json.Unmarshal(body, &o) != nil || o.Version <= h.declare.version || o.Version == h.declare.refused {
+	if json.Unmarshal(body, &o) != nil || o.Version <= h.declaration.version || o.Version == h.declaration.rejectedVersion {
 		return
 	}
 	set, err := decl.Parse("config", []byte(o.Text))
 	if err != nil {
-		h.declare.refused = o.Version
-		h.note(Note{Kind: NoteConfigRefused, Epoch: o.Version, Detail: err.Error()})
+		h.declaration.rejectedVersion = o.Version
+		h.addNote(Note{Kind: NoteConfigRefused, Epoch: o.Version, Detail: err.Error()})
 		return
 	}
-	h.declare.version, h.declare.set, h.declare.object = o.Version, set, body
+	h.declaration.version, h.declaration.set, h.declaration.objectBody = o.Version, set, body
 	h.ready.SaveConfig = body
-	h.note(Note{Kind: NoteConfigAccepted, Epoch: o.Version})
-	h.applySet(set)
+	h.addNote(Note{Kind: NoteConfigAccepted, Epoch: o.Version})
+	h.applyDeclaration(set)
 	for _, p := range h.members.list {
-		if h.local(p) && !p.gone && p.configVersion < o.Version {
+		if h.isLocal(p) && !p.gone && p.configVersion < o.Version {
 			h.sendHeartbeat(p) // tells it that there is a newer one
 		}
 	}
 }
 
-func (h *Host) applySet(set *decl.Set) {
+func (h *Host) applyDeclaration(set *decl.Set) {
 	for _, it := range h.sched.Apply(set) {
-		if p := h.programs[it.Program]; p != nil && p.active != nil && &p.active.item == it {
-			h.fail(p.active, failure.New(failure.UnknownService, "service %q is no longer declared", it.Service))
+		if p := h.programs[it.Program]; p != nil && p.activeCall != nil && &p.activeCall.item == it {
+			h.failCall(p.activeCall, failure.New(failure.UnknownService, "service %q is no longer declared", it.Service))
 		}
 	}
 }
 
-func (h *Host) configRequest(p *peer) {
-	if h.declare.object != nil {
+func (h *Host) handleConfigRequest(p *peer) {
+	if h.declaration.objectBody != nil {
 		h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_ConfigData{ConfigData: &peerpb.ConfigData{
-			Version: h.declare.version, Text: h.declare.object,
+			Version: h.declaration.version, Text: h.declaration.objectBody,
 		}}})
 	}
 }
 
-func mustJSON(v any) []byte {
+func mustEncodeJSON(v any) []byte {
 	b, _ := json.Marshal(v) // only structs of plain fields are passed
 	return b
 }
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -56,15 +56,15 @@
 }
 
 type slotTables struct {
-	tables  map[string]*slotTable // by data centre
-	mine    map[ident.Slot]*ownedSlot
-	writes  uint64 // for Writer
-	busy    bool   // an update of the own table is under way
-	checkAt time.Duration
-	claimAt time.Duration
-
-	recoveries []*recovery
-	nextSlot   int // where the next program is created
+	tables      map[string]*slotTable // by data centre
+	owned       map[ident.Slot]*ownedSlot
+	writeCount  uint64 // for Writer
+	updating    bool   // an update of the own table is under way
+	checkAt     time.Duration
+	fullClaimAt time.Duration
+
+	recoveries     []*recovery
+	nextCreateSlot int // where the next program is created
 }
 
 type slotState uint8
@@ -75,7 +75,7 @@
 	slotMoving // being handed over: takes no new calls
 )
 
-var slotStates = [...]string{"loading", "serving", "moving"}
+var slotStateNames = [...]string{"loading", "serving", "moving"}
 
 // ownedSlot is a slot of which this member is the owner.
 type ownedSlot struct {
@@ -83,37 +83,37 @@
 	epoch uint64
 	state slotState
 	// to is the member that gets the slot while it moves.
-	to string
+	newOwner string
 	// programs are those of the slot.
 	programs map[ident.Program]*program
 	// damaged says that records of the slot may be missing.
-	damaged bool
+	mayMissRecords bool
 	// busy counts its programs with a call under way.
-	busy int
+	activeCalls int
 	// lastLSN is the last record written for the slot.
 	lastLSN uint64
 	// carried is the lsn after which other streams are no longer needed;
 	// 0 until the slot was recovered, noLSN if they must be kept.
-	carried uint64
+	carriedLSN uint64
 }
 
-const noLSN = ^uint64(0)
+const neverLSN = ^uint64(0)
 
 // slotsEvery paces the look at what could be claimed or handed over.
-const slotsEvery = 200 * time.Millisecond
+const slotCheckInterval = 200 * time.Millisecond
 
 func (h *Host) tickSlots() {
 	h.tickRecoveries()
 	if h.now < h.slots.checkAt || !h.holdsLease() {
 		return
 	}
-	h.slots.checkAt = h.now + slotsEvery
+	h.slots.checkAt = h.now + slotCheckInterval
 	for _, dc := range sortedKeys(h.slots.tables) {
-		if h.slots.busy {
+		if h.slots.updating {
 			return
 		}
 		t := h.slots.tables[dc]
-		if !h.claimUnowned(t) && !h.handOver(t) {
+		if !h.claimUnownedSlots(t) && !h.handOverSlots(t) {
 			h.pruneStreams(t)
 		}
 	}
@@ -123,7 +123,7 @@
 
 // createTable makes the table of a new data centre.
 func (h *Host) createTable() {
-	if h.slots.busy || !h.holdsLease() {
+	if h.slots.updating || !h.holdsLease() {
 		return
 	}
 	t := &slotTable{SlotTable: SlotTable{DataCentre: h.cfg.DataCentre, Slots: make([]SlotEntry, h.cfg.Slots)}}
@@ -143,16 +143,16 @@
 }
 
 func (h *Host) writeTable(t *slotTable, done func(ok bool)) {
-	h.slots.writes++
-	t.Writer = h.self + "#" + strconv.FormatUint(h.slots.writes, 10)
-	body := mustJSON(t.SlotTable)
+	h.slots.writeCount++
+	t.Writer = h.self + "#" + strconv.FormatUint(h.slots.writeCount, 10)
+	body := mustEncodeJSON(t.SlotTable)
 	key := SlotsPrefix + t.DataCentre
-	h.slots.busy = true
-	h.put(key, t.version, body, func(s OpStatus, version uint64) {
-		h.slots.busy = false
+	h.slots.updating = true
+	h.putObject(key, t.version, body, func(s OpStatus, version uint64) {
+		h.slots.updating = false
 		if s == OpOK {
-			h.seeTable(Object{Key: key, Version: version, Body: body})
-			h.tellSlotsChanged(t.DataCentre, version)
+			h.applyTable(Object{Key: key, Version: version, Body: body})
+			h.notifySlotsChanged(t.DataCentre, version)
 		} else {
 			h.readTable(t.DataCentre)
 		}
@@ -162,9 +162,9 @@
 	})
 }
 
-func (h *Host) tellSlotsChanged(dc string, version uint64) {
+func (h *Host) notifySlotsChanged(dc string, version uint64) {
 	for _, p := range h.members.list {
-		if (h.local(p) || p.dataCentre == dc) && !p.gone {
+		if (h.isLocal(p) || p.dataCentre == dc) && !p.gone {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_SlotChanged{SlotChanged: &peerpb.SlotChanged{
 				DataCentre: dc, Version: version,
 			}}})
@@ -172,7 +172,7 @@
 	}
 }
 
-func (h *Host) slotChanged(m *peerpb.SlotChanged) {
+func (h *Host) handleSlotChanged(m *peerpb.SlotChanged) {
 	if t := h.slots.tables[m.DataCentre]; t == nil || t.version < m.Version {
 		h.readTable(m.DataCentre)
 	}
@@ -180,15 +180,15 @@
 
 func (h *Host) readTable(dc string) {
 	key := SlotsPrefix + dc
-	h.do(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
 		if r.Status == OpOK {
-			h.seeTable(Object{Key: key, Version: r.Version, Body: r.Body})
+			h.applyTable(Object{Key: key, Version: r.Version, Body: r.Body})
 		}
 	})
 }
 
 // seeTable takes in a table unless a newer version is known.
-func (h *Host) seeTable(o Object) {
+func (h *Host) applyTable(o Object) {
 	t := &slotTable{version: o.Version}
 	if json.Unmarshal(o.Body, &t.SlotTable) != nil || SlotsPrefix+t.DataCentre != o.Key {
 		return
@@ -197,39 +197,39 @@
 		return
 	}
 	h.slots.tables[t.DataCentre] = t
-	h.compareOwned(t)
+	h.updateOwned(t)
 }
 
 // compareOwned starts to recover slots that became this member's, and notices
 // when one was taken away, which only happens to a member whose lease was
 // revoked.
-func (h *Host) compareOwned(t *slotTable) {
+func (h *Host) updateOwned(t *slotTable) {
 	var gained []*ownedSlot
 	for i, e := range t.Slots {
 		slot := ident.Slot{DataCentre: t.DataCentre, Number: i}
-		own := h.slots.mine[slot]
+		own := h.slots.owned[slot]
 		switch {
 		case e.Owner == h.self && own == nil:
 			own = &ownedSlot{slot: slot, epoch: e.Epoch, programs: map[ident.Program]*program{}}
-			h.slots.mine[slot] = own
+			h.slots.owned[slot] = own
 			gained = append(gained, own)
-		case e.Owner != h.self && own != nil && own.state == slotMoving && own.busy == 0:
-			h.dropSlot(own) // the handover is in force
+		case e.Owner != h.self && own != nil && own.state == slotMoving && own.activeCalls == 0:
+			h.removeSlot(own) // the handover is in force
 		case e.Owner != h.self && own != nil, own != nil && own.epoch != e.Epoch:
-			h.lose("slot " + slot.String() + " has another owner")
+			h.markLost("slot " + slot.String() + " has another owner")
 			return
 		}
 	}
 	if len(gained) > 0 {
-		h.recover(t, gained)
+		h.recoverSlots(t, gained)
 	}
 }
 
 // dropSlot forgets a slot that was handed over.
-func (h *Host) dropSlot(own *ownedSlot) {
-	delete(h.slots.mine, own.slot)
+func (h *Host) removeSlot(own *ownedSlot) {
+	delete(h.slots.owned, own.slot)
 	for _, p := range own.programs {
-		h.forget(p)
+		h.removeProgram(p)
 	}
 }
 
@@ -238,11 +238,11 @@
 func (h *Host) pruneStreams(t *slotTable) {
 	prune := map[int]bool{}
 	for i, e := range t.Slots {
-		own := h.slots.mine[ident.Slot{DataCentre: t.DataCentre, Number: i}]
+		own := h.slots.owned[ident.Slot{DataCentre: t.DataCentre, Number: i}]
 		if own == nil || e.Owner != h.self || len(e.Streams) < 2 || own.state == slotLoading {
 			continue
 		}
-		if own.carried != noLSN && own.carried <= h.log.writer.DurableLSN() {
+		if own.carriedLSN != neverLSN && own.carriedLSN <= h.log.writer.DurableLSN() {
 			prune[i] = true
 		}
 	}
@@ -262,7 +262,7 @@
 func (h *Host) Owner(slot ident.Slot) (address string, self, found, known bool) {
 	t := h.slots.tables[slot.DataCentre]
 	if t == nil {
-		return "", false, false, len(h.slots.tables) == 0 || h.centreKnown(slot.DataCentre)
+		return "", false, false, len(h.slots.tables) == 0 || h.isDataCentreKnown(slot.DataCentre)
 	}
 	if slot.Number >= len(t.Slots) {
 		return "", false, false, false
@@ -278,7 +278,7 @@
 	return p.address, false, true, true
 }
 
-func (h *Host) centreKnown(dc string) bool {
+func (h *Host) isDataCentreKnown(dc string) bool {
 	for _, p := range h.members.list {
 		if p.dataCentre == dc {
 			return true
@@ -289,15 +289,15 @@
 
 // Healthy reports whether a balancer should send requests to this host.
 func (h *Host) Healthy() bool {
-	return !h.draining && !h.ready.Lost && h.lease.held && h.set() != nil
+	return !h.draining && !h.ready.Lost && h.lease.acquired && h.declared() != nil
 }
 
 // CreateAt returns the address of a peer that can create programs when this
 // host has no slot of its own; empty when there is none.
 func (h *Host) NewProgramAddress() string {
-	if h.draining || len(h.mineIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
+	if h.draining || len(h.ownedSlotsIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
 		for _, p := range h.members.list {
-			if h.local(p) && h.hears(p) && !p.draining && !p.suspended && p.slots > 0 {
+			if h.isLocal(p) && h.isHeard(p) && !p.draining && !p.suspended && p.slots > 0 {
 				return p.address
 			}
 		}
@@ -306,9 +306,9 @@
 }
 
 // mineIn returns this member's slots of a data centre, in order.
-func (h *Host) mineIn(dc string) []*ownedSlot {
+func (h *Host) ownedSlotsIn(dc string) []*ownedSlot {
 	var all []*ownedSlot
-	for _, own := range h.slots.mine {
+	for _, own := range h.slots.owned {
 		if own.slot.DataCentre == dc {
 			all = append(all, own)
 		}
@@ -318,8 +318,8 @@
 }
 
 // allMine returns all slots of this member, in order.
-func (h *Host) allMine() []*ownedSlot {
-	return slices.SortedFunc(maps.Values(h.slots.mine), func(a, b *ownedSlot) int {
+func (h *Host) ownedSlots() []*ownedSlot {
+	return slices.SortedFunc(maps.Values(h.slots.owned), func(a, b *ownedSlot) int {
 		return cmp.Or(cmp.Compare(a.slot.DataCentre, b.slot.DataCentre), a.slot.Number-b.slot.Number)
 	})
 }
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -23,11 +23,11 @@
 const Prefix = "journal/"
 
 // headerSize is the magic and the CRC-32C of what follows.
-const headerSize = 8
+const headerBytes = 8
 
 var (
-	magic      = [4]byte{'P', 'J', 'S', '1'}
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	segmentMagic    = [4]byte{'P', 'J', 'S', '1'}
+	castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // StreamPrefix is the key prefix of the segments of a stream.
@@ -48,96 +48,96 @@
 }
 
 // Encode gives the content of a segment object.
-func Encode(s *peerpb.Segment) ([]byte, error) {
-	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(make([]byte, headerSize), s)
+func Encode(segment *peerpb.Segment) ([]byte, error) {
+	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(make([]byte, headerBytes), segment)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "encode segment %d", s.Number)
+		return nil, failure.Wrap(err, failure.Internal, "encode segment %d", segment.Number)
 	}
-	copy(body, magic[:])
-	binary.BigEndian.PutUint32(body[4:], crc32.Checksum(body[headerSize:], castagnoli))
+	copy(body, segmentMagic[:])
+	binary.BigEndian.PutUint32(body[4:], crc32.Checksum(body[headerBytes:], castagnoliTable))
 	return body, nil
 }
 
 // Decode reads a segment object; a damaged one gives a failure of kind Corrupt.
 func Decode(body []byte) (*peerpb.Segment, error) {
-	if len(body) < headerSize || [4]byte(body[:4]) != magic {
+	if len(body) < headerBytes || [4]byte(body[:4]) != segmentMagic {
 		return nil, failure.New(failure.Corrupt, "not a journal segment")
 	}
-	if binary.BigEndian.Uint32(body[4:]) != crc32.Checksum(body[headerSize:], castagnoli) {
+	if binary.BigEndian.Uint32(body[4:]) != crc32.Checksum(body[headerBytes:], castagnoliTable) {
 		return nil, failure.New(failure.Corrupt, "checksum of a journal segment differs")
 	}
-	s := &peerpb.Segment{}
-	if err := proto.Unmarshal(body[headerSize:], s); err != nil {
+	segment := &peerpb.Segment{}
+	if err := proto.Unmarshal(body[headerBytes:], segment); err != nil {
 		return nil, failure.New(failure.Corrupt, "journal segment: %v", err)
 	}
-	return s, nil
+	return segment, nil
 }
 
 // Writer is the group-commit writer of one stream. At most one segment is
 // under way; records that come meanwhile wait for the next.
 type Writer struct {
-	stream  string
-	nonce   string
-	max     int
-	lsn     uint64 // last given out
-	durable uint64 // last in a segment at the platform
-	segment uint64 // last segment written
-	pending []*peerpb.Record
-	sizes   []int
-	bytes   int
-	flying  int // records of pending in the segment under way
-	total   int64
+	stream          string
+	nonce           string
+	maxSegmentBytes int
+	lastLSN         uint64 // last given out
+	durableLSN      uint64 // last in a segment at the platform
+	lastSegment     uint64 // last segment written
+	pending         []*peerpb.Record
+	pendingSizes    []int
+	pendingBytes    int
+	inFlight        int // records of pending in the segment under way
+	totalBytes      int64
 }
 
 // NewWriter returns the writer of an empty stream. nonce is unique to the
 // writer, maxBytes bounds a segment.
-func NewWriter(stream, nonce string, maxBytes int) *Writer {
-	return &Writer{stream: stream, nonce: nonce, max: maxBytes}
+func NewWriter(stream, nonce string, maxSegmentBytes int) *Writer {
+	return &Writer{stream: stream, nonce: nonce, maxSegmentBytes: maxSegmentBytes}
 }
 
 // recordOverhead covers the framing of a record in a segment.
-const recordOverhead = 16
+const recordOverheadBytes = 16
 
 // Append gives the record its lsn and keeps it until it is durable.
 func (w *Writer) Append(r *peerpb.Record) uint64 {
-	w.lsn++
-	r.Lsn = w.lsn
-	size := proto.Size(r) + recordOverhead
+	w.lastLSN++
+	r.Lsn = w.lastLSN
+	bytes := proto.Size(r) + recordOverheadBytes
 	w.pending = append(w.pending, r)
-	w.sizes = append(w.sizes, size)
-	w.bytes += size
-	return w.lsn
+	w.pendingSizes = append(w.pendingSizes, bytes)
+	w.pendingBytes += bytes
+	return w.lastLSN
 }
 
 // Last is the lsn given out last.
-func (w *Writer) LastLSN() uint64 { return w.lsn }
+func (w *Writer) LastLSN() uint64 { return w.lastLSN }
 
 // Durable is the last lsn that is in a segment at the platform.
-func (w *Writer) DurableLSN() uint64 { return w.durable }
+func (w *Writer) DurableLSN() uint64 { return w.durableLSN }
 
 // Segment is the number of the last segment written.
-func (w *Writer) LastSegment() uint64 { return w.segment }
+func (w *Writer) LastSegment() uint64 { return w.lastSegment }
 
 // Next is the number of the segment that the next record goes to, or a lower
 // bound of it.
-func (w *Writer) NextSegment() uint64 { return w.segment + 1 }
+func (w *Writer) NextSegment() uint64 { return w.lastSegment + 1 }
 
 // PendingBytes is the size of what is not yet at the platform.
-func (w *Writer) PendingBytes() int { return w.bytes }
+func (w *Writer) PendingBytes() int { return w.pendingBytes }
 
 // TotalBytes is the size of all that was written.
-func (w *Writer) TotalBytes() int64 { return w.total }
+func (w *Writer) TotalBytes() int64 { return w.totalBytes }
 
 // Since returns the records after lsn that are not yet at the platform, as many
 // as maxBytes hold and at least one if there is any.
 func (w *Writer) PendingAfter(lsn uint64, maxBytes int) []*peerpb.Record {
 	from := uint64(0)
-	if lsn > w.durable {
-		from = min(uint64(len(w.pending)), lsn-w.durable)
+	if lsn > w.durableLSN {
+		from = min(uint64(len(w.pending)), lsn-w.durableLSN)
 	}
-	size, to := 0, from
-	for to < uint64(len(w.pending)) && (to == from || size+w.sizes[to] <= maxBytes) {
-		size += w.sizes[to]
+	bytes, to := 0, from
+	for to < uint64(len(w.pending)) && (to == from || bytes+w.pendingSizes[to] <= maxBytes) {
+		bytes += w.pendingSizes[to]
 		to++
 	}
 	return w.pending[from:to]
@@ -146,37 +146,37 @@
 // Begin starts the next segment with as many records as fit. ok is false when
 // there is nothing to write or a segment is under way.
 func (w *Writer) BeginSegment() (number uint64, body []byte, ok bool) {
-	if w.flying > 0 || len(w.pending) == 0 {
+	if w.inFlight > 0 || len(w.pending) == 0 {
 		return 0, nil, false
 	}
-	size := 0
-	for w.flying < len(w.pending) && (w.flying == 0 || size+w.sizes[w.flying] <= w.max) {
-		size += w.sizes[w.flying]
-		w.flying++
+	bytes := 0
+	for w.inFlight < len(w.pending) && (w.inFlight == 0 || bytes+w.pendingSizes[w.inFlight] <= w.maxSegmentBytes) {
+		bytes += w.pendingSizes[w.inFlight]
+		w.inFlight++
 	}
 	body, err := Encode(&peerpb.Segment{
-		Stream: w.stream, Number: w.NextSegment(), Nonce: w.nonce, Records: w.pending[:w.flying],
+		Stream: w.stream, Number: w.NextSegment(), Nonce: w.nonce, Records: w.pending[:w.inFlight],
 	})
 	if err != nil {
-		w.flying = 0
+		w.inFlight = 0
 		return 0, nil, false
 	}
 	return w.NextSegment(), body, true
 }
 
 // Done ends the segment under way; written says whether it is at the platform.
-func (w *Writer) EndSegment(written bool, size int) {
+func (w *Writer) EndSegment(written bool, bodyBytes int) {
 	if !written {
-		w.flying = 0
+		w.inFlight = 0
 		return
 	}
-	for _, s := range w.sizes[:w.flying] {
-		w.bytes -= s
+	for _, s := range w.pendingSizes[:w.inFlight] {
+		w.pendingBytes -= s
 	}
-	w.durable = w.pending[w.flying-1].Lsn
-	w.pending = append([]*peerpb.Record(nil), w.pending[w.flying:]...)
-	w.sizes = append([]int(nil), w.sizes[w.flying:]...)
-	w.segment++
-	w.flying = 0
-	w.total += int64(size)
+	w.durableLSN = w.pending[w.inFlight-1].Lsn
+	w.pending = append([]*peerpb.Record(nil), w.pending[w.inFlight:]...)
+	w.pendingSizes = append([]int(nil), w.pendingSizes[w.inFlight:]...)
+	w.lastSegment++
+	w.inFlight = 0
+	w.totalBytes += int64(bodyBytes)
 }
--- a/core/journal/journal_test.go
+++ b/core/journal/journal_test.go
@@ -10,21 +10,21 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-func record(program string, bytes int) *peerpb.Record {
+func newRecord(program string, bytes int) *peerpb.Record {
 	return &peerpb.Record{Program: program, Body: &peerpb.Record_Accepted{Accepted: &peerpb.CallAccepted{Prompt: make([]byte, bytes)}}}
 }
 
-func TestWriterGroupsRecords(t *testing.T) {
+func TestWriterFillsOneSegmentAtATime(t *testing.T) {
 	w := NewWriter("s", "n", 4096)
 	for range 10 {
-		w.Append(record("p", 1000))
+		w.Append(newRecord("p", 1000))
 	}
 	number, body, ok := w.BeginSegment()
 	require.True(t, ok)
 	assert.EqualValues(t, 1, number)
-	seg, err := Decode(body)
+	segment, err := Decode(body)
 	require.NoError(t, err)
-	assert.Len(t, seg.Records, 3, "as many as fit")
+	assert.Len(t, segment.Records, 3, "as many as fit")
 	_, _, again := w.BeginSegment()
 	assert.False(t, again, "one segment at a time")
 	w.EndSegment(false, 0)
@@ -39,18 +39,18 @@
 	assert.EqualValues(t, 4, w.PendingAfter(0, 1<<20)[0].Lsn)
 }
 
-func TestWriterTakesARecordLargerThanASegment(t *testing.T) {
+func TestRecordLargerThanASegmentIsWrittenAlone(t *testing.T) {
 	w := NewWriter("s", "n", 1024)
-	w.Append(record("p", 5000))
+	w.Append(newRecord("p", 5000))
 	_, body, ok := w.BeginSegment()
 	require.True(t, ok)
-	seg, err := Decode(body)
+	segment, err := Decode(body)
 	require.NoError(t, err)
-	assert.Len(t, seg.Records, 1)
+	assert.Len(t, segment.Records, 1)
 }
 
-func TestDamageIsDetected(t *testing.T) {
-	body, err := Encode(&peerpb.Segment{Stream: "s", Number: 7, Records: []*peerpb.Record{record("p", 100)}})
+func TestDecodeRejectsDamagedAndTruncatedSegments(t *testing.T) {
+	body, err := Encode(&peerpb.Segment{Stream: "s", Number: 7, Records: []*peerpb.Record{newRecord("p", 100)}})
 	require.NoError(t, err)
 	for i := range body {
 		damaged := append([]byte(nil), body...)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestKeysSortAsNumbers(t *testing.T) {
+func TestSegmentKeysSortByNumber(t *testing.T) {
 	assert.Less(t, SegmentKey("s", 9), SegmentKey("s", 10))
 	n, err := SegmentNumber(SegmentKey("dc/h.1", 42))
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	body, _ := Encode(&peerpb.Segment{Stream: "s", Number: 1, Records: []*peerpb.Record{record("p", 10)}})
+	body, _ := Encode(&peerpb.Segment{Stream: "s", Number: 1, Records: []*peerpb.Record{newRecord("p", 10)}})
 	f.Add(body)
 	f.Add([]byte("PJS1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
