--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -1,9 +1,11 @@
-// Package journal holds the segments in which a member's records are kept.
+// Package journal encodes and decodes the segments that hold a member's records,
+// and groups the records of one member into segments.
 //
-// A stream is the journal of one member: records numbered by lsn from 1, in
-// segment objects numbered from 1. A segment is created once and never changed,
-// so whoever creates the next number first decides how the stream goes on. A new
-// owner ends a dead member's stream by creating the next segment as a seal.
+// A stream is the journal of one member. Its records are numbered by log sequence
+// number (LSN) from 1, its segment objects by segment number from 1. A segment is
+// created once and never changed, so only one writer can create a given number.
+// A new owner ends the stream of a dead member by creating the next segment as a
+// seal.
 package journal
 
 import (
@@ -22,7 +24,8 @@
 // Prefix is the key prefix of all journal objects.
 const Prefix = "journal/"
 
-// headerSize is the magic and the CRC-32C of what follows.
+// headerBytes is the size of the header: the magic and the CRC-32C of the
+// remaining bytes, big-endian, 4 bytes each.
 const headerBytes = 8
 
 var (
@@ -30,24 +33,27 @@
 	castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// StreamPrefix is the key prefix of the segments of a stream.
+// StreamPrefix returns the key prefix of the segments of a stream.
 func StreamPrefix(stream string) string { return Prefix + stream + "/" }
 
-// Key is the key of one segment. Keys sort as the numbers do.
+// SegmentKey returns the key of one segment. Keys of a stream sort by segment
+// number.
 func SegmentKey(stream string, number uint64) string {
 	return fmt.Sprintf("%s%012d", StreamPrefix(stream), number)
 }
 
-// Number returns the segment number in a key.
+// SegmentNumber returns the segment number in a key, or a failure of kind Corrupt
+// if the key ends in no number.
 func SegmentNumber(key string) (uint64, error) {
 	n, err := strconv.ParseUint(key[strings.LastIndexByte(key, '/')+1:], 10, 64)
 	if err != nil {
-		return 0, failure.New(failure.Corrupt, "segment key %q", key)
+		return 0, failure.New(failure.Corrupt, "journal segment key %q does not end in a number", key)
 	}
 	return n, nil
 }
 
-// Encode gives the content of a segment object.
+// Encode returns the body of a segment object: the header and the segment as a
+// protobuf message. The encoding is deterministic. It fails with kind Internal.
 func Encode(segment *peerpb.Segment) ([]byte, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(make([]byte, headerBytes), segment)
 	if err != nil {
@@ -58,47 +64,51 @@
 	return body, nil
 }
 
-// Decode reads a segment object; a damaged one gives a failure of kind Corrupt.
+// Decode parses the body of a segment object. A damaged or truncated body gives a
+// failure of kind Corrupt.
 func Decode(body []byte) (*peerpb.Segment, error) {
 	if len(body) < headerBytes || [4]byte(body[:4]) != segmentMagic {
-		return nil, failure.New(failure.Corrupt, "not a journal segment")
+		return nil, failure.New(failure.Corrupt, "journal segment has no valid header")
 	}
 	if binary.BigEndian.Uint32(body[4:]) != crc32.Checksum(body[headerBytes:], castagnoliTable) {
-		return nil, failure.New(failure.Corrupt, "checksum of a journal segment differs")
+		return nil, failure.New(failure.Corrupt, "journal segment checksum mismatch")
 	}
 	segment := &peerpb.Segment{}
 	if err := proto.Unmarshal(body[headerBytes:], segment); err != nil {
-		return nil, failure.New(failure.Corrupt, "journal segment: %v", err)
+		return nil, failure.New(failure.Corrupt, "decode journal segment: %v", err)
 	}
 	return segment, nil
 }
 
-// Writer is the group-commit writer of one stream. At most one segment is
-// under way; records that come meanwhile wait for the next.
+// Writer is the group-commit writer of one stream. At most one segment is being
+// written at a time; records appended meanwhile go into a later segment. Not safe
+// for concurrent use.
 type Writer struct {
 	stream          string
 	nonce           string
 	maxSegmentBytes int
-	lastLSN         uint64 // last given out
-	durableLSN      uint64 // last in a segment at the platform
-	lastSegment     uint64 // last segment written
+	lastLSN         uint64 // LSN assigned last
+	durableLSN      uint64 // last LSN in a segment stored at the platform
+	lastSegment     uint64 // number of the last segment written
 	pending         []*peerpb.Record
 	pendingSizes    []int
 	pendingBytes    int
-	inFlight        int // records of pending in the segment under way
+	inFlight        int // number of pending records in the segment being written
 	totalBytes      int64
 }
 
-// NewWriter returns the writer of an empty stream. nonce is unique to the
-// writer, maxBytes bounds a segment.
+// NewWriter returns the writer of an empty stream. nonce must be unique to the
+// writer. maxSegmentBytes bounds the records of a segment; a larger single record
+// gets a segment of its own.
 func NewWriter(stream, nonce string, maxSegmentBytes int) *Writer {
 	return &Writer{stream: stream, nonce: nonce, maxSegmentBytes: maxSegmentBytes}
 }
 
-// recordOverhead covers the framing of a record in a segment.
+// recordOverheadBytes covers the framing of a record in a segment.
 const recordOverheadBytes = 16
 
-// Append gives the record its lsn and keeps it until it is durable.
+// Append assigns the next LSN to the record, keeps the record until it is stored
+// at the platform, and returns the LSN.
 func (w *Writer) Append(r *peerpb.Record) uint64 {
 	w.lastLSN++
 	r.Lsn = w.lastLSN
@@ -109,27 +119,27 @@
 	return w.lastLSN
 }
 
-// Last is the lsn given out last.
+// LastLSN returns the LSN assigned last, 0 before the first.
 func (w *Writer) LastLSN() uint64 { return w.lastLSN }
 
-// Durable is the last lsn that is in a segment at the platform.
+// DurableLSN returns the last LSN in a segment stored at the platform.
 func (w *Writer) DurableLSN() uint64 { return w.durableLSN }
 
-// Segment is the number of the last segment written.
+// LastSegment returns the number of the last segment written, 0 before the first.
 func (w *Writer) LastSegment() uint64 { return w.lastSegment }
 
-// Next is the number of the segment that the next record goes to, or a lower
-// bound of it.
+// NextSegment returns the number of the next segment to write. It is a lower bound
+// of the segment number of the next record.
 func (w *Writer) NextSegment() uint64 { return w.lastSegment + 1 }
 
-// PendingBytes is the size of what is not yet at the platform.
+// PendingBytes returns the size of the records not yet stored at the platform.
 func (w *Writer) PendingBytes() int { return w.pendingBytes }
 
-// TotalBytes is the size of all that was written.
+// TotalBytes returns the size of all segments written.
 func (w *Writer) TotalBytes() int64 { return w.totalBytes }
 
-// Since returns the records after lsn that are not yet at the platform, as many
-// as maxBytes hold and at least one if there is any.
+// PendingAfter returns the records after lsn that are not yet stored at the
+// platform: as many as fit into maxBytes, and at least one if there is any.
 func (w *Writer) PendingAfter(lsn uint64, maxBytes int) []*peerpb.Record {
 	from := uint64(0)
 	if lsn > w.durableLSN {
@@ -143,8 +153,9 @@
 	return w.pending[from:to]
 }
 
-// Begin starts the next segment with as many records as fit. ok is false when
-// there is nothing to write or a segment is under way.
+// BeginSegment encodes the next segment with as many pending records as fit, at
+// least one, and returns its number and body. ok is false if no record is pending,
+// a segment is being written or the encoding fails. EndSegment must follow.
 func (w *Writer) BeginSegment() (number uint64, body []byte, ok bool) {
 	if w.inFlight > 0 || len(w.pending) == 0 {
 		return 0, nil, false
@@ -164,7 +175,9 @@
 	return w.NextSegment(), body, true
 }
 
-// Done ends the segment under way; written says whether it is at the platform.
+// EndSegment ends the write of the current segment. written reports whether it is
+// stored at the platform; if not, BeginSegment starts it again under its number.
+// bodyBytes is the size of its body.
 func (w *Writer) EndSegment(written bool, bodyBytes int) {
 	if !written {
 		w.inFlight = 0
--- a/core/journal/journal_test.go
+++ b/core/journal/journal_test.go
@@ -24,13 +24,13 @@
 	assert.EqualValues(t, 1, number)
 	segment, err := Decode(body)
 	require.NoError(t, err)
-	assert.Len(t, segment.Records, 3, "as many as fit")
+	assert.Len(t, segment.Records, 3, "as many records as fit into a segment")
 	_, _, again := w.BeginSegment()
-	assert.False(t, again, "one segment at a time")
+	assert.False(t, again, "a second segment starts while one is being written")
 	w.EndSegment(false, 0)
 	assert.Zero(t, w.DurableLSN())
 	number, body, _ = w.BeginSegment()
-	assert.EqualValues(t, 1, number, "the same number until it is written")
+	assert.EqualValues(t, 1, number, "a failed write keeps the segment number")
 	w.EndSegment(true, len(body))
 	assert.EqualValues(t, 3, w.DurableLSN())
 	assert.Len(t, w.PendingAfter(0, 1<<20), 7)
@@ -56,9 +56,9 @@
 		damaged := append([]byte(nil), body...)
 		damaged[i] ^= 0x40
 		_, err := Decode(damaged)
-		assert.True(t, failure.Is(err, failure.Corrupt), "byte %d", i)
+		assert.True(t, failure.Is(err, failure.Corrupt), "byte %d damaged", i)
 		_, err = Decode(body[:i])
-		assert.True(t, failure.Is(err, failure.Corrupt), "cut at %d", i)
+		assert.True(t, failure.Is(err, failure.Corrupt), "truncated to %d bytes", i)
 	}
 }
 
@@ -77,7 +77,7 @@
 	f.Add([]byte("PJS1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Decode(b); err == nil && s == nil {
-			t.Fatal("neither a segment nor an error")
+			t.Fatal("Decode returned neither a segment nor an error")
 		}
 	})
 }
