--- a/core/host/admission.go
+++ b/core/host/admission.go
@@ -9,7 +9,8 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// admit decides whether the call may run, and reserves its budget.
+// admitCall applies rules and limits to a call whose turn has come and reserves its
+// budget. It returns the failure if the call may not run.
 func (h *Host) admitCall(c *call) *failure.Failure {
 	if rejection := h.applyRules(c); rejection != nil {
 		return rejection
@@ -28,11 +29,12 @@
 	return h.reserveBudget(c)
 }
 
-// decide applies the first rule that matches and the call's deadlines.
+// applyRules applies the first rule that matches, the default directives if none
+// does, and the deadlines of the program and the rule.
 func (h *Host) applyRules(c *call) *failure.Failure {
 	set, p, accepted := h.declared(), c.program, c.accepted
 	if set == nil {
-		return failure.Retry(failure.PlatformUnavailable, suspendedRetryDelay, "no declaration is known yet")
+		return failure.Retry(failure.PlatformUnavailable, suspendedRetryDelay, "this host has not read a declaration yet")
 	}
 	if accepted.Service == "" {
 		accepted.Service = p.service
@@ -72,47 +74,51 @@
 	return a
 }
 
-// guardLoops ends programs that run without end.
+// checkProgramLimits ends programs that loop or exceed the turn limit, and rejects
+// calls whose history is too long.
 func (h *Host) checkProgramLimits(c *call, svc *decl.Service) *failure.Failure {
 	p := c.program
 	switch {
 	case svc.RepeatLimit > 0 && p.repeatsBody(c.accepted.BodyHash, svc.RepeatLimit):
 		h.endProgram(p, string(failure.LoopDetected))
-		return failure.New(failure.LoopDetected, "the same call came more than %d times in a row", svc.RepeatLimit)
+		return failure.New(failure.LoopDetected, "the same call was submitted more than %d times in a row", svc.RepeatLimit)
 	case len(p.turns) >= svc.TurnLimit:
 		h.endProgram(p, string(failure.TurnLimit))
-		return failure.New(failure.TurnLimit, "a program has at most %d calls", svc.TurnLimit)
+		return failure.New(failure.TurnLimit, "the program has reached the limit of %d calls", svc.TurnLimit)
 	case svc.Kind == decl.Engine && p.historyTokens+c.accepted.PromptTokens > svc.HistoryTokens:
 		return failure.New(failure.HistoryTooLong, "history and prompt exceed %d tokens", svc.HistoryTokens)
 	}
 	return nil
 }
 
-// guardLoad refuses at once what would not be served in time.
+// checkLoad rejects calls over a rate limit, and calls that could not be served
+// within their deadline.
 func (h *Host) checkLoad(c *call, svc *decl.Service) *failure.Failure {
 	caller := c.program.caller
 	if declaredCaller := h.declared().Callers[caller]; declaredCaller != nil && !h.allowRate(rateLimiterKey{caller: caller}, declaredCaller.CallsPerSecond) {
-		return failure.Retry(failure.RateLimited, callInterval(declaredCaller.CallsPerSecond), "caller %s is over its rate", caller)
+		return failure.Retry(failure.RateLimited, callInterval(declaredCaller.CallsPerSecond), "caller %s exceeds its rate limit", caller)
 	}
 	if !h.allowRate(rateLimiterKey{caller: caller, rule: c.directives.Rule}, c.directives.CallsPerSecond) {
-		return failure.Retry(failure.RateLimited, callInterval(c.directives.CallsPerSecond), "rule %q limits the rate", c.directives.Rule)
+		return failure.Retry(failure.RateLimited, callInterval(c.directives.CallsPerSecond), "rule %q: rate limit exceeded", c.directives.Rule)
 	}
 	if !h.sched.Usable(h.now, svc.Name) {
-		return failure.Retry(failure.NoTarget, noTargetRetryDelay, "no target of %s takes work", svc.Name)
+		return failure.Retry(failure.NoTarget, noTargetRetryDelay, "no target of %s is available", svc.Name)
 	}
 	expectedWait := h.sched.ExpectedWait(svc.Name)
 	if h.sched.Waiting(svc.Name) >= svc.QueueLimit {
 		return failure.Retry(failure.Overloaded, max(overloadedRetryDelay, expectedWait), "the queue of %s is full", svc.Name)
 	}
 	if c.deadline > 0 && h.now+expectedWait >= c.deadline {
-		return failure.Retry(failure.DeadlineExceeded, max(overloadedRetryDelay, expectedWait), "the queue is longer than the deadline")
+		return failure.Retry(failure.DeadlineExceeded, max(overloadedRetryDelay, expectedWait), "the expected queue wait exceeds the deadline")
 	}
 	return nil
 }
 
 type rateLimiterKey struct{ caller, rule string }
 
-// allow takes one call from a token bucket that holds one second's worth.
+// allowRate takes a token for one call from the limiter of key, whose burst is the
+// calls of one second, at least one. It allows any rate if callsPerSecond is not
+// positive.
 func (h *Host) allowRate(key rateLimiterKey, callsPerSecond float64) bool {
 	if callsPerSecond <= 0 {
 		return true
@@ -133,12 +139,13 @@
 	return time.Duration(float64(time.Second) / callsPerSecond)
 }
 
-// takeBudget clips the output to what the budget leaves and reserves it.
+// reserveBudget limits the call's output tokens to the remaining budget and reserves
+// the tokens of one attempt.
 func (h *Host) reserveBudget(c *call) *failure.Failure {
 	accepted := c.accepted
 	accepted.MaxTokens = min(accepted.MaxTokens, h.remainingBudget(c.program)-accepted.PromptTokens)
 	if accepted.MaxTokens < 1 {
-		return failure.New(failure.BudgetExhausted, "%d tokens are left, the prompt may take %d", h.remainingBudget(c.program), accepted.PromptTokens)
+		return failure.New(failure.BudgetExhausted, "%d tokens remain in the budget, the prompt may use %d", h.remainingBudget(c.program), accepted.PromptTokens)
 	}
 	c.reservedTokens = c.attemptTokens()
 	h.reserveTokens(c.program, c.reservedTokens)
--- a/core/host/cache.go
+++ b/core/host/cache.go
@@ -7,13 +7,13 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// pausePrior is the expected tool pause of a program before it has made one.
+// initialPause is the expected tool pause of a program before its first one.
 const initialPause = 2 * time.Second
 
-// pauseWeight is the share of a new pause in the moving average of a program.
+// pauseWeight is the weight of a new pause in the moving average of a program.
 const pauseWeight = 0.5
 
-// notePause learns from the pause before a call.
+// recordPause adds the pause before a call to the moving average.
 func (p *program) recordPause(pause time.Duration) {
 	if p.meanPause == 0 {
 		p.meanPause = initialPause
@@ -21,8 +21,8 @@
 	p.meanPause += time.Duration(pauseWeight * float64(pause-p.meanPause))
 }
 
-// idleLeft predicts how long a paused program stays idle: what is left of its
-// mean pause or, once that is over, as long again as it has lasted.
+// expectedIdle predicts how much longer a paused program stays idle: the rest of
+// its mean pause or, after that, as long as it has been idle so far.
 func (p *program) expectedIdle(now time.Duration) time.Duration {
 	mean := p.meanPause
 	if mean == 0 {
@@ -35,10 +35,10 @@
 	return idle
 }
 
-// makeRoom drops the cache of paused programs at a target until add more tokens
-// fit into this host's share of its memory. Left to itself an engine evicts the
-// least recently used, which under pressure are just those that come back next;
-// here those go first that will be idle the longest.
+// dropIdleCaches drops the cache of paused programs at a target until addTokens
+// more tokens fit into this host's share of the target's memory. It drops those
+// first that are expected to stay idle longest. By itself an engine evicts the
+// least recently used, which under pressure are the ones that are needed next.
 func (h *Host) dropIdleCaches(t *sched.Target, addTokens int64) {
 	overflowTokens := t.Overflow(addTokens)
 	for overflowTokens > 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// longestIdle finds the paused program whose cache at the target will be of no
-// use for the longest.
+// longestIdle returns the paused program with cache at the target that is
+// expected to stay idle longest, nil if there is none.
 func (h *Host) longestIdle(target string) *program {
 	var longest *program
 	for p := range h.cachedPrograms[target] {
@@ -66,6 +66,8 @@
 	return longest
 }
 
+// cachedTokens returns the estimated tokens of the program in the target's
+// cache.
 func (p *program) cachedTokens(target string) int64 {
 	for _, cache := range p.cacheTargets {
 		if cache.target == target {
@@ -75,9 +77,9 @@
 	return 0
 }
 
-// dropCache orders the target to drop a program's cache and returns the tokens
-// freed. The target stays a holder, so that the end of the program releases it
-// once more.
+// dropCache orders the target to drop a program's cache and returns the
+// estimated tokens freed. The target stays among the program's cache targets, so
+// that the end of the program releases its cache once more.
 func (h *Host) dropCache(p *program, t *sched.Target) int64 {
 	for i := range p.cacheTargets {
 		if cache := &p.cacheTargets[i]; cache.target == t.Decl.Name {
@@ -90,8 +92,8 @@
 	return 0
 }
 
-// setHeld changes the estimate of a program's cache at a target, and the index
-// of who holds what.
+// setCachedTokens updates the estimate of a program's cache at a target, and the
+// index of programs by target.
 func (h *Host) setCachedTokens(p *program, cache *cacheTarget, tokens int64) {
 	h.sched.Hold(cache.target, tokens-cache.tokens)
 	cache.tokens = tokens
@@ -105,11 +107,12 @@
 	h.cachedPrograms[cache.target][p] = struct{}{}
 }
 
-// reportLag is how old a target's list of what it keeps may be.
+// maxReportAge is how old a target's list of cached programs may be.
 const maxReportAge = time.Second
 
-// forgetEvicted takes off the estimate what a target does not keep any more. A
-// program that was there within reportLag may be too new for the list.
+// applyCacheReport clears the estimates of programs that a target does not
+// report any more. A program used within maxReportAge may be too new for the
+// report.
 func (h *Host) applyCacheReport(ev *TargetReport) {
 	reported := make(map[ident.Program]bool, len(ev.CachedPrograms))
 	for _, id := range ev.CachedPrograms {
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -1,7 +1,7 @@
 package host
 
 import (
-	_ "embed" // for the state chart
+	_ "embed" // for call.chart
 	"encoding/binary"
 	"time"
 
@@ -37,14 +37,14 @@
 
 // Limits on calls.
 const (
-	maxPendingCalls      = 8 // pipelined calls of one program
+	maxPendingCalls      = 8 // waiting calls of one program behind the active one
 	overloadedRetryDelay = 500 * time.Millisecond
 	movingRetryDelay     = 50 * time.Millisecond
 	noTargetRetryDelay   = time.Second
 	suspendedRetryDelay  = 2 * time.Second
 )
 
-// flight is a call that has no lasting outcome yet.
+// call is a call without a final outcome.
 type call struct {
 	program    *program
 	accepted   *peerpb.CallAccepted
@@ -55,13 +55,13 @@
 	directives decl.Then
 	item       sched.Item
 
-	lastAttempt  uint32 // number of the last attempt, from 1
-	lostAttempts int    // attempts that may have run without an answer
+	lastAttempt  uint32 // number of the last attempt, from 1; 0 before the first
+	lostAttempts int    // attempts that ended without an answer and may have run
 	target       string
 	sentAt       time.Duration
-	timeoutAt    time.Duration // end of the attempt
-	// reserved is what is kept of the budget for this call: one attempt and
-	// every lost one.
+	timeoutAt    time.Duration // when the attempt times out
+	// reservedTokens is the part of the budget reserved for this call: the tokens
+	// of one attempt and of every lost attempt.
 	reservedTokens int64
 
 	finished *peerpb.CallFinished
@@ -72,19 +72,21 @@
 	return &call{program: p, accepted: accepted, state: callChart.Initial(), arrivedAt: now}
 }
 
-// attemptTokens is the most that one attempt can use.
+// attemptTokens returns the maximum number of tokens that one attempt can use.
 func (c *call) attemptTokens() int64 { return c.accepted.PromptTokens + c.accepted.MaxTokens }
 
-// fire moves the call along its chart; a step that the chart does not have is
-// a fault in this package.
+// transition changes the state of the call by an event of the chart. It panics on
+// an event that the chart does not allow, which is a bug in this package.
 func (c *call) transition(ev chart.Event) {
 	next, ok := callChart.Next(c.state, ev)
 	if !ok {
-		panic(failure.New(failure.Internal, "call in state %s cannot take event %d", callChart.StateName(c.state), ev))
+		panic(failure.New(failure.Internal, "call in state %s does not allow event %d", callChart.StateName(c.state), ev))
 	}
 	c.state = next
 }
 
+// bodyHash returns a hash of everything that makes two submissions the same
+// call: prompt, service, output limit and idempotence.
 func bodyHash(ev *SubmitCall) uint64 {
 	b := make([]byte, 0, len(ev.Prompt)+len(ev.Service)+16)
 	b = append(b, ev.Prompt...)
@@ -97,8 +99,8 @@
 	return ident.Hash(b)
 }
 
-// access finds a program for its caller. Another caller is told what it would
-// be told of a program that does not exist.
+// access returns a program to its caller. Another caller gets the same failure
+// as for a program that does not exist.
 func (h *Host) access(id ident.Program, caller string) (*program, *failure.Failure) {
 	slot, err := id.Slot()
 	if err != nil {
@@ -107,21 +109,21 @@
 	own := h.slots.owned[slot]
 	switch {
 	case own == nil:
-		return nil, failure.Retry(failure.NotOwner, movingRetryDelay, "slot %s is not owned here", slot)
+		return nil, failure.Retry(failure.NotOwner, movingRetryDelay, "slot %s is not owned by this host", slot)
 	case own.state == slotLoading:
 		return nil, failure.Retry(failure.Moving, movingRetryDelay, "slot %s is being recovered", slot)
 	case !h.mayServe():
-		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host cannot tell whether it still owns the program")
+		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host cannot confirm that it still owns the program")
 	}
 	p := h.programs[id]
 	if p == nil && own.mayMissRecords {
-		return nil, failure.Unknown(failure.Corrupt, "part of the journal that may have held the program is damaged")
+		return nil, failure.Unknown(failure.Corrupt, "journal records that may belong to the program are damaged")
 	}
 	if p == nil || p.caller != caller {
 		return nil, failure.New(failure.UnknownProgram, "no program %s", id)
 	}
 	if p.corrupt {
-		return nil, failure.Unknown(failure.Corrupt, "part of the program's journal is damaged")
+		return nil, failure.Unknown(failure.Corrupt, "journal records of the program are damaged")
 	}
 	return p, nil
 }
@@ -149,7 +151,8 @@
 	h.startCall(c)
 }
 
-// knownCall is a call of a program by its sequence: a turn or a flight.
+// knownCall is a call that was submitted before: finished if it is one of the
+// turns, else unfinished. The zero value stands for an unknown call.
 type knownCall struct {
 	accepted   *peerpb.CallAccepted
 	finished   *turn
@@ -173,12 +176,12 @@
 	return knownCall{}
 }
 
-// repeat answers a call that was submitted before: the same body is the same
-// call and is not executed again.
+// answerRepeat answers a call that was submitted before. The same body is the
+// same call and is not executed again.
 func (h *Host) answerRepeat(ev *SubmitCall, p *program, known knownCall, hash uint64) {
 	switch {
 	case known.accepted.BodyHash != hash:
-		h.reject(ev.Waiter, failure.New(failure.BodyChanged, "call %d was submitted with another body", ev.Sequence))
+		h.reject(ev.Waiter, failure.New(failure.BodyChanged, "call %d was already submitted with a different body", ev.Sequence))
 	case known.finished != nil:
 		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: ev.Waiter, Outcome: known.finished.outcome(p.id)})
 	default:
@@ -186,20 +189,21 @@
 	}
 }
 
-// accept checks what can be checked before the call's turn comes.
+// acceptCall makes the checks that need not wait for the call's turn and returns
+// the call, or the failure with which to reject it.
 func (h *Host) acceptCall(ev *SubmitCall, p *program, hash uint64) (*call, *failure.Failure) {
 	next := p.nextSequence()
 	switch {
 	case p.ended:
 		return nil, failure.New(failure.ProgramEnded, "program has ended: %s", p.endReason)
 	case ev.Sequence != next:
-		return nil, failure.New(failure.SequenceGap, "the next call is %d, not %d", next, ev.Sequence)
+		return nil, failure.New(failure.SequenceGap, "the next call of the program is %d, got %d", next, ev.Sequence)
 	case p.slot.state == slotMoving:
-		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the program moves to another host")
+		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the program is moving to another host")
 	case len(p.pendingCalls) >= maxPendingCalls:
-		return nil, failure.Retry(failure.Overloaded, overloadedRetryDelay, "more than %d calls of the program wait", maxPendingCalls)
+		return nil, failure.Retry(failure.Overloaded, overloadedRetryDelay, "the program already has %d waiting calls", maxPendingCalls)
 	case h.log.writer.PendingBytes() > h.cfg.MaxTailBytes:
-		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "the journal waits for the platform")
+		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "too much of the journal is waiting to be written to the platform")
 	}
 	c := newCall(p, &peerpb.CallAccepted{
 		Sequence: ev.Sequence, Service: ev.Service, BodyHash: hash, Idempotent: ev.Idempotent,
@@ -212,7 +216,8 @@
 	return c, nil
 }
 
-// begin takes a call whose turn has come: rules, limits, budget, queue.
+// startCall makes a call the active one of its program: it applies rules, limits
+// and budget, records the call and queues it.
 func (h *Host) startCall(c *call) {
 	p := c.program
 	p.activeCall = c
@@ -235,7 +240,8 @@
 	h.enqueueCall(c, false)
 }
 
-// enqueue hands the call to the scheduler.
+// enqueueCall passes the call to the scheduler, and fails it if the queue is
+// full. retry says that the call was queued before.
 func (h *Host) enqueueCall(c *call, retry bool) {
 	p := c.program
 	cacheTargetName, cachedTokens := p.largestCache()
@@ -250,7 +256,7 @@
 		Arrived: c.arrivedAt, Begun: p.startedAt, NotBefore: c.item.NotBefore, Holder: cacheTargetName, HolderTokens: cachedTokens, LastTarget: p.lastTarget(), AvoidTarget: c.item.AvoidTarget,
 	}
 	if !h.sched.Enqueue(&c.item, retry) {
-		h.failCall(c, failure.Retry(failure.Overloaded, overloadedRetryDelay, "no room in the queue of %s", c.accepted.Service))
+		h.failCall(c, failure.Retry(failure.Overloaded, overloadedRetryDelay, "the queue of %s is full", c.accepted.Service))
 		return
 	}
 	if budget := h.sched.RetryBudget(c.accepted.Service); budget != nil && !retry {
@@ -258,6 +264,7 @@
 	}
 }
 
+// lastTarget returns the target of the last turn, empty before the first.
 func (p *program) lastTarget() string {
 	if n := len(p.turns); n > 0 {
 		return p.turns[n-1].target
@@ -265,6 +272,8 @@
 	return ""
 }
 
+// largestCache returns the target with the largest estimated cache of the
+// program, and its tokens.
 func (p *program) largestCache() (string, int64) {
 	var largest cacheTarget
 	for _, cache := range p.cacheTargets {
@@ -275,7 +284,7 @@
 	return largest.target, largest.tokens
 }
 
-// dispatch sends what the scheduler can place.
+// dispatch starts an attempt for each queued call that the scheduler can place.
 func (h *Host) dispatch() {
 	if !h.mayServe() {
 		return
@@ -294,8 +303,9 @@
 	}
 }
 
-// launch begins an attempt: the intent first, which also tells a new owner
-// which targets may hold cache of the program.
+// startAttempt begins an attempt at a target. It records the intent first, which
+// also tells a new owner which targets may hold cache of the program. A call
+// that is not idempotent is sent only when the intent is durable.
 func (h *Host) startAttempt(c *call, target *sched.Target) {
 	c.lastAttempt++
 	c.target = target.Decl.Name
@@ -317,7 +327,9 @@
 	})
 }
 
-// intentDurable sends a non-idempotent call unless something changed meanwhile.
+// sendAfterIntent sends a non-idempotent call whose intent is durable. If the
+// target, the service or the right to serve was lost meanwhile, it queues the
+// call again.
 func (h *Host) sendAfterIntent(c *call) {
 	target, ok := h.sched.Target(c.target)
 	if !ok || target.Decl.Leaving || h.declared().Services[c.accepted.Service] == nil || !h.mayServe() {
@@ -330,8 +342,11 @@
 	h.sendAttempt(c, target)
 }
 
+// withdrawAttempt takes back the scheduler's placement of the call.
 func (h *Host) withdrawAttempt(c *call) { h.sched.Withdraw(c.target) }
 
+// sendAttempt adds the attempt to the effects of this Step. If the policy evicts
+// caches, it first drops idle caches for which the target has no memory left.
 func (h *Host) sendAttempt(c *call, target *sched.Target) {
 	svc := h.declared().Services[c.accepted.Service]
 	if svc.Kind == decl.Engine && h.sched.EvictsCache() {
@@ -350,6 +365,7 @@
 	h.ready.Sends = append(h.ready.Sends, send)
 }
 
+// id identifies the last attempt of the call.
 func (c *call) id() CallID {
 	return CallID{Program: c.program.id, Sequence: c.accepted.Sequence, Attempt: c.lastAttempt}
 }
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -6,7 +6,8 @@
 	"github.com/pistachioarch/pistachioarch/core/journal"
 )
 
-// aliveLocal counts the members of the data centre that may own slots.
+// countLocalMembers counts the members of the data centre that may own slots,
+// this one included.
 func (h *Host) countLocalMembers() int {
 	n := 0
 	if !h.draining {
@@ -20,12 +21,13 @@
 	return n
 }
 
-// settleFor is how long a new member waits before it claims more than its
-// share of unowned slots, so that members that start together share them.
+// fairShareWindow is how long a new member claims no more than its fair share of
+// the unowned slots, so that members that start together share them.
 const fairShareWindow = 3 * time.Second
 
-// claimUnowned claims slots without an owner: those of the own data centre, up
-// to a fair share at first, and those of another that has no member left.
+// claimUnownedSlots claims slots without an owner: those of its own data centre,
+// at first up to a fair share, and those of another data centre that has no live
+// member. It reports whether it started an update of the table.
 func (h *Host) claimUnownedSlots(t *slotTable) bool {
 	if h.draining {
 		return false
@@ -39,6 +41,8 @@
 	return h.claimSlots(t, maxClaims, func(e *SlotEntry) bool { return e.Owner == "" })
 }
 
+// maxUnownedClaims returns how many unowned slots of its own data centre this
+// member may claim now.
 func (h *Host) maxUnownedClaims(t *slotTable) int {
 	if h.slots.fullClaimAt == 0 {
 		h.slots.fullClaimAt = h.now + fairShareWindow
@@ -50,8 +54,9 @@
 	return (len(t.Slots)+members-1)/members - len(h.ownedSlotsIn(t.DataCentre))
 }
 
-// centreDead reports whether every member of another data centre is revoked.
-// That takes the data centre's lease, which those who revoked them waited out.
+// isDataCentreDead reports whether every member of another data centre has been
+// revoked for at least dataCentreDeadTimeout. Whoever revoked them has waited
+// for the lease of the data centre to lapse.
 func (h *Host) isDataCentreDead(dc string) bool {
 	found := false
 	for _, p := range h.members.list {
@@ -66,17 +71,19 @@
 	return found
 }
 
-// centreDeadFor is how long all members of a data centre must have been revoked
-// before others claim its slots: a restarted host takes its own back sooner.
+// dataCentreDeadTimeout is how long all members of a data centre must have been
+// revoked before other data centres claim its slots. A host that restarts takes
+// its own slots back sooner.
 const dataCentreDeadTimeout = 30 * time.Second
 
-// removeAfter is how long what a revoked member left at the platform stays at
-// least. By then every slot table that could still name its stream is known.
+// minRemovalDelay is the minimum time for which the objects of a revoked member
+// stay at the platform. By then every slot table that could still name its
+// stream is known.
 const minRemovalDelay = time.Minute
 
-// claimDead claims the slots of a member whose lease is revoked. Its own data
-// centre does it, or any other once that one is dead. Every peer tries; the
-// conditional update lets one win.
+// claimSlotsOf claims the slots of a member whose lease is revoked. Members of
+// its own data centre do so, and those of others once that data centre is dead.
+// Every peer tries; the conditional update lets only one succeed.
 func (h *Host) claimSlotsOf(p *peer) {
 	if !h.holdsLease() || h.draining || h.slots.updating || h.now < p.leaseCheckAt || h.ownTable() == nil {
 		return
@@ -98,6 +105,8 @@
 	}
 }
 
+// claimSlots claims up to maxClaims matching slots of a table under their next
+// epoch. It reports whether it started the update.
 func (h *Host) claimSlots(t *slotTable, maxClaims int, matches func(*SlotEntry) bool) bool {
 	found := false
 	for i := range t.Slots {
@@ -114,7 +123,7 @@
 			}
 			maxClaims--
 			if e.Owner != "" {
-				e.Streams[e.Owner] = 0 // to be read to its end, and sealed
+				e.Streams[e.Owner] = 0 // to be read to its end and sealed
 			}
 			e.assign(h.self)
 		}
@@ -122,6 +131,7 @@
 	return true
 }
 
+// ownsSlots reports whether a known table names the peer as the owner of a slot.
 func (h *Host) ownsSlots(p *peer) bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
@@ -133,7 +143,8 @@
 	return false
 }
 
-// streamNeeded reports whether a slot needs the stream.
+// isStreamNeeded reports whether a slot of any known table still needs the
+// stream.
 func (h *Host) isStreamNeeded(stream string) bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
@@ -145,9 +156,9 @@
 	return false
 }
 
-// removeMember deletes what a dead member left at the platform, once nobody
-// needs it. Its lease goes last, so that the work is found again if this
-// member dies meanwhile.
+// removeMember deletes the objects of a dead member at the platform once no slot
+// needs its stream. It deletes the lease last, so that other members find and
+// finish the removal if this member dies before its end.
 func (h *Host) removeMember(p *peer) {
 	h.submitOp(PlatformOp{Kind: OpListKeys, Key: journal.StreamPrefix(p.name)}, func(r *PlatformReply) {
 		if r.Status != OpOK {
--- a/core/host/config.go
+++ b/core/host/config.go
@@ -6,54 +6,60 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Config is what a Host is told when it starts. Durations that are zero take
-// the value of DefaultConfig.
+// Config configures a Host. Zero durations, Slots and Max... fields take the
+// values of DefaultConfig.
 type Config struct {
-	// Host, DataCentre and Address say who and where the host is; Address is
-	// where peers reach it.
+	// Host and DataCentre name the host and its place; peers reach it at
+	// Address.
 	Host, DataCentre, Address string
-	// Incarnation is unique to this start of the host.
+	// Incarnation is unique to each start of the host.
 	Incarnation string
-	// Slots is the number of slots of a data centre when its table is made.
+	// Slots is the number of slots (1 to 4096) of a data centre, used when its
+	// slot table is created.
 	Slots int
-	// Policy names the scheduling policy.
+	// Policy is the name of the scheduling policy.
 	Policy string
-	// Seed starts the random source (jitter, program ids).
+	// Seed seeds the random source, used for jitter and program ids.
 	Seed uint64
-	// HasDisk says that the host keeps a data folder.
+	// HasDisk reports whether the host keeps a data directory.
 	HasDisk bool
 
-	// LeaseDuration is how long a lease holds after its renewal was sent;
-	// RenewEvery is how often it is renewed. ClockMargin covers the drift
-	// between the clocks of two hosts over one lease.
+	// LeaseDuration is how long a lease is valid from the time its renewal was
+	// sent; RenewInterval is the time between renewals. ClockMargin covers the
+	// drift between the clocks of two hosts during one lease.
 	LeaseDuration, RenewInterval, ClockMargin time.Duration
-	// DataCentreLease is how long a data centre that is cut off from the
-	// platform serves on, and other data centres wait.
+	// DataCentreLeaseDuration is how long a data centre that cannot reach the
+	// platform continues to serve, and how long other data centres wait before
+	// they take over.
 	DataCentreLeaseDuration time.Duration
-	// HeartbeatEvery and SuspectAfter pace the failure detector; PromiseFor is
-	// how long a host out of the platform's reach promises no takeover.
+	// HeartbeatInterval and SuspectTimeout control the failure detector.
+	// PromiseDuration is how long a host that cannot reach the platform promises
+	// not to take over slots of the peer.
 	HeartbeatInterval, SuspectTimeout, PromiseDuration time.Duration
-	// FlushEvery is the least time between two journal segments; with it the
-	// platform writes per second are bounded whatever the load.
+	// FlushInterval is the minimum time between two journal segments. It bounds
+	// the platform writes per second under any load.
 	FlushInterval time.Duration
-	// MaxSegmentBytes bounds one segment, MaxTailBytes what may wait for the
-	// platform before new calls get backpressure.
+	// MaxSegmentBytes bounds one segment (1 KiB to 1 MiB). MaxTailBytes bounds
+	// the records that wait to be written to the platform; above it new calls
+	// and programs are rejected.
 	MaxSegmentBytes, MaxTailBytes int
-	// OperationTimeout is when a platform operation counts as lost.
+	// OperationTimeout is the time after which a platform operation without a
+	// reply counts as lost.
 	OperationTimeout time.Duration
-	// ConfigPollEvery is how often one member of the data centre looks for a
-	// new declaration besides the watch.
+	// ConfigPollInterval is the time between two checks for a new declaration by
+	// any one member of the data centre, in addition to the watch.
 	ConfigPollInterval time.Duration
-	// Retention is how long an ended program's answers may be fetched.
+	// Retention is how long the answers of an ended program can be fetched.
 	Retention time.Duration
-	// MaxPrograms bounds the programs of one host.
+	// MaxPrograms bounds the number of programs of one host.
 	MaxPrograms int
 }
 
-// TickEvery is the period at which a driver should send Tick events.
+// TickInterval is the interval at which a driver should send Tick events.
 const TickInterval = 20 * time.Millisecond
 
-// DefaultConfig returns the defaults. The caller sets who and where.
+// DefaultConfig returns the defaults. The caller sets Host, DataCentre, Address
+// and Incarnation.
 func DefaultConfig() Config {
 	return Config{
 		Slots:                   64,
@@ -74,7 +80,8 @@
 	}
 }
 
-// check reports the first setting with which the protocols would not be safe.
+// check returns a failure of kind InvalidSetting for the first setting with
+// which the protocols would be unsafe.
 func (c *Config) check() error {
 	switch {
 	case c.Host == "" || c.DataCentre == "" || c.Incarnation == "":
@@ -82,16 +89,17 @@
 	case c.Slots < 1 || c.Slots > 4096:
 		return failure.New(failure.InvalidSetting, "slots must be from 1 to 4096")
 	case c.RenewInterval*2 > c.LeaseDuration:
-		return failure.New(failure.InvalidSetting, "a lease must be renewed at least twice in its duration")
+		return failure.New(failure.InvalidSetting, "the lease must be renewed at least twice within its duration")
 	case c.DataCentreLeaseDuration < 2*c.LeaseDuration:
-		return failure.New(failure.InvalidSetting, "the data centre lease must be at least two leases long")
+		return failure.New(failure.InvalidSetting, "the data centre lease must last at least twice as long as a lease")
 	case c.SuspectTimeout < 2*c.HeartbeatInterval:
-		return failure.New(failure.InvalidSetting, "suspicion needs at least two missed heartbeats")
+		return failure.New(failure.InvalidSetting, "the suspect timeout must be at least two heartbeat intervals")
 	case c.MaxSegmentBytes < 1024 || c.MaxSegmentBytes > 1<<20:
-		return failure.New(failure.InvalidSetting, "a segment has from 1 KiB to 1 MiB")
+		return failure.New(failure.InvalidSetting, "the maximum segment size must be from 1 KiB to 1 MiB")
 	}
 	return nil
 }
 
-// member is the name of this incarnation: "<data centre>/<host>.<incarnation>".
+// member returns the name of this incarnation: "<data
+// centre>/<host>.<incarnation>".
 func (c *Config) member() string { return c.DataCentre + "/" + c.Host + "." + c.Incarnation }
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -2,7 +2,8 @@
 
 import "github.com/pistachioarch/pistachioarch/core/decl"
 
-// Dump is the state of a member for operators. It holds no prompt text.
+// Dump is the state of a member for operators, encoded as JSON. It contains no
+// prompt text.
 type Dump struct {
 	Member        string         `json:"member"`
 	DataCentre    string         `json:"data_centre"`
@@ -25,14 +26,19 @@
 	Stats         Stats          `json:"stats"`
 }
 
-// DumpLease is the member's lease.
+// DumpLease is the state of the member's lease. RemainingMS is negative once the
+// lease has lapsed.
 type DumpLease struct {
 	Version     uint64 `json:"version"`
 	RemainingMS int64  `json:"left_ms"`
 	TailPeer    string `json:"tail_peer"`
 }
 
-// DumpJournal is the member's journal stream.
+// DumpJournal is the state of the member's journal stream: the last LSN
+// assigned, stored at the platform and acknowledged by the tail peer; the last
+// segment written and the first one needed; the size of the records not yet at
+// the platform; the number of actions that wait for durability; and the number
+// of tails kept for other members.
 type DumpJournal struct {
 	LastLSN      uint64 `json:"last_lsn"`
 	PlatformLSN  uint64 `json:"platform_lsn"`
@@ -44,7 +50,7 @@
 	TailsHeld    int    `json:"tails_held"`
 }
 
-// DumpSlot is one slot that the member owns.
+// DumpSlot is a slot that the member owns. State is loading, serving or moving.
 type DumpSlot struct {
 	Slot        string `json:"slot"`
 	Epoch       uint64 `json:"epoch"`
@@ -53,7 +59,8 @@
 	ActiveCalls int    `json:"busy"`
 }
 
-// DumpPeer is another member.
+// DumpPeer is another member. Heard reports whether its messages still arrive,
+// Gone whether it has left, is revoked or does not run any more.
 type DumpPeer struct {
 	Member             string `json:"member"`
 	DataCentre         string `json:"data_centre"`
@@ -66,7 +73,8 @@
 	Slots              int    `json:"slots"`
 }
 
-// DumpTarget is a declared target.
+// DumpTarget is a declared target with the in-flight calls and estimated cached
+// tokens of this member and its peers.
 type DumpTarget struct {
 	Target       string `json:"target"`
 	InFlight     int    `json:"in_flight"`
@@ -76,13 +84,14 @@
 	Leaving      bool   `json:"leaving"`
 }
 
-// DumpProgram is one program.
+// DumpProgram is one program. Budget, Spent and Reserved count tokens; Waiting
+// counts the calls behind the active one; Ended is the reason of its end.
 type DumpProgram struct {
 	Program      string   `json:"program"`
 	Caller       string   `json:"caller"`
 	Parent       string   `json:"parent,omitempty"`
 	Turns        int      `json:"turns"`
-	State        string   `json:"state,omitempty"` // of the call under way
+	State        string   `json:"state,omitempty"` // of the active call
 	Waiting      int      `json:"waiting"`
 	Budget       int64    `json:"budget"`
 	Spent        int64    `json:"spent"`
@@ -92,7 +101,7 @@
 	CacheTargets []string `json:"holders,omitempty"`
 }
 
-// Dump returns the state of the member; the caller must not run Step meanwhile.
+// Dump returns the state of the member. It must not run concurrently with Step.
 func (h *Host) Dump() *Dump {
 	d := &Dump{
 		Member: h.self, DataCentre: h.cfg.DataCentre, NowMS: h.now.Milliseconds(),
@@ -157,7 +166,8 @@
 	return d
 }
 
-// Caller returns the caller with the token digest, as declared.
+// Caller returns the name and the token budget of the declared caller with this
+// access token digest. ok is false if there is none.
 func (h *Host) Caller(digest string) (name string, budget int64, ok bool) {
 	if h.declared() == nil {
 		return "", 0, false
@@ -169,10 +179,11 @@
 	return c.Name, c.Budget, true
 }
 
-// ConfigVersion returns the version of the declaration in force, 0 for none.
+// ConfigVersion returns the version of the declaration in force, 0 if none is.
 func (h *Host) ConfigVersion() uint64 { return h.declaration.version }
 
-// Engines returns the declared targets that keep cache, in order of name.
+// EngineTargets returns the declared targets of engine services, which keep
+// cache, sorted by name.
 func (h *Host) EngineTargets() []*decl.Target {
 	if h.declared() == nil {
 		return nil
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -7,28 +7,30 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// Event is something that happened; see the types below.
+// Event is an input of the state machine: one of the types below.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick advances time.
 type Tick struct{}
 
-// Start is the first event of a Host: it reads the platform and joins.
+// Start is the first event of a Host, which then reads the platform and joins
+// the members.
 type Start struct {
-	// CachedConfig is the last declaration the host kept on its disk, if any.
+	// CachedConfig is the last declaration object that the host saved on its
+	// disk, nil if there is none.
 	CachedConfig []byte
-	// Seeds are addresses of peers from the settings.
+	// Seeds are the addresses of peers in the settings.
 	Seeds []string
 }
 
-// Drain begins a graceful stop. Ready.Drained reports its end.
+// Drain starts a graceful stop. Ready.Drained reports its end.
 type Drain struct{}
 
-// OpStatus is the outcome of a platform operation.
+// OpStatus is the result of a platform operation.
 type OpStatus uint8
 
-// The outcomes. OpUnavailable means surely without effect, OpLost that a write
-// may have taken effect.
+// The results of an operation. OpUnavailable means that it had no effect, OpLost
+// that a write may have taken effect.
 const (
 	OpOK OpStatus = iota
 	OpNotFound
@@ -37,32 +39,33 @@
 	OpLost
 )
 
-// Object is an object of the platform.
+// Object is an object stored at the platform.
 type Object struct {
-	Key     string
+	Key string
+	// Version grows with each write.
 	Version uint64
 	Body    []byte
 }
 
-// PlatformReply answers a PlatformOp.
+// PlatformReply is the result of the PlatformOp with the same ID.
 type PlatformReply struct {
 	ID      uint64
 	Status  OpStatus
 	Version uint64
 	Body    []byte
 	Objects []Object // of OpList and OpWatch
-	// Revision is where the next watch goes on.
+	// Revision is the revision from which the next watch continues.
 	Revision uint64
 }
 
 // PeerFrame is a message from another member.
 type PeerFrame struct{ Frame *peerpb.Frame }
 
-// PeerRefused says that nothing listens at a peer's address any more: its
-// host answers, but the process is gone.
+// PeerRefused reports that a peer's host answers but refuses the connection to
+// its address: the process does not run any more.
 type PeerRefused struct{ Address string }
 
-// CreateProgram asks for a new program.
+// CreateProgram requests a new program. Budget is in tokens.
 type CreateProgram struct {
 	Waiter   uint64
 	Caller   string
@@ -70,26 +73,27 @@
 	Parent   ident.Program
 	Budget   int64
 	Deadline time.Duration // from now, 0 = none
-	// Key, when not empty, makes the request idempotent: the same caller and
-	// key give the same program.
+	// Key, if not empty, makes the request idempotent: the same caller and key
+	// give the same program.
 	Key string
 }
 
-// SubmitCall asks for one call of a program.
+// SubmitCall requests one call of a program.
 type SubmitCall struct {
 	Waiter     uint64
 	Caller     string
 	Program    ident.Program
 	Sequence   uint32
-	Service    string // empty is the program's own
+	Service    string // empty for the program's service
 	Idempotent bool
-	// PromptTokens is an upper bound of the new tokens, MaxTokens of the output.
+	// PromptTokens is an upper bound of the new prompt tokens, MaxTokens of the
+	// output tokens.
 	PromptTokens, MaxTokens int64
 	Deadline                time.Duration // from now, 0 = none
 	Prompt                  []byte
 }
 
-// FetchAnswer asks again for the answer of a call.
+// FetchAnswer requests the outcome of a call that was submitted before.
 type FetchAnswer struct {
 	Waiter   uint64
 	Caller   string
@@ -97,19 +101,20 @@
 	Sequence uint32
 }
 
-// EndProgram ends a program.
+// EndProgram requests the end of a program.
 type EndProgram struct {
 	Waiter  uint64
 	Caller  string
 	Program ident.Program
 }
 
-// TargetOutcome is how an attempt at a target ended.
+// TargetOutcome is the result of an attempt at a target.
 type TargetOutcome uint8
 
-// The outcomes. TargetRefused carries the proof that the call did not start;
-// TargetFenced is a refusal for an old epoch; TargetInvalid is a refusal that
-// no other target would decide differently.
+// The results of an attempt. TargetRefused proves that the call did not start.
+// TargetLost means that there is no usable answer and the call may have run.
+// TargetFenced is a rejection because of an old epoch, TargetInvalid a rejection
+// that any other target would repeat.
 const (
 	TargetAnswered TargetOutcome = iota
 	TargetRefused
@@ -118,14 +123,16 @@
 	TargetInvalid
 )
 
-// CallID names one attempt of one call.
+// CallID identifies one attempt of one call.
 type CallID struct {
 	Program  ident.Program
 	Sequence uint32
 	Attempt  uint32
 }
 
-// Usage counts the tokens of one attempt as the target reports them.
+// Usage counts the tokens of one attempt as reported by the target; Cached is
+// the part of Prompt read from its cache. The zero value means that the target
+// does not report usage.
 type Usage struct{ Prompt, Output, Cached int64 }
 
 // TargetDone reports the end of an attempt.
@@ -133,23 +140,25 @@
 	Call    CallID
 	Target  string
 	Outcome TargetOutcome
-	// Echo is the call id that came with the answer, empty if the target does
-	// not give it back.
+	// Echo is the call id that the target returned with the answer, empty if it
+	// returns none.
 	Echo   string
 	Answer []byte
 	Usage  Usage
 	Detail string
 }
 
-// TargetReport is a target's own account of its load and memory.
+// TargetReport is a target's report of its queue and cache.
 type TargetReport struct {
 	Target string
 	Queued int
-	// Holds lists the programs whose cache it keeps; nil when it was not asked.
+	// CachedPrograms lists the programs in the target's cache, nil if the target
+	// was not asked.
 	CachedPrograms []ident.Program
 }
 
-// ReleaseDone answers a Release.
+// ReleaseDone is the result of a Release. OK reports whether the target
+// confirmed it.
 type ReleaseDone struct {
 	Target  string
 	Program ident.Program
--- a/core/host/handover.go
+++ b/core/host/handover.go
@@ -7,14 +7,15 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// drain begins a graceful stop: no new programs, every slot to a peer. Calls
-// under way, and those that wait behind them, are answered first.
+// drain starts a graceful stop: the member creates no new programs and hands
+// every slot over to a peer, or leaves it unowned if there is none. Active
+// calls, and the calls that wait behind them, are answered first.
 func (h *Host) drain() { h.draining = true }
 
-// handOver moves slots of a table to peers: all of them on a drain or when they
-// belong to another data centre that is alive again, else the excess over a fair
-// share, so that a host that joined gets work. It reports whether it updated the
-// table.
+// handOverSlots moves slots of a table to peers: all of them during a drain, or
+// when they belong to another data centre that is alive again; otherwise the
+// excess over a fair share, so that a host that joined gets slots. It reports
+// whether it started an update of the table.
 func (h *Host) handOverSlots(t *slotTable) bool {
 	h.selectMoves(t)
 	movable := map[int]string{}
@@ -48,7 +49,7 @@
 	return true
 }
 
-// chooseMoves marks the slots of a table that should move, and to whom.
+// selectMoves marks the slots of a table that should move, and their new owners.
 func (h *Host) selectMoves(t *slotTable) {
 	counts := h.slotCounts(t)
 	mine := h.ownedSlotsIn(t.DataCentre)
@@ -71,7 +72,8 @@
 			excess--
 		}
 	}
-	// One slot of slack keeps two hosts from handing the same slots to and fro.
+	// An excess of one slot is tolerated, so that two hosts do not hand the same
+	// slots back and forth.
 	if excess <= 1 {
 		return
 	}
@@ -83,8 +85,8 @@
 	}
 }
 
-// slotCounts counts the slots of each peer of the table's data centre that may
-// get more.
+// slotCounts counts the slots of each peer of the table's data centre that can
+// take more.
 func (h *Host) slotCounts(t *slotTable) map[string]int {
 	counts := map[string]int{}
 	for _, p := range h.members.list {
@@ -100,8 +102,9 @@
 	return counts
 }
 
-// move marks a slot for the peer with the fewest; without a peer a draining
-// member leaves it unowned, for the next that joins.
+// startMove marks a slot as moving to the peer with the fewest slots. Without a
+// peer a draining member leaves the slot unowned, for the next member that
+// joins.
 func (h *Host) startMove(own *ownedSlot, counts map[string]int) {
 	if _, alive := counts[own.newOwner]; own.state == slotMoving && alive {
 		return
@@ -118,8 +121,9 @@
 	}
 }
 
-// tickDrain ends a graceful stop once nothing is owned or under way. The lease
-// stays, marked by the member itself, while other members need its stream.
+// tickDrain ends a graceful stop once no slot is owned and no call is active.
+// The lease stays, marked as revoked by the member itself, while other members
+// need its stream.
 func (h *Host) tickDrain() {
 	if !h.draining || h.ready.Drained || len(h.slots.owned) > 0 || h.slots.updating || len(h.activePrograms) > 0 {
 		return
@@ -130,6 +134,8 @@
 	h.releaseLease()
 }
 
+// releaseLease marks the member's own lease as revoked and then says goodbye to
+// its peers.
 func (h *Host) releaseLease() {
 	h.nextRun.leaveAt = h.now + releaseRetryDelay
 	if !h.lease.acquired {
@@ -149,6 +155,8 @@
 	})
 }
 
+// sendGoodbye tells the peers that this member has left, and reports the end of
+// the drain.
 func (h *Host) sendGoodbye() {
 	for _, p := range h.members.list {
 		if !p.gone {
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -18,7 +18,7 @@
 // Host is the state machine of one member. Not safe for concurrent use.
 type Host struct {
 	cfg   Config
-	self  string // member name, also the name of its journal stream
+	self  string // member name and name of its journal stream
 	now   time.Duration
 	rng   *rand.Rand
 	ready Ready
@@ -33,26 +33,30 @@
 
 	programs       map[ident.Program]*program
 	programsByKey  map[createKey]ident.Program
-	activePrograms map[*program]struct{} // programs with a call under way
+	activePrograms map[*program]struct{} // programs with an active call
 	releaseTasks   map[releaseKey]*releaseTask
 	rateLimiters   map[rateLimiterKey]*rate.Limiter
-	// holdersAt are the programs with cache at a target, by its name.
+	// cachedPrograms maps a target's name to the programs in its cache.
 	cachedPrograms map[string]map[*program]struct{}
-	namesGenerated uint64 // program names given out
+	namesGenerated uint64 // number of program names generated
 
 	draining bool
 	nextRun  nextRunTimes
 	stats    Stats
 }
 
-// Stats counts what a host has done since its start.
+// Stats counts events since the start of a host. Its fields are encoded as JSON
+// under their own names: Answered, NotRun and Unknown count calls by outcome,
+// Duplicates the results that belong to no active attempt, Crossed the answers
+// with the id of another call, Swept the caches released because a target
+// reported them for ended or unknown programs.
 type Stats struct {
 	Steps, Answered, NotRun, Unknown     uint64
 	Duplicates, Crossed, Retries, Swept  uint64
 	PlatformOps, Takeovers, SegmentBytes uint64
 }
 
-// New returns a Host that waits for its Start event.
+// New returns a Host that waits for its Start event, or an error if cfg is invalid.
 func New(cfg Config) (*Host, error) {
 	cfg = withDefaults(cfg)
 	if err := cfg.check(); err != nil {
@@ -117,10 +121,11 @@
 	return cfg
 }
 
-// Member is the name of this member: "<data centre>/<host>.<incarnation>".
+// Member returns the name of this member: "<data centre>/<host>.<incarnation>".
 func (h *Host) Member() string { return h.self }
 
-// Step takes one event at time now, which never goes back.
+// Step processes one event at time now. Time never runs backwards: an earlier now
+// counts as the latest one seen.
 func (h *Host) Step(now time.Duration, ev Event) {
 	h.ready.reset()
 	h.now = max(h.now, now)
@@ -134,7 +139,7 @@
 	h.sendTail()
 }
 
-// Ready returns what is to be done; it is valid until the next Step.
+// Ready returns the effects of the last Step, valid until the next one.
 func (h *Host) Ready() *Ready { return &h.ready }
 
 func (h *Host) handleEvent(ev Event) {
@@ -192,10 +197,10 @@
 	h.sched.WakeAll()
 }
 
-// refuseLost answers requests of a member that was replaced; its driver starts
-// a new one.
+// rejectAfterLoss rejects requests to a member that was replaced, until its driver
+// has started a new one.
 func (h *Host) rejectAfterLoss(ev Event) {
-	f := failure.Retry(failure.NotOwner, time.Second, "host is starting again")
+	f := failure.Retry(failure.NotOwner, time.Second, "host is restarting as a new member")
 	switch ev := ev.(type) {
 	case *CreateProgram:
 		h.reject(ev.Waiter, f)
@@ -222,14 +227,15 @@
 	h.ready.Messages = append(h.ready.Messages, PeerMessage{Address: address, Frame: f})
 }
 
-// lose ends this member: another one has replaced it.
+// markLost stops this member because another one has replaced it. Its waiting
+// callers get an unknown outcome.
 func (h *Host) markLost(reason string) {
 	if h.ready.Lost {
 		return
 	}
 	h.ready.Lost = true
 	h.addNote(Note{Kind: NoteLeaseLost, Member: h.self, Detail: reason})
-	// The new owner knows what became of the calls.
+	// Only the new owner can tell the outcome of the calls.
 	f := failure.Unknown(failure.NotOwner, "%s", reason)
 	f.RetryAfter = time.Second
 	for _, p := range h.sortedActivePrograms() {
@@ -239,10 +245,10 @@
 	}
 }
 
-// set returns the declaration in force, nil before the first.
+// declared returns the declaration in force, nil if none is known yet.
 func (h *Host) declared() *decl.Set { return h.declaration.set }
 
-// clock converts the machine's time for libraries that want a time.Time.
+// nowTime converts the current time of the state machine to a time.Time.
 func (h *Host) nowTime() time.Time { return time.Unix(0, 0).Add(h.now) }
 
 func (h *Host) newProgramName() string {
--- a/core/host/lease.go
+++ b/core/host/lease.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// LeasePrefix is the key prefix of all leases: "leases/<member>".
+// LeasePrefix is the key prefix of all leases; a lease has the key
+// "leases/<member>".
 const LeasePrefix = "leases/"
 
-// LeaseKey is the key of one member's lease.
+// LeaseKey returns the key of a member's lease.
 func LeaseKey(member string) string { return LeasePrefix + member }
 
-// LeaseObject is a lease as it stands at the platform. It also registers the
-// member with its peers.
+// LeaseObject is a lease as stored at the platform, encoded as JSON. It also
+// registers the member with its peers.
 type LeaseObject struct {
 	Member     string `json:"member"`
 	Host       string `json:"host"`
@@ -20,43 +21,45 @@
 	Address    string `json:"address"`
 	DurationMS int64  `json:"duration_ms"`
 	Renewal    uint64 `json:"renewal"`
-	// Tail is the member that keeps the tail of this one's journal.
+	// TailPeer is the member that keeps the tail of this member's journal.
 	TailPeer string `json:"tail,omitempty"`
-	// First and Last bound the segments of the member's journal stream that
-	// surely exist: none below First is deleted before this says so, and more
-	// may follow Last.
+	// FirstSegment and LastSegment bound the segments of the member's journal
+	// stream that certainly exist: a segment is deleted only after FirstSegment
+	// has been raised above it, and more segments may follow LastSegment.
 	FirstSegment uint64 `json:"first_segment"`
 	LastSegment  uint64 `json:"last_segment"`
-	// RevokedBy is set by the member that takes over, or by the member itself when
-	// it has left in good order. A revoked lease is never renewed: the renewal is a conditional update and fails.
+	// RevokedBy is set by the member that takes over, or by the member itself
+	// after a graceful stop. A revoked lease is never renewed: the renewal is a
+	// conditional update and fails.
 	RevokedBy string `json:"revoked_by,omitempty"`
 }
 
 // lease is this member's own lease.
 //
-// Invariant: until never exceeds the time at which the last successful renewal
-// was first sent plus the lease's duration. Whoever waits for the lease to
-// lapse counts from a later moment (when it saw that renewal), so it waits
-// longer than the holder serves, whatever their clocks show.
+// Invariant: validUntil never exceeds the time at which the last successful
+// renewal was first sent plus the lease's duration. A member that waits for the
+// lease to lapse counts from a later time, when it saw that renewal. So it waits
+// longer than the holder serves, independent of the offset between their clocks.
 type lease struct {
 	version    uint64
 	object     LeaseObject
-	acquired   bool // acquired once
+	acquired   bool // whether a renewal has ever succeeded
 	validUntil time.Duration
 	renewedAt  time.Duration // when the last successful renewal was sent
 	renewAt    time.Duration
-	// body is the renewal under way or of unknown outcome. It is sent again
-	// unchanged until its outcome is known: another body could not be told
-	// from a revocation.
+	// pendingBody is the renewal that is being written or whose outcome is
+	// unknown. It is sent again unchanged until its outcome is known: a
+	// different body could not be told from a revocation.
 	pendingBody []byte
 	sentAt      time.Duration
 	writing     bool
-	// suspended is what the last tick found, for notes.
+	// wasSuspended is the state at the last tick; notes report its changes.
 	wasSuspended bool
 }
 
 func (l *lease) key(h *Host) string { return LeaseKey(h.self) }
 
+// acquireLease writes the member's first lease.
 func (h *Host) acquireLease() {
 	h.lease.object = LeaseObject{
 		Member: h.self, Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Address: h.cfg.Address,
@@ -66,6 +69,7 @@
 	h.renewLease()
 }
 
+// renewLease writes the next renewal, or repeats one whose outcome is unknown.
 func (h *Host) renewLease() {
 	l := &h.lease
 	if l.writing {
@@ -82,13 +86,15 @@
 	h.putObject(l.key(h), l.version, l.pendingBody, h.handleLeaseWritten)
 }
 
+// handleLeaseWritten updates the lease by the result of a renewal. A conflict
+// means that the lease was revoked.
 func (h *Host) handleLeaseWritten(status OpStatus, version uint64) {
 	l := &h.lease
 	l.writing = false
 	switch status {
 	case OpOK:
 		var written LeaseObject
-		_ = json.Unmarshal(l.pendingBody, &written) // our own
+		_ = json.Unmarshal(l.pendingBody, &written) // this member's own encoding
 		h.log.registeredTailPeer, h.log.registeredFirst = written.TailPeer, written.FirstSegment
 		l.version, l.renewedAt, l.pendingBody = version, l.sentAt, nil
 		l.validUntil = l.renewedAt + h.cfg.LeaseDuration
@@ -104,6 +110,8 @@
 	}
 }
 
+// tickLease renews the lease when due, and reports when the member stops or
+// resumes serving.
 func (h *Host) tickLease() {
 	l := &h.lease
 	if h.now >= l.renewAt {
@@ -122,23 +130,26 @@
 	h.sched.WakeAll()
 }
 
-// holdsLease reports whether the lease itself holds by this host's clock.
+// holdsLease reports whether the lease itself is valid by this host's clock.
 func (h *Host) holdsLease() bool { return h.lease.acquired && h.now < h.lease.validUntil }
 
-// mayServe reports whether no other member can own this member's slots now.
+// mayServe reports whether certainly no other member owns this member's slots
+// now.
 func (h *Host) mayServe() bool {
 	return !h.ready.Lost && (h.holdsLease() || h.now < h.servesUntil())
 }
 
-// servesUntil is until when, from what is known now, no other member can own
-// this member's slots.
+// servesUntil returns the time until which, from what is known now, certainly no
+// other member owns this member's slots.
 //
-// That holds under the lease. Past the lease it holds while every peer of the
-// data centre has promised not to take over: either for DataCentreLease since
-// the last renewal, which other data centres wait out, or without end if the
-// members of all other data centres have promised too. A peer that is gone
-// (said goodbye, or its process is dead) needs no promise. Two hosts, one dead
-// and the other cut off, cannot be told from a split; then it does not hold.
+// That is so while the lease is valid. After the lease it is so while every peer
+// of the data centre has promised not to take over: either up to
+// DataCentreLeaseDuration after the last renewal, which other data centres wait
+// for, or without that bound if the members of all other data centres have
+// promised too. A peer that is gone (it said goodbye, or its process is dead)
+// needs no promise. Of two hosts, one dead and the other cut off from the
+// platform cannot be told from a partition between the two; then the member does
+// not serve after its lease.
 func (h *Host) servesUntil() time.Duration {
 	if h.ready.Lost || !h.lease.acquired {
 		return 0
--- a/core/host/lifecycle.go
+++ b/core/host/lifecycle.go
@@ -8,11 +8,12 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// expireEvery paces the look for idle and ended programs.
+// expireInterval is the time between two searches for idle and ended programs.
 const expireInterval = 5 * time.Second
 
-// createProgram makes a program in one of this member's slots; a sub-agent in
-// the slot of its parent, so that both always have one owner and one budget.
+// handleCreateProgram creates a program in one of this member's slots. A
+// sub-agent is created in the slot of its parent, so that both always have the
+// same owner and share one budget.
 func (h *Host) handleCreateProgram(ev *CreateProgram) {
 	if id, ok := h.programsByKey[createKey{ev.Caller, ev.Key}]; ok && ev.Key != "" {
 		h.replyWhenDurable(ev.Waiter, id)
@@ -35,59 +36,63 @@
 	h.replyWhenDurable(ev.Waiter, p.id)
 }
 
-// replyWhenDurable confirms a request once all that was written is durable.
+// replyWhenDurable confirms a request once all records written so far are
+// durable.
 func (h *Host) replyWhenDurable(waiter uint64, id ident.Program) {
 	h.whenDurable(h.log.writer.LastLSN(), nil, 0, func(*call) {
 		h.ready.Replies = append(h.ready.Replies, Reply{Waiter: waiter, Outcome: Outcome{Program: id}})
 	})
 }
 
-// placeProgram checks a request for a program and chooses its slot.
+// selectSlot checks a request for a program and selects its slot.
 func (h *Host) selectSlot(ev *CreateProgram) (*ownedSlot, *failure.Failure) {
 	if ev.Budget <= 0 {
-		return nil, failure.New(failure.BudgetExhausted, "a program needs a budget of at least one token")
+		return nil, failure.New(failure.BudgetExhausted, "the budget of a program must be at least one token")
 	}
 	set := h.declared()
 	switch {
 	case set == nil:
-		return nil, failure.Retry(failure.PlatformUnavailable, suspendedRetryDelay, "no declaration is known yet")
+		return nil, failure.Retry(failure.PlatformUnavailable, suspendedRetryDelay, "this host has not read a declaration yet")
 	case set.Services[ev.Service] == nil:
 		return nil, failure.New(failure.UnknownService, "no service %q", ev.Service)
 	case len(h.programs) >= h.cfg.MaxPrograms, h.log.writer.PendingBytes() > h.cfg.MaxTailBytes:
-		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "this host takes no more programs now")
+		return nil, failure.Retry(failure.Overloaded, suspendedRetryDelay, "this host has reached its limit of programs or of unwritten journal records")
 	}
 	if ev.Parent != "" {
 		return h.parentSlot(ev)
 	}
 	if h.draining || !h.mayServe() {
-		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host takes no new programs now")
+		return nil, failure.Retry(failure.Suspended, suspendedRetryDelay, "this host is draining or cannot confirm that it still owns its slots")
 	}
 	return h.nextServingSlot()
 }
 
+// parentSlot returns the slot of the parent of a requested sub-agent.
 func (h *Host) parentSlot(ev *CreateProgram) (*ownedSlot, *failure.Failure) {
 	parent, rejection := h.access(ev.Parent, ev.Caller)
 	switch {
 	case rejection != nil:
 		return nil, rejection
 	case parent.ended:
-		return nil, failure.New(failure.ProgramEnded, "the parent has ended: %s", parent.endReason)
+		return nil, failure.New(failure.ProgramEnded, "the parent program has ended: %s", parent.endReason)
 	case parent.slot.state == slotMoving:
-		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the parent moves to another host")
+		return nil, failure.Retry(failure.Moving, movingRetryDelay, "the parent program is moving to another host")
 	}
 	return parent.slot, nil
 }
 
+// nextServingSlot returns the slots of this data centre in turn, those that are
+// not serving left out.
 func (h *Host) nextServingSlot() (*ownedSlot, *failure.Failure) {
 	mine := h.ownedSlotsIn(h.cfg.DataCentre)
 	for range mine {
-		h.slots.nextCreateSlot++
-		own := mine[h.slots.nextCreateSlot%len(mine)]
+		h.slots.createCounter++
+		own := mine[h.slots.createCounter%len(mine)]
 		if own.state == slotServing {
 			return own, nil
 		}
 	}
-	return nil, failure.Retry(failure.Moving, movingRetryDelay, "this host has no slot yet")
+	return nil, failure.Retry(failure.Moving, movingRetryDelay, "this host has no serving slot")
 }
 
 func (h *Host) handleFetchAnswer(ev *FetchAnswer) {
@@ -102,7 +107,7 @@
 	case known.unfinished != nil:
 		known.unfinished.waiters = append(known.unfinished.waiters, ev.Waiter)
 	default:
-		h.reject(ev.Waiter, failure.New(failure.UnknownCall, "no call %d", ev.Sequence))
+		h.reject(ev.Waiter, failure.New(failure.UnknownCall, "the program has no call %d", ev.Sequence))
 	}
 }
 
@@ -113,7 +118,7 @@
 		h.reject(ev.Waiter, rejection)
 		return
 	case p.slot.state == slotMoving:
-		h.reject(ev.Waiter, failure.Retry(failure.Moving, movingRetryDelay, "the program moves to another host"))
+		h.reject(ev.Waiter, failure.Retry(failure.Moving, movingRetryDelay, "the program is moving to another host"))
 		return
 	case p.ended:
 		h.replyWhenDurable(ev.Waiter, p.id)
@@ -123,8 +128,8 @@
 	h.replyWhenDurable(ev.Waiter, p.id)
 }
 
-// end ends a program and its sub-agents, and frees their cache. A call under
-// way still gets its answer; calls that wait behind it are refused.
+// endProgram ends a program and its sub-agents and releases their cache. An
+// active call still gets its answer; the calls that wait behind it are rejected.
 func (h *Host) endProgram(p *program, reason string) {
 	if p.ended {
 		return
@@ -142,7 +147,8 @@
 	}
 }
 
-// expirePrograms ends programs that are idle too long and forgets ended ones.
+// expirePrograms ends programs past their deadline or idle timeout and removes
+// ended ones after the retention period.
 func (h *Host) expirePrograms() {
 	if h.now < h.nextRun.expireAt || h.declared() == nil || !h.mayServe() {
 		return
@@ -158,6 +164,8 @@
 	}
 }
 
+// expireProgram ends or removes one program. An ended program stays until every
+// target has confirmed the release of its cache and its parent has been removed.
 func (h *Host) expireProgram(p *program) {
 	if p.corrupt || p.activeCall != nil {
 		return
--- a/core/host/log.go
+++ b/core/host/log.go
@@ -8,7 +8,8 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// commitLog is this member's journal stream and the tails it keeps for others.
+// commitLog is this member's journal stream and the tails it keeps for other
+// members.
 //
 // A record is durable when it is in a segment at the platform, or when the tail
 // peer has acknowledged it while this member may serve. The tail is a write
@@ -18,30 +19,31 @@
 	writer  *journal.Writer
 	flushAt time.Duration
 	segment *segmentWrite
-	waits   []durableWait // in order of lsn
+	waits   []durableWait // in order of LSN
 
-	tailPeer           string // where the tail is sent
-	registeredTailPeer string // the same as the lease at the platform says
+	tailPeer           string // member that the tail is sent to
+	registeredTailPeer string // the tail peer that the lease at the platform names
 	tailSent           uint64
 	tailAcked          uint64
 	tailSentAt         time.Duration
-	// secondPeer, of the own data centre, gets the tail too, without being waited
-	// for: a new owner asks every peer, and finds it there if the first is away.
+	// secondTailPeer, of the same data centre, gets the tail too, but its
+	// acknowledgements do not count. A new owner requests the tail from every
+	// peer, and finds it there if the tail peer cannot be reached.
 	secondTailPeer string
 	secondTailSent uint64
 
-	firstNeeded     uint64 // first segment of the stream that is needed
-	registeredFirst uint64 // the same as the lease at the platform says
+	firstNeeded     uint64 // first segment of the stream still needed
+	registeredFirst uint64 // the first segment that the lease at the platform names
 	firstExisting   uint64 // first segment not yet deleted
-	cleanBefore     uint64 // segments below are free once cleanLSN is durable
+	cleanBefore     uint64 // segments before it can be freed once cleanLSN is durable
 	cleanLSN        uint64
 	deleting        bool
 	cleanAt         time.Duration
 
-	peerTails map[string]*peerTail // of other members, by stream
+	peerTails map[string]*peerTail // tails of other members, by stream
 }
 
-// segmentFlight is a segment under way. It is sent again unchanged until its
+// segmentWrite is a segment being written. It is sent again unchanged until its
 // outcome is known.
 type segmentWrite struct {
 	number  uint64
@@ -49,38 +51,40 @@
 	writing bool
 }
 
-// durableWait is what happens once a record is durable.
+// durableWait is an action that waits for a record to be durable.
 type durableWait struct {
 	lsn       uint64
 	call      *call
 	done      func(*call)
-	timeoutAt time.Duration // when a failure is told without waiting any longer; 0 = never
+	timeoutAt time.Duration // when a failure is reported without waiting longer; 0 = never
 }
 
-// heldTail is the tail of another member's stream.
+// peerTail is the tail of another member's stream.
 type peerTail struct {
 	records []*peerpb.Record
 	lastLSN uint64
-	sealed  bool // a new owner has read it: nothing more is taken
+	sealed  bool // a new owner has read it; it accepts no more records
 	usedAt  time.Duration
 }
 
 const (
 	tailAckTimeout      = 500 * time.Millisecond
-	maxTailFrameBytes   = 1 << 20 // of one message to the tail peer
+	maxTailFrameBytes   = 1 << 20 // of the records in one message
 	sealedTailRetention = 10 * time.Minute
-	// failureWait is how long a failure waits for its record to be durable
-	// before it is told as "ran: unknown".
+	// maxFailureWait is how long a failure waits for its record to be durable.
+	// After that it is reported as "ran: unknown".
 	maxFailureWait = time.Second
 	cleanInterval  = time.Second
-	// Cleaning begins when the stream has more segments, or more bytes beyond
-	// twice the live ones, than these.
+	// Cleaning starts when the stream has more than maxUncleanedSegments
+	// segments, or its bytes exceed twice the live bytes by more than
+	// maxDeadBytes. One round frees up to cleanBatchSegments segments.
 	maxUncleanedSegments = 128
 	maxDeadBytes         = 4 << 20
 	cleanBatchSegments   = 32
 )
 
-// append writes a record of a program under its slot's epoch.
+// appendRecord appends a record of a program under its slot's epoch and returns
+// its LSN.
 func (h *Host) appendRecord(p *program, r *peerpb.Record) uint64 {
 	r.Program, r.Epoch = string(p.id), p.slot.epoch
 	lsn := h.log.writer.Append(r)
@@ -88,7 +92,7 @@
 	return lsn
 }
 
-// durable is the last lsn that is durable.
+// durableLSN returns the last durable LSN.
 func (h *Host) durableLSN() uint64 {
 	d := h.log.writer.DurableLSN()
 	if h.isTailDurable() {
@@ -97,19 +101,23 @@
 	return d
 }
 
-// tailCounts reports whether the tail peer's word counts. A new owner asks the
-// peer that the lease names; while the platform is out of reach the lease
-// cannot name another, and the new owner asks all it hears.
+// isTailDurable reports whether records acknowledged by the tail peer count as
+// durable. A new owner requests the tail from the peer that the lease names.
+// While the platform is unreachable the lease cannot name another peer, and the
+// new owner requests it from all live peers.
 func (h *Host) isTailDurable() bool {
 	return h.log.tailPeer != "" && h.mayServe() &&
 		(h.log.registeredTailPeer == h.log.tailPeer || !h.ops.reachable)
 }
 
-// whenDurable calls then once lsn is durable, at once if it is.
+// whenDurable calls done with c once lsn is durable, in this Step or a later
+// one. At timeoutAt, if not 0, done is called anyway and the failure of c
+// becomes "ran: unknown".
 func (h *Host) whenDurable(lsn uint64, c *call, timeoutAt time.Duration, done func(*call)) {
 	h.log.waits = append(h.log.waits, durableWait{lsn: lsn, call: c, done: done, timeoutAt: timeoutAt})
 }
 
+// completeWaits runs the actions whose records are durable.
 func (h *Host) completeWaits() {
 	durable := h.durableLSN()
 	n := 0
@@ -126,6 +134,8 @@
 	}
 }
 
+// tickLog does the periodic work of the journal: it selects the tail peers,
+// sends unacknowledged records again, writes segments and frees old ones.
 func (h *Host) tickLog() {
 	h.timeOutWaits()
 	h.selectTailPeer()
@@ -146,9 +156,9 @@
 	h.completeWaits()
 }
 
-// expireWaits tells failures whose record is still not durable. Such a failure
-// cannot be "ran: no" any more: a new owner might not know of it and run the
-// call.
+// timeOutWaits reports failures whose record is still not durable at their
+// timeout. Such a failure cannot be "ran: no" any more: a new owner might not
+// know of it and run the call.
 func (h *Host) timeOutWaits() {
 	kept := h.log.waits[:0]
 	var due []durableWait
@@ -166,7 +176,7 @@
 	}
 }
 
-// flush writes the next segment, or sends one of unknown outcome again.
+// flush writes the next segment, or repeats one whose outcome is unknown.
 func (h *Host) flush() {
 	segment := h.log.segment
 	if segment == nil {
@@ -190,11 +200,13 @@
 			h.segmentWritten(len(segment.body))
 		case OpConflict:
 			h.addNote(Note{Kind: NoteSealed, Member: h.self})
-			h.markLost("journal sealed by a new owner")
+			h.markLost("journal stream sealed by a new owner")
 		}
 	})
 }
 
+// segmentWritten counts a stored segment and lets the tail peers trim its
+// records.
 func (h *Host) segmentWritten(bodyBytes int) {
 	h.log.writer.EndSegment(true, bodyBytes)
 	h.stats.SegmentBytes += uint64(bodyBytes)
@@ -208,8 +220,8 @@
 	h.completeWaits()
 }
 
-// chooseTail keeps a living peer as the keeper of the tail: one of another data
-// centre first, so that the loss of a whole data centre loses no answer.
+// selectTailPeer keeps a live peer as the tail peer, preferably of another data
+// centre, so that the loss of a whole data centre loses no answer.
 func (h *Host) selectTailPeer() {
 	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && !h.isLocal(p) {
 		return
@@ -219,14 +231,14 @@
 		return
 	}
 	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && h.isLocal(candidate) {
-		return // one local peer is as good as another
+		return // a local peer is no better than the present one
 	}
 	h.log.tailPeer = candidate.name
 	h.log.tailSent, h.log.tailAcked = 0, 0
-	h.lease.renewAt = min(h.lease.renewAt, h.now) // to name it in the lease
+	h.lease.renewAt = min(h.lease.renewAt, h.now) // the lease must name the new tail peer
 }
 
-// shipTail sends the tail peer what it has not been sent.
+// sendTail sends both tail peers the records that they have not been sent.
 func (h *Host) sendTail() {
 	if h.ready.Lost {
 		return
@@ -237,7 +249,8 @@
 	h.log.secondTailSent = h.sendTailTo(h.log.secondTailPeer, h.log.secondTailSent)
 }
 
-// shipTo sends a peer the records after sent and returns the last one sent.
+// sendTailTo sends a peer the records after LSN sent, up to maxTailFrameBytes,
+// and returns the last LSN sent.
 func (h *Host) sendTailTo(peer string, sent uint64) uint64 {
 	p, w := h.members.peers[peer], h.log.writer
 	if p == nil || sent >= w.LastLSN() {
@@ -253,7 +266,8 @@
 	return records[len(records)-1].Lsn
 }
 
-// chooseSecond keeps a living peer of the own data centre as the second keeper.
+// selectSecondTailPeer keeps a live peer of the same data centre as the second
+// tail peer.
 func (h *Host) selectSecondTailPeer() {
 	if p := h.members.peers[h.log.secondTailPeer]; p != nil && h.isHeard(p) && p.name != h.log.tailPeer {
 		return
@@ -265,6 +279,8 @@
 	}
 }
 
+// handleTailAppend stores records of a peer's tail in LSN order and acknowledges
+// them, unless the tail is sealed.
 func (h *Host) handleTailAppend(from *peer, m *peerpb.TailAppend) {
 	if m.Stream != from.name {
 		return
@@ -288,6 +304,7 @@
 	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailAck{TailAck: &peerpb.TailAck{Stream: m.Stream, Lsn: t.lastLSN}}})
 }
 
+// handleTailAck records what the tail peer has stored.
 func (h *Host) handleTailAck(from *peer, m *peerpb.TailAck) {
 	if from.name != h.log.tailPeer || m.Stream != h.self {
 		return
@@ -296,6 +313,7 @@
 	h.completeWaits()
 }
 
+// handleTailTrim drops the records of a tail that are stored at the platform.
 func (h *Host) handleTailTrim(m *peerpb.TailTrim) {
 	t := h.log.peerTails[m.Stream]
 	if t == nil {
@@ -308,8 +326,8 @@
 	t.records = append([]*peerpb.Record(nil), t.records[n:]...)
 }
 
-// tailFetch hands the tail to a new owner of the stream's slots and takes
-// nothing more for it.
+// handleTailFetch sends the tail to a new owner of the stream's slots and seals
+// it, so that it accepts no more records.
 func (h *Host) handleTailFetch(from *peer, m *peerpb.TailFetch) {
 	t := h.log.peerTails[m.Stream]
 	if t == nil {
@@ -320,9 +338,10 @@
 	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailData{TailData: &peerpb.TailData{Stream: m.Stream, Records: t.records}}})
 }
 
-// clean frees the oldest segments: it carries their live programs forward, and
-// deletes them once that is durable and the lease says so. Nothing is freed
-// while the slots of another member need this stream.
+// cleanJournal frees the oldest segments: it writes snapshots of their live
+// programs, and deletes the segments once the snapshots are durable and the
+// lease names the new first segment. It frees none while slots of another member
+// need this stream.
 func (h *Host) cleanJournal() {
 	l := &h.log
 	l.firstExisting = max(l.firstExisting, 1)
@@ -350,6 +369,8 @@
 	l.cleanBefore, l.cleanLSN = before, l.writer.LastLSN()
 }
 
+// isCleaningDue reports whether the stream has grown beyond the limits for
+// cleaning.
 func (h *Host) isCleaningDue() bool {
 	segments := h.log.writer.LastSegment() + 1 - h.log.firstNeeded
 	if segments > maxUncleanedSegments {
@@ -366,7 +387,8 @@
 	return perSegment*int64(segments) > 2*live+maxDeadBytes
 }
 
-// othersNeed reports whether a slot that is not this member's needs its stream.
+// isNeededByOthers reports whether a slot of another owner needs this member's
+// stream. It is true as long as the table of the own data centre is not known.
 func (h *Host) isNeededByOthers() bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
@@ -378,7 +400,8 @@
 	return h.ownTable() == nil
 }
 
-// deleteOldest deletes one segment; the next follows when it is surely gone.
+// deleteOldestSegment deletes one segment. The next one is deleted only when
+// this one is certainly gone.
 func (h *Host) deleteOldestSegment() {
 	if h.log.deleting {
 		return
--- a/core/host/member.go
+++ b/core/host/member.go
@@ -10,51 +10,55 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// membership is what this host knows of the others. It comes from three
-// sources: the leases at the platform (which lag), the heartbeats, and the
-// seeds in the settings.
+// membership is what this host knows of the other members, from three sources:
+// the leases at the platform (which lag behind), the heartbeats, and the seeds
+// in the settings.
 type membership struct {
 	peers      map[string]*peer
-	list       []*peer // the same, by name
+	list       []*peer // all peers, sorted by name
 	seeds      []string
-	heartbeats int // heartbeats sent
-	// locals counts the other members of the own data centre, dead ones too.
+	heartbeats int // number of rounds of heartbeats sent
+	// localPeers counts the other members of the same data centre, dead ones
+	// included.
 	localPeers int
 
-	heartbeatAt    time.Duration
-	listAt         time.Duration
-	dataCentres    []string // other data centres, in order
-	nextDataCentre int      // whose leases are listed next
+	heartbeatAt       time.Duration
+	listAt            time.Duration
+	dataCentres       []string // other data centres with peers, sorted
+	dataCentreCounter int      // modulo len(dataCentres), the one whose leases were listed last
 }
 
-// peer is one other member.
+// peer is another member.
 type peer struct {
 	name, address, dataCentre string
-	// lastHeard is the time of its last message; heard is false before any.
+	// lastHeard is the time of its last message; heard is false before the
+	// first.
 	lastHeard time.Duration
 	heard     bool
 	suspected bool
-	// gone says that it will do nothing any more: it said goodbye, its lease is
-	// revoked, or nothing listens at its address.
+	// gone reports that the member will not act any more: it said goodbye, its
+	// lease is revoked, or its process does not run any more.
 	gone bool
-	// echo is the sent_ms of its last heartbeat, returned to it with ours.
+	// lastSentMS is the sent_ms of its last heartbeat, which our next heartbeat
+	// to it echoes.
 	lastSentMS int64
-	// promiseUntil is how long it has promised, by our clock, not to take over
-	// our slots; promisedUntil what we have promised it.
+	// receivedPromiseUntil is the time, by this host's clock, until which the
+	// peer has promised not to take over this member's slots; givenPromiseUntil
+	// is the same promise of this member to the peer.
 	receivedPromiseUntil, givenPromiseUntil time.Duration
 
 	platformOK, draining, suspended bool
 	configVersion                   uint64
 	slots                           int
 
-	// What was seen of its lease, to judge when it has lapsed: version did not
-	// change since seenAt.
+	// State of its lease, to decide when it has lapsed: leaseVersion has not
+	// changed since leaseSeenAt.
 	leaseVersion uint64
 	leaseSeenAt  time.Duration
 	tailPeer     string
 	leaseCheckAt time.Duration
 	revoked      bool
-	revokedAt    time.Duration // when that was seen
+	revokedAt    time.Duration // when this member saw the revocation
 }
 
 func (m *membership) add(name, dataCentre, address string) *peer {
@@ -70,8 +74,9 @@
 	m.list = slices.DeleteFunc(m.list, func(q *peer) bool { return q == p })
 }
 
-// hears reports whether the peer's messages still come. A peer of another data
-// centre sends to the members of this one in turn.
+// isHeard reports whether the peer's messages still arrive. A peer of another
+// data centre sends its heartbeats to the members of this one in turn, so its
+// timeout is longer.
 func (h *Host) isHeard(p *peer) bool {
 	timeout := h.cfg.SuspectTimeout
 	if !h.isLocal(p) {
@@ -80,8 +85,8 @@
 	return p.heard && !p.gone && h.now-p.lastHeard < timeout
 }
 
-// prefer returns the first peer that will do, of the own data centre if local,
-// else of another; failing that any that will do, or nil.
+// selectPeer returns the first accepted peer: of this data centre if local, else
+// of another one; if there is none, any other accepted peer, or nil.
 func (h *Host) selectPeer(local bool, accepts func(*peer) bool) *peer {
 	var fallback *peer
 	for _, p := range h.members.list {
@@ -98,7 +103,7 @@
 	return fallback
 }
 
-// local reports whether the peer is in this host's data centre.
+// isLocal reports whether the peer is in this host's data centre.
 func (h *Host) isLocal(p *peer) bool { return p.dataCentre == h.cfg.DataCentre }
 
 func (h *Host) tickMembers() {
@@ -114,9 +119,10 @@
 	}
 }
 
-// heartbeat goes to every peer of the data centre and to one peer of each other
-// data centre in turn, so that its cost grows with the data centre, not the
-// fleet. Seeds that are no known peer get one too.
+// sendHeartbeats sends a heartbeat to every peer of the data centre and, in
+// turn, to one peer of each other data centre, so that its cost grows with the
+// size of the data centre instead of the fleet. Seeds that belong to no known
+// peer get one too.
 func (h *Host) sendHeartbeats() {
 	h.members.heartbeats++
 	byDataCentre := map[string][]*peer{}
@@ -150,6 +156,9 @@
 
 func (h *Host) sendHeartbeat(p *peer) { h.send(p.address, h.heartbeatFrame(p)) }
 
+// heartbeatFrame returns a heartbeat for a peer, or for an unknown one if p is
+// nil. While the platform is unreachable it includes a promise not to take over
+// the peer's slots.
 func (h *Host) heartbeatFrame(p *peer) *peerpb.Frame {
 	hb := &peerpb.Heartbeat{
 		DataCentre: h.cfg.DataCentre, Address: h.cfg.Address, LeaseVersion: h.lease.version,
@@ -167,6 +176,7 @@
 	return &peerpb.Frame{Body: &peerpb.Frame_Heartbeat{Heartbeat: hb}}
 }
 
+// targetLoads returns the load of this member on each target that it uses.
 func (h *Host) targetLoads() []*peerpb.TargetLoad {
 	var loads []*peerpb.TargetLoad
 	for _, name := range h.sched.Targets() {
@@ -178,6 +188,8 @@
 	return loads
 }
 
+// handlePeerFrame processes a message. Messages of unknown members are ignored,
+// except for heartbeats.
 func (h *Host) handlePeerFrame(f *peerpb.Frame) {
 	if f.GetFrom() == "" || f.From == h.self {
 		return
@@ -230,8 +242,9 @@
 	p.platformOK, p.draining, p.suspended = hb.PlatformReachable, hb.Draining, hb.Suspended
 	p.configVersion, p.slots = hb.ConfigVersion, int(hb.Slots)
 	if hb.EchoMs > 0 && hb.PromiseMs > 0 {
-		// Counted from when we sent what the peer answers, so that a message
-		// that was long under way, or read late, grants nothing.
+		// The promise counts from the time at which this host sent the heartbeat
+		// that the peer echoes, so that a message that was delayed, or read late,
+		// does not extend it.
 		sentAt := time.Duration(hb.EchoMs-1) * time.Millisecond
 		p.receivedPromiseUntil = max(p.receivedPromiseUntil, sentAt+time.Duration(hb.PromiseMs)*time.Millisecond)
 	}
@@ -248,8 +261,8 @@
 	}
 }
 
-// peerRefused notes that nothing listens at an address. The lease of such a
-// member must still lapse before its slots are taken over.
+// handlePeerRefused marks the peers at an address where no process listens.
+// Their leases must still lapse before their slots are taken over.
 func (h *Host) handlePeerRefused(address string) {
 	for _, p := range h.members.list {
 		if p.address == address && !p.gone {
@@ -258,24 +271,25 @@
 	}
 }
 
+// markGone marks a peer as gone and drops its load on the targets.
 func (h *Host) markGone(p *peer) {
 	p.gone = true
 	h.sched.SetPeer(p.name, nil)
 }
 
-// refreshEvery paces the lists of leases.
+// leaseListInterval is the time between two lists of leases.
 const leaseListInterval = 5 * time.Second
 
-// refreshMembers lists the leases of the own data centre and, in turn, of one
-// other: the number of reads does not grow with the number of data centres.
+// listMembers lists the leases of this data centre and, in turn, of one other,
+// so that the number of reads does not grow with the number of data centres.
 func (h *Host) listMembers() {
 	h.members.listAt = h.now + leaseListInterval
 	prefix := LeasePrefix
 	if h.members.heartbeats > 0 {
 		prefix = LeasePrefix + h.cfg.DataCentre + "/"
 		if n := len(h.members.dataCentres); n > 0 {
-			h.members.nextDataCentre++
-			h.listLeases(LeasePrefix + h.members.dataCentres[h.members.nextDataCentre%n] + "/")
+			h.members.dataCentreCounter++
+			h.listLeases(LeasePrefix + h.members.dataCentres[h.members.dataCentreCounter%n] + "/")
 		}
 	}
 	h.listLeases(prefix)
@@ -292,7 +306,7 @@
 	})
 }
 
-// seeLease takes in the lease of another member.
+// updateFromLease updates a peer from its lease as read from the platform.
 func (h *Host) updateFromLease(o Object) {
 	var l LeaseObject
 	if json.Unmarshal(o.Body, &l) != nil || l.Member == "" || l.Member == h.self {
@@ -313,8 +327,8 @@
 		p.revoked, p.revokedAt = true, h.now
 		h.markGone(p)
 	}
-	// An earlier incarnation of this very host cannot be alive: this process
-	// holds its address.
+	// An earlier incarnation of this host cannot be alive: this process listens
+	// at its address.
 	if l.Host == h.cfg.Host && l.Address == h.cfg.Address && !p.revoked {
 		h.revokeLease(p, o)
 	}
--- a/core/host/ops.go
+++ b/core/host/ops.go
@@ -9,32 +9,34 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// operations tracks what was asked of the platform.
+// operations tracks the operations submitted to the platform.
 type operations struct {
 	lastID    uint64
 	pending   map[uint64]*pendingOp
-	reachable bool          // the last direct operation was answered
+	reachable bool          // whether the last direct operation was answered
 	probedAt  time.Duration // last direct probe while unreachable
 }
 
+// pendingOp is an operation without a reply.
 type pendingOp struct {
 	op       PlatformOp
 	deadline time.Duration
-	relay    string // peer it went through, or empty
+	relay    string // peer that relays it, empty if sent directly
 	done     func(*PlatformReply)
 }
 
-// putAttempts bounds how often one conditional write is sent.
+// maxPutAttempts bounds how often one conditional write is sent.
 const maxPutAttempts = 3
 
-// probeEvery paces the direct probes while the platform is out of reach.
+// probeInterval is the time between direct probes while the platform is
+// unreachable.
 const probeInterval = 500 * time.Millisecond
 
-// watchTimeout is how long a waiting watch may stay unanswered.
+// watchTimeout is how long a watch may stay unanswered.
 const watchTimeout = 40 * time.Second
 
-// do sends an operation; done is called once, in a later Step. While the
-// platform is out of reach the operation goes through a peer that reaches it.
+// submitOp submits an operation; done is called once, in a later Step. While the
+// platform is unreachable, the operation goes through a peer that reaches it.
 func (h *Host) submitOp(op PlatformOp, done func(*PlatformReply)) {
 	h.ops.lastID++
 	op.ID = h.ops.lastID
@@ -54,7 +56,8 @@
 	h.ready.Ops = append(h.ready.Ops, op)
 }
 
-// relayPeer chooses a peer to carry an operation, nil to send it directly.
+// relayPeer selects a peer to relay an operation, nil to send it directly.
+// Watches and lists are never relayed.
 func (h *Host) relayPeer(kind OpKind) *peer {
 	if h.ops.reachable || kind == OpWatch || kind == OpList || kind == OpListKeys {
 		return nil
@@ -62,6 +65,8 @@
 	return h.selectPeer(true, func(p *peer) bool { return p.platformOK && h.isHeard(p) })
 }
 
+// handlePlatformReply completes an operation. Direct operations, except watches,
+// also tell whether the platform is reachable.
 func (h *Host) handlePlatformReply(r *PlatformReply) {
 	p, ok := h.ops.pending[r.ID]
 	if !ok {
@@ -86,7 +91,7 @@
 	h.addNote(Note{Kind: kind})
 }
 
-// expireOps counts operations without an answer as lost, in order.
+// timeOutOps completes overdue operations as OpLost, in order of their IDs.
 func (h *Host) timeOutOps() {
 	var late []uint64
 	for id, p := range h.ops.pending {
@@ -104,7 +109,7 @@
 	}
 }
 
-// probe asks the platform directly whether it answers.
+// probe checks by a direct read whether the platform answers.
 func (h *Host) probe() {
 	h.ops.lastID++
 	op := PlatformOp{ID: h.ops.lastID, Kind: OpGet, Key: h.lease.key(h)}
@@ -113,13 +118,15 @@
 	h.ready.Ops = append(h.ready.Ops, op)
 }
 
-// put writes an object whose body no other writer would write. The status it
-// passes on is OpOK, OpConflict, OpUnavailable, or OpLost when even reading
-// back did not tell. A lost reply is settled by reading back.
+// putObject writes an object whose body no other writer would write. A write
+// without a known result is settled by reading the object back. done gets OpOK,
+// OpConflict, OpUnavailable, or OpLost if reading back did not tell the result
+// either.
 func (h *Host) putObject(key string, ifVersion uint64, body []byte, done func(OpStatus, uint64)) {
 	h.tryPut(key, ifVersion, body, 1, done)
 }
 
+// tryPut sends one attempt of a conditional write.
 func (h *Host) tryPut(key string, ifVersion uint64, body []byte, attempt int, done func(OpStatus, uint64)) {
 	h.submitOp(PlatformOp{Kind: OpPut, Key: key, IfVersion: ifVersion, Body: body}, func(r *PlatformReply) {
 		switch r.Status {
@@ -131,6 +138,7 @@
 	})
 }
 
+// readBack reads an object to determine the result of a write.
 func (h *Host) readBack(key string, ifVersion uint64, body []byte, attempt int, done func(OpStatus, uint64)) {
 	h.submitOp(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
 		switch {
@@ -140,13 +148,14 @@
 			done(OpConflict, r.Version)
 		case r.Status != OpOK && r.Status != OpNotFound, attempt >= maxPutAttempts:
 			done(OpLost, 0)
-		default: // not in effect, or a stale read: the condition keeps it safe
+		default: // not written, or a stale read; the condition makes a repetition safe
 			h.tryPut(key, ifVersion, body, attempt+1, done)
 		}
 	})
 }
 
-// relayRequest carries an operation for a peer that cannot reach the platform.
+// handleRelayRequest performs an operation for a peer that cannot reach the
+// platform.
 func (h *Host) handleRelayRequest(from *peer, m *peerpb.RelayRequest) {
 	reply := func(r *PlatformReply) {
 		h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_RelayReply{RelayReply: &peerpb.RelayReply{
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -8,9 +8,9 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// targetDone takes the end of an attempt. Only the attempt under way counts:
-// a late answer of an earlier one, or one that belongs to another call, is
-// dropped and counted.
+// handleTargetDone processes the end of an attempt. Only the current attempt
+// counts: a late answer of an earlier attempt, or an answer that belongs to
+// another call, is dropped and counted.
 func (h *Host) handleTargetDone(ev *TargetDone) {
 	p := h.programs[ev.Call.Program]
 	if p == nil || p.activeCall == nil || p.activeCall.state != stateSent || p.activeCall.id() != ev.Call {
@@ -22,7 +22,7 @@
 	if ev.Outcome == TargetAnswered && ev.Echo != "" && ev.Echo != ev.Call.ID() {
 		h.stats.Crossed++
 		h.addNote(Note{Kind: NoteAnswerCrossed, Program: p.id, Call: ev.Call.Sequence, Target: ev.Target})
-		ev = &TargetDone{Call: ev.Call, Target: ev.Target, Outcome: TargetLost, Detail: "the answer belongs to another call"}
+		ev = &TargetDone{Call: ev.Call, Target: ev.Target, Outcome: TargetLost, Detail: "the answer carries the id of another call"}
 	}
 	healthy := ev.Outcome == TargetAnswered || ev.Outcome == TargetInvalid || ev.Outcome == TargetFenced
 	h.sched.Done(h.now, c.target, healthy, h.now-c.sentAt)
@@ -33,12 +33,14 @@
 	h.handleAttemptFailure(c, ev.Outcome, ev.Detail)
 }
 
+// recordAnswer charges and records an answer; the callers get it once the record
+// is durable.
 func (h *Host) recordAnswer(c *call, ev *TargetDone) {
 	p := c.program
 	c.transition(eventAnswer)
 	usedTokens := newTokens(c.accepted.PromptTokens, ev.Usage, p.historyTokens) + ev.Usage.Output
 	if ev.Usage == (Usage{}) {
-		usedTokens = c.attemptTokens() // the target does not say
+		usedTokens = c.attemptTokens() // the target reports no usage
 	}
 	if usedTokens > c.attemptTokens() {
 		h.addNote(Note{Kind: NoteBudgetOverrun, Program: p.id, Call: c.accepted.Sequence, Target: c.target})
@@ -52,7 +54,8 @@
 	h.whenDurable(h.log.writer.LastLSN(), c, 0, h.closeCall)
 }
 
-// retain updates the estimate of cache that the target keeps for the program.
+// updateCacheEstimate sets the estimate of the program's cache at the target
+// after an answer.
 func (h *Host) updateCacheEstimate(c *call, u Usage) {
 	p, tokens := c.program, u.Prompt+u.Output
 	for i := range p.cacheTargets {
@@ -63,7 +66,7 @@
 	}
 }
 
-// finish records the outcome and settles the budget.
+// recordOutcome records the outcome and settles the budget.
 func (h *Host) recordOutcome(c *call, m *peerpb.CallFinished) {
 	c.finished = m
 	h.settleBudget(c.program, c.reservedTokens, m.ChargedTokens)
@@ -71,15 +74,16 @@
 	h.appendRecord(c.program, &peerpb.Record{Body: &peerpb.Record_Finished{Finished: m}})
 }
 
-// attemptFailed retries a call or gives it up. A non-idempotent call is tried
-// again only with the target's proof that it did not start.
+// handleAttemptFailure retries or fails a call after a failed attempt. A
+// non-idempotent call is retried only if the target has proved that it did not
+// start.
 func (h *Host) handleAttemptFailure(c *call, outcome TargetOutcome, detail string) {
 	h.addNote(Note{Kind: NoteAttemptFailed, Program: c.program.id, Call: c.accepted.Sequence, Target: c.target, Epoch: c.program.slot.epoch, Detail: detail})
 	if outcome == TargetFenced {
 		h.readTable(h.cfg.DataCentre)
 	}
 	if outcome == TargetInvalid {
-		h.failCall(c, failure.New(failure.TargetFailed, "target %s refused the request: %s", c.target, detail))
+		h.failCall(c, failure.New(failure.TargetFailed, "target %s rejected the request: %s", c.target, detail))
 		return
 	}
 	lost := outcome == TargetLost
@@ -101,14 +105,16 @@
 	h.enqueueCall(c, true)
 }
 
-// mayRetry spends a retry, and for a lost attempt reserves tokens once more.
+// takeRetry takes a retry from the retry budget and, for a lost attempt,
+// reserves the tokens of another attempt. It returns a failure if no retry is
+// allowed.
 func (h *Host) takeRetry(c *call, lost bool) *failure.Failure {
 	budget := h.sched.RetryBudget(c.accepted.Service)
 	switch {
 	case int(c.lastAttempt) > c.directives.Retries:
 		return failure.Retry(failure.TargetFailed, noTargetRetryDelay, "all %d attempts failed", c.lastAttempt)
 	case budget == nil || !budget.TakeToken():
-		return failure.Retry(failure.TargetFailed, noTargetRetryDelay, "the retry budget of %s is spent", c.accepted.Service)
+		return failure.Retry(failure.TargetFailed, noTargetRetryDelay, "the retry budget of %s is exhausted", c.accepted.Service)
 	case lost && h.remainingBudget(c.program) < c.attemptTokens():
 		return failure.New(failure.BudgetExhausted, "the budget does not allow another attempt")
 	}
@@ -119,8 +125,9 @@
 	return nil
 }
 
-// fail gives the call up. "ran: no" is told once its record is durable, so that
-// no new owner can run the call; "ran: unknown" is told at once.
+// failCall ends a call with a failure. "ran: no" is reported once its record is
+// durable, so that no new owner runs the call; "ran: unknown" is reported at
+// once.
 func (h *Host) failCall(c *call, reason *failure.Failure) {
 	if c.state == stateIntending {
 		h.withdrawAttempt(c)
@@ -131,7 +138,7 @@
 		reason = &unknown
 	}
 	if c.finished == nil && callChart.StateName(c.state) == "waiting" {
-		c.transition(eventAdmit) // recovered, and given up before it was queued
+		c.transition(eventAdmit) // a recovered call that failed before it was queued
 	}
 	c.transition(eventFail)
 	c.failure = reason
@@ -146,7 +153,7 @@
 	h.whenDurable(h.log.writer.LastLSN(), c, h.now+maxFailureWait, h.closeCall)
 }
 
-// close tells the waiters the outcome and lets the next call begin.
+// closeCall reports the outcome to the waiters and starts the next call.
 func (h *Host) closeCall(c *call) {
 	p := c.program
 	if p.activeCall != c {
@@ -163,7 +170,7 @@
 	consumed := false
 	if c.finished != nil {
 		t := finishedTurn(c.accepted, c.finished)
-		consumed = t.consumesSequence() // as the record says, and a new owner will see
+		consumed = t.consumesSequence() // decided from the record, as a new owner decides
 		if consumed {
 			p.addTurn(t)
 		}
@@ -180,6 +187,7 @@
 	h.startNextCall(p, consumed)
 }
 
+// countOutcome counts an outcome and notes a failure.
 func (h *Host) countOutcome(p *program, c *call) {
 	switch {
 	case c.failure == nil:
@@ -193,8 +201,8 @@
 	h.addNote(Note{Kind: NoteCallFailed, Program: p.id, Call: c.accepted.Sequence, Target: c.target, Epoch: p.slot.epoch, Detail: c.failure.Error()})
 }
 
-// next begins the pipelined call that follows, or refuses all that wait when
-// the one before them left no outcome to build on.
+// startNextCall starts the next waiting call. It rejects all waiting calls if
+// the program has ended or the previous call left no outcome to continue from.
 func (h *Host) startNextCall(p *program, consumed bool) {
 	waiting := p.pendingCalls
 	if len(waiting) == 0 {
@@ -213,7 +221,8 @@
 	}
 }
 
-// tickCalls ends what took too long.
+// tickCalls ends attempts past their timeout and queued calls past their
+// deadline.
 func (h *Host) tickCalls() {
 	for _, p := range h.sortedActivePrograms() {
 		c := p.activeCall
@@ -225,18 +234,20 @@
 			h.handleAttemptTimeout(c)
 		case (c.state == stateQueued || c.state == stateIntending) && c.deadline > 0 && h.now >= c.deadline:
 			h.sched.Remove(&c.item)
-			h.failCall(c, failure.Retry(failure.DeadlineExceeded, max(overloadedRetryDelay, h.sched.ExpectedWait(c.accepted.Service)), "the deadline passed in the queue"))
+			h.failCall(c, failure.Retry(failure.DeadlineExceeded, max(overloadedRetryDelay, h.sched.ExpectedWait(c.accepted.Service)), "the deadline passed while the call was queued"))
 		}
 	}
 	h.expirePrograms()
 }
 
+// handleAttemptTimeout cancels an attempt past its timeout and retries or fails
+// the call.
 func (h *Host) handleAttemptTimeout(c *call) {
 	h.ready.Cancels = append(h.ready.Cancels, c.id())
 	h.sched.Done(h.now, c.target, false, h.now-c.sentAt)
 	if c.deadline > 0 && h.now >= c.deadline {
 		c.lostAttempts++
-		h.failCall(c, failure.Unknown(failure.DeadlineExceeded, "the deadline passed while the call ran at %s", c.target))
+		h.failCall(c, failure.Unknown(failure.DeadlineExceeded, "the deadline passed while the call was at target %s", c.target))
 		return
 	}
 	h.handleAttemptFailure(c, TargetLost, "timeout after "+(h.now-c.sentAt).Round(time.Millisecond).String())
--- a/core/host/peerlease.go
+++ b/core/host/peerlease.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// leaseCheckEvery paces the reads of a suspected member's lease.
+// leaseCheckInterval is the time between reads of a suspected member's lease.
 const leaseCheckInterval = 500 * time.Millisecond
 
-// watchPeer follows a silent peer until its lease has lapsed, then revokes the
-// lease. Only a member that itself holds its lease and reaches the platform
-// does so.
+// checkPeer follows a silent peer until its lease has lapsed, then revokes the
+// lease. A member does so only while its own lease is valid and it reaches the
+// platform. The slots of a revoked peer are claimed.
 func (h *Host) checkPeer(p *peer) {
 	if p.revoked {
 		h.claimSlotsOf(p)
@@ -34,10 +34,11 @@
 	h.checkLease(p)
 }
 
+// checkLease reads the lease of a silent peer and revokes it if it has lapsed.
 func (h *Host) checkLease(p *peer) {
 	h.submitOp(PlatformOp{Kind: OpGet, Key: LeaseKey(p.name)}, func(r *PlatformReply) {
 		switch r.Status {
-		case OpNotFound: // left in good order, and removed its lease
+		case OpNotFound: // it left after a graceful stop, and its lease was removed
 			h.markGone(p)
 			if !h.ownsSlots(p) {
 				h.members.remove(p)
@@ -52,22 +53,23 @@
 	})
 }
 
-// lapsed reports whether the peer's lease has surely lapsed by its own clock.
+// hasLapsed reports whether the peer's lease has certainly lapsed by the peer's
+// own clock.
 func (h *Host) hasLapsed(p *peer) bool {
 	if h.now < p.givenPromiseUntil || h.isHeard(p) || !h.holdsLease() {
 		return false
 	}
 	wait := h.cfg.LeaseDuration + h.cfg.ClockMargin
 	if !h.isLocal(p) || !p.heard {
-		// A member of another data centre, or one that does not know of us and
-		// may be serving on the promises of its own peers.
+		// A member of another data centre, or one that does not know this member,
+		// may still serve on the promises of its own peers.
 		wait += h.cfg.DataCentreLeaseDuration
 	}
 	return h.now >= p.leaseSeenAt+wait
 }
 
-// revoke marks a lapsed lease by conditional update, so that its holder can
-// never renew it. Of several members that try, one succeeds.
+// revokeLease marks a lapsed lease as revoked by conditional update, so that its
+// holder can never renew it. Of several members that try, one succeeds.
 func (h *Host) revokeLease(p *peer, o Object) {
 	var l LeaseObject
 	if json.Unmarshal(o.Body, &l) != nil {
--- a/core/host/program.go
+++ b/core/host/program.go
@@ -13,11 +13,11 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// program is one chain of dependent calls.
+// program is one sequence of dependent calls.
 //
-// Invariants: turns[i] has sequence i; active, if any, has sequence
-// len(turns); pending follow it without gaps. spent+reserved never exceeds
-// budget, for the program and each of its ancestors.
+// Invariants: turns[i] has sequence i; activeCall, if any, has sequence
+// len(turns); pendingCalls follow it without gaps. spentTokens+reservedTokens
+// never exceeds budgetTokens, for the program and each of its ancestors.
 type program struct {
 	id           ident.Program
 	slot         *ownedSlot
@@ -26,9 +26,9 @@
 	parent       ident.Program // in the same slot; empty for none
 	key          string
 	budgetTokens int64
-	deadline     time.Duration // in this host's time, 0 = none
+	deadline     time.Duration // in this host's time, 0 for none
 
-	spentTokens    int64 // tokens, with those of its sub-agents
+	spentTokens    int64 // includes the tokens of its sub-agents
 	reservedTokens int64
 
 	turns         []*turn
@@ -42,20 +42,20 @@
 	endReason    string
 	endedAt      time.Duration
 	usedAt       time.Duration
-	startedAt    time.Duration // when its first call arrived here
+	startedAt    time.Duration // when its first call arrived at this host
 	meanPause    time.Duration // moving average of its tool pauses, 0 before the first
 	corrupt      bool
 
-	firstSegment uint64
+	firstSegment uint64 // lower bound of the segments with its live records
 }
 
-// holder is a target that may keep cache of the program.
+// cacheTarget is a target that may keep cache of the program.
 type cacheTarget struct {
 	target string
-	tokens int64 // estimate, counted at the scheduler
+	tokens int64 // estimate, included in the scheduler's sum for the target
 }
 
-// turn is one call with a lasting outcome: an answer, or a failure of a
+// turn is one call with a final outcome: an answer, or the failure of a
 // non-idempotent call that may have run.
 type turn struct {
 	accepted *peerpb.CallAccepted
@@ -65,9 +65,9 @@
 	failure  *failure.Failure
 }
 
-// consumes reports whether the outcome uses up the call's sequence number. A
-// call that did not run may be sent again under its number, and so may an
-// idempotent one that failed.
+// consumesSequence reports whether the outcome uses up the call's sequence
+// number. A call that did not run may be submitted again under its number, and
+// so may an idempotent call that failed.
 func (t *turn) consumesSequence() bool {
 	return t.failure == nil || !t.accepted.Idempotent && t.failure.Ran != failure.RanNo
 }
@@ -80,6 +80,7 @@
 	return &program{id: id, slot: own, usedAt: now}
 }
 
+// setCreated sets the properties of the program from its creation record.
 func (p *program) setCreated(m *peerpb.ProgramCreated, now time.Duration) {
 	p.caller, p.service, p.parent = m.Caller, m.Service, ident.Program(m.Parent)
 	p.budgetTokens, p.key = m.BudgetTokens, m.Key
@@ -88,8 +89,8 @@
 	}
 }
 
-// hold notes that a target may keep cache of the program; tokens 0 keeps an
-// earlier estimate.
+// addCacheTarget records that a target may keep cache of the program. tokens is
+// the estimated cache; a larger earlier estimate stays.
 func (p *program) addCacheTarget(target string, tokens int64) {
 	for i := range p.cacheTargets {
 		if p.cacheTargets[i].target == target {
@@ -100,27 +101,31 @@
 	p.cacheTargets = append(p.cacheTargets, cacheTarget{target: target, tokens: tokens})
 }
 
+// removeCacheTarget removes a target that keeps no cache of the program any
+// more.
 func (p *program) removeCacheTarget(target string) {
 	p.cacheTargets = slices.DeleteFunc(p.cacheTargets, func(cache cacheTarget) bool { return cache.target == target })
 }
 
-// turnOverhead is what a turn takes in memory and in a snapshot besides its
-// text.
+// turnOverheadBytes is the approximate size of a turn in memory and in a
+// snapshot, without its texts.
 const turnOverheadBytes = 200
 
+// addTurn appends a turn and adds its size and tokens.
 func (p *program) addTurn(t *turn) {
 	p.turns = append(p.turns, t)
 	p.sizeBytes += len(t.accepted.Prompt) + len(t.answer) + turnOverheadBytes
 	p.historyTokens += newTokens(t.accepted.PromptTokens, t.usage, p.historyTokens) + t.usage.Output
 }
 
-// newTokens is what a turn added to the prompt: the target counts the whole
-// history, and the caller's bound holds if it counts less.
+// newTokens returns the tokens that a turn added to the prompt. The target
+// counts the whole history. maxTokens, the caller's bound, limits the result.
 func newTokens(maxTokens int64, u Usage, history int64) int64 {
 	return min(maxTokens, max(0, u.Prompt-history))
 }
 
-// repeats reports whether each of the last n turns had this body.
+// repeatsBody reports whether each of the last n turns had the body with this
+// hash.
 func (p *program) repeatsBody(hash uint64, n int) bool {
 	if len(p.turns) < n {
 		return false
@@ -133,7 +138,7 @@
 	return true
 }
 
-// nextSequence is the sequence of the next new call.
+// nextSequence returns the sequence number of the next new call.
 func (p *program) nextSequence() uint32 {
 	n := len(p.turns) + len(p.pendingCalls)
 	if p.activeCall != nil {
@@ -142,6 +147,7 @@
 	return uint32(n)
 }
 
+// waiters returns the waiters of the active call and the pending ones.
 func (p *program) waiters() []uint64 {
 	var all []uint64
 	if p.activeCall != nil {
@@ -153,7 +159,7 @@
 	return all
 }
 
-// past returns the turns as history for the next call.
+// answeredTurns returns the answered turns as history for the next call.
 func (p *program) answeredTurns() []Turn {
 	answered := make([]Turn, 0, len(p.turns))
 	for _, t := range p.turns {
@@ -164,25 +170,27 @@
 	return answered
 }
 
-// chain calls f for the program and each ancestor.
+// forSelfAndAncestors calls do for the program and each of its ancestors.
 func (h *Host) forSelfAndAncestors(p *program, do func(*program)) {
 	for q := p; q != nil; q = h.programs[q.parent] {
 		do(q)
 	}
 }
 
-// left is how many tokens the program may still reserve.
+// remainingBudget returns the number of tokens that the program can still
+// reserve: the minimum over itself and its ancestors.
 func (h *Host) remainingBudget(p *program) int64 {
 	remaining := int64(1<<63 - 1)
 	h.forSelfAndAncestors(p, func(q *program) { remaining = min(remaining, q.budgetTokens-q.spentTokens-q.reservedTokens) })
 	return max(0, remaining)
 }
 
+// reserveTokens reserves tokens of the program and its ancestors.
 func (h *Host) reserveTokens(p *program, tokens int64) {
 	h.forSelfAndAncestors(p, func(q *program) { q.reservedTokens += tokens })
 }
 
-// settle ends a reservation and charges what was used.
+// settleBudget ends a reservation and charges the tokens used.
 func (h *Host) settleBudget(p *program, reserved, charged int64) {
 	h.forSelfAndAncestors(p, func(q *program) {
 		q.reservedTokens -= reserved
@@ -190,9 +198,10 @@
 	})
 }
 
+// createKey identifies an idempotent request for a program.
 type createKey struct{ caller, key string }
 
-// adopt adds a program to the tables.
+// addProgram adds a program to the indexes of the host and its slot.
 func (h *Host) addProgram(p *program) {
 	h.programs[p.id] = p
 	p.slot.programs[p.id] = p
@@ -201,7 +210,8 @@
 	}
 }
 
-// forget takes a program out of memory, as when it was handed over.
+// removeProgram removes a program from memory, as after its slot was handed
+// over.
 func (h *Host) removeProgram(p *program) {
 	delete(h.programs, p.id)
 	delete(p.slot.programs, p.id)
@@ -216,7 +226,8 @@
 	}
 }
 
-// resume goes on with a recovered program.
+// resumeProgram continues a recovered program: it releases the cache of an ended
+// one, and queues or fails the call that was active.
 func (h *Host) resumeProgram(p *program) {
 	if p.corrupt {
 		return
@@ -233,7 +244,7 @@
 	p.startedAt = h.now
 	h.activePrograms[p] = struct{}{}
 	attemptTokens := c.attemptTokens()
-	c.reservedTokens = int64(c.lostAttempts) * attemptTokens // what they may have used
+	c.reservedTokens = int64(c.lostAttempts) * attemptTokens // tokens that the lost attempts may have used
 	h.reserveTokens(p, c.reservedTokens)
 	switch {
 	case c.failure != nil:
@@ -249,7 +260,8 @@
 	}
 }
 
-// snapshot writes the program whole into this member's stream.
+// writeSnapshot writes the complete state of the program into this member's
+// stream, in one or more records.
 func (h *Host) writeSnapshot(p *program) {
 	s := &peerpb.ProgramSnapshot{
 		Created:     p.createdRecord(h.now),
@@ -273,6 +285,7 @@
 	}
 }
 
+// snapshotTurns returns the turns and the active call for a snapshot.
 func (p *program) snapshotTurns() []*peerpb.Turn {
 	turns := make([]*peerpb.Turn, 0, len(p.turns)+1)
 	for _, t := range p.turns {
@@ -288,11 +301,11 @@
 	return turns
 }
 
-// snapshotPartBytes is the size from which a snapshot goes on in another record,
-// so that each fits into a segment: an object has at most 1 MiB.
+// snapshotPartBytes is the size after which a snapshot continues in another
+// record, so that each record fits into a segment: an object has at most 1 MiB.
 const snapshotPartBytes = 128 << 10
 
-// cutTurns takes as many turns as one record should hold, at least one.
+// splitTurns splits off the turns that one record should hold, at least one.
 func splitTurns(turns []*peerpb.Turn) (first, rest []*peerpb.Turn) {
 	bytes, n := 0, 0
 	for n < len(turns) && (n == 0 || bytes < snapshotPartBytes) {
@@ -302,6 +315,8 @@
 	return turns[:n], turns[n:]
 }
 
+// createdRecord returns the creation record of the program with the deadline
+// relative to now.
 func (p *program) createdRecord(now time.Duration) *peerpb.ProgramCreated {
 	m := &peerpb.ProgramCreated{
 		Caller: p.caller, Service: p.service, Parent: string(p.parent), BudgetTokens: p.budgetTokens, Key: p.key,
@@ -312,6 +327,7 @@
 	return m
 }
 
+// finishedRecord returns the record of the turn's outcome.
 func (t *turn) finishedRecord() *peerpb.CallFinished {
 	m := &peerpb.CallFinished{
 		Sequence: t.accepted.Sequence, Answer: t.answer, Target: t.target,
--- a/core/host/ready.go
+++ b/core/host/ready.go
@@ -13,9 +13,9 @@
 // OpKind is the kind of a platform operation.
 type OpKind uint8
 
-// The kinds. OpPut is conditional: IfVersion 0 means that the object must not
-// exist. OpList returns all objects below a prefix with their bodies; OpKeys
-// the same without bodies. OpWatch waits for changes below a prefix.
+// The kinds of operations. OpPut is conditional: IfVersion 0 means that the object
+// must not exist. OpList returns all objects under a prefix with their bodies,
+// OpListKeys the same without bodies. OpWatch waits for changes under a prefix.
 const (
 	OpGet OpKind = iota
 	OpPut
@@ -25,23 +25,23 @@
 	OpWatch
 )
 
-// PlatformOp is one operation on the platform's objects.
+// PlatformOp is an operation on the objects of the platform.
 type PlatformOp struct {
 	ID        uint64
 	Kind      OpKind
-	Key       string // or the prefix
-	IfVersion uint64 // of OpPut; of OpWatch the revision to go on from
+	Key       string // or the prefix of OpList, OpListKeys and OpWatch
+	IfVersion uint64 // for OpPut; for OpWatch the revision to continue from
 	Body      []byte
 }
 
-// Turn is one finished call, as history for the next.
+// Turn is an answered call, as history for the next call of the program.
 type Turn struct {
 	Service string
 	Prompt  []byte
 	Answer  []byte
 }
 
-// Send is one attempt of a call at a target.
+// Send is an attempt of a call at a target.
 type Send struct {
 	Call    CallID
 	Target  *decl.Target
@@ -50,24 +50,26 @@
 	Epoch   uint64
 	Prompt  []byte
 	History []Turn
-	// MaxTokens is what the budget leaves for the output.
+	// MaxTokens is the output limit in tokens, within the remaining budget.
 	MaxTokens int64
-	// Priority orders the calls that wait inside the target: higher first. It
-	// falls with time, so that no call is passed for ever.
+	// Priority orders the calls that wait inside the target, higher values
+	// first. It falls with time, so that no call waits forever behind later
+	// ones.
 	Priority int64
 	Timeout  time.Duration
-	// NotAfter is when, unless more is learned, this member may no longer send
-	// for the slot. A driver that comes to send later, as after a pause of its
-	// process, must not, and reports TargetRefused.
+	// NotAfter is the time after which this member, by what it knows now, may no
+	// longer send for the slot. A driver that would send later, for example
+	// after a pause of its process, must not send and reports TargetRefused.
 	NotAfter time.Duration
 }
 
-// ID is the call id that goes to the target and comes back with the answer.
+// ID returns the call id that is sent to the target and returned with the
+// answer: "<program>/<sequence>/<attempt>".
 func (c CallID) ID() string {
 	return string(c.Program) + "/" + strconv.FormatUint(uint64(c.Sequence), 10) + "/" + strconv.FormatUint(uint64(c.Attempt), 10)
 }
 
-// Outcome is the final word on a request.
+// Outcome is the final result of a request.
 type Outcome struct {
 	Program ident.Program
 	Answer  []byte
@@ -77,14 +79,14 @@
 	Failure *failure.Failure
 }
 
-// Reply is the outcome for one waiter. It is given once per waiter.
+// Reply is the outcome for one waiter. Each waiter gets exactly one.
 type Reply struct {
 	Waiter  uint64
 	Outcome Outcome
 }
 
-// PeerMessage goes to another member, or to an address of which no member is
-// known yet.
+// PeerMessage is a message to another member, or to a seed address that belongs
+// to no known member.
 type PeerMessage struct {
 	Address string
 	Frame   *peerpb.Frame
@@ -98,10 +100,10 @@
 	Epoch   uint64
 }
 
-// NoteKind names something worth a log line and a counter.
+// NoteKind names an occurrence that is logged and counted.
 type NoteKind string
 
-// The notes.
+// The kinds of notes.
 const (
 	NoteLeaseAcquired   NoteKind = "lease_acquired"
 	NoteLeaseLost       NoteKind = "lease_lost"
@@ -126,7 +128,7 @@
 	NoteBudgetOverrun   NoteKind = "budget_overrun"
 )
 
-// Note is a fact for logs and metrics; it never carries prompt text.
+// Note is an occurrence for logs and metrics. It never contains prompt text.
 type Note struct {
 	Kind    NoteKind
 	Program ident.Program
@@ -137,7 +139,7 @@
 	Detail  string
 }
 
-// Ready is what the driver has to do after a Step.
+// Ready holds the effects that the driver carries out after a Step.
 type Ready struct {
 	Ops      []PlatformOp
 	Sends    []Send
@@ -146,13 +148,13 @@
 	Messages []PeerMessage
 	Releases []Release
 	Notes    []Note
-	// SaveConfig, when not nil, is a newly accepted declaration object for
-	// hosts with a disk to keep.
+	// SaveConfig, if not nil, is a newly accepted declaration object, which a
+	// host with a disk saves.
 	SaveConfig []byte
 	// Drained is set once a graceful stop is complete.
 	Drained bool
-	// Lost is set when the member was replaced by another owner and must start
-	// again under a new incarnation.
+	// Lost is set when another owner has replaced the member. The host must
+	// restart under a new incarnation.
 	Lost bool
 }
 
--- a/core/host/rebuild.go
+++ b/core/host/rebuild.go
@@ -11,34 +11,36 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// fold rebuilds programs from the records of one or more streams.
+// rebuilder rebuilds programs from the records of one or more streams.
 //
-// Each epoch of a slot was written by one member, so the records of a slot in
-// order of epoch, then lsn, are its history whatever streams they came from.
+// Each epoch of a slot was written by one member. So the records of a slot,
+// sorted by epoch and then LSN, are its history, independent of the streams that
+// they come from.
 type rebuilder struct {
 	slots         map[int]*ownedSlot
 	recordsBySlot map[int][]streamRecord
-	// gaps are the missing parts of streams, for each stream.
+	// gaps maps a stream to the LSNs from which records are missing.
 	gaps        map[string][]uint64
 	keepStreams bool
 }
 
+// streamRecord is a record and the stream that it comes from.
 type streamRecord struct {
 	*peerpb.Record
 	stream string
 }
 
-// foldProgram is a program under reconstruction.
+// rebuiltProgram is a program being rebuilt.
 type rebuiltProgram struct {
 	program *program
-	// base is the record that states the program whole: its creation or a
-	// snapshot.
+	// base is the record that contains the whole state of the program: its
+	// creation or a snapshot.
 	base     streamRecord
 	openCall *openCall
-	// partial is a newer statement of the program of which parts are missing
-	// yet. If they never come, what was known before still holds.
+	// snapshot is a newer snapshot of the program with parts still missing. If
+	// they are never found, the state before the snapshot stays valid.
 	snapshot     *rebuiltProgram
-	missingTurns int // turns of partial
+	missingTurns int // number of turns of snapshot still missing
 }
 
 // openCall is a call that was accepted and has no outcome.
@@ -51,6 +53,7 @@
 	return &rebuilder{slots: slots, recordsBySlot: map[int][]streamRecord{}, gaps: map[string][]uint64{}}
 }
 
+// addStream adds the records of a stream that belong to the slots.
 func (r *rebuilder) addStream(s *streamReader) {
 	for _, record := range s.records {
 		slot, err := ident.Program(record.Program).Slot()
@@ -65,7 +68,8 @@
 	}
 }
 
-// programs returns the programs of all slots, in order of identifier.
+// programs returns the programs of all slots, sorted by slot number, then by
+// identifier.
 func (r *rebuilder) programs(h *Host) []*program {
 	var all []*program
 	for _, number := range slices.Sorted(maps.Keys(r.recordsBySlot)) {
@@ -87,8 +91,9 @@
 	return all
 }
 
-// damaged reports whether records of the program may be missing: a stream with
-// a gap may have held some, unless the program was stated whole after it.
+// mayMissRecords reports whether records of the program may be missing. A stream
+// with a gap may have held some, unless the base record of the program follows
+// the gap.
 func (r *rebuilder) mayMissRecords(rebuilt *rebuiltProgram, records []streamRecord) bool {
 	for stream, gaps := range r.gaps {
 		lastGap := gaps[len(gaps)-1]
@@ -109,13 +114,14 @@
 	return false
 }
 
+// applyRecord applies one record to its program.
 func (r *rebuilder) applyRecord(h *Host, own *ownedSlot, found map[ident.Program]*rebuiltProgram, record streamRecord) {
 	id := ident.Program(record.Program)
 	rebuilt := found[id]
 	if rebuilt == nil {
 		rebuilt = &rebuiltProgram{program: newProgram(id, own, h.now)}
 		found[id] = rebuilt
-		rebuilt.program.corrupt = record.GetCreated() == nil // until a snapshot is whole
+		rebuilt.program.corrupt = record.GetCreated() == nil // until a complete snapshot follows
 	}
 	switch m := record.Body.(type) {
 	case *peerpb.Record_Created:
@@ -145,7 +151,7 @@
 	}
 }
 
-// newPartial begins a program as a snapshot states it, without its turns.
+// newSnapshotProgram returns the program of a snapshot without its turns.
 func newSnapshotProgram(h *Host, own *ownedSlot, id ident.Program, s *peerpb.ProgramSnapshot, r streamRecord) *rebuiltProgram {
 	snapshot := &rebuiltProgram{program: newProgram(id, own, h.now), base: r, missingTurns: int(s.TurnCount)}
 	snapshot.program.setCreated(s.Created, h.now)
@@ -159,7 +165,8 @@
 	return snapshot
 }
 
-// addTurns adds turns to the snapshot under way; the last makes it count.
+// addTurns adds turns to the incomplete snapshot. With the last turn the
+// snapshot replaces the state before it.
 func (rebuilt *rebuiltProgram) addTurns(turns []*peerpb.Turn) {
 	snapshot := rebuilt.snapshot
 	if snapshot == nil {
@@ -171,7 +178,7 @@
 			snapshot.openCall.attempts = int(t.Intent.Attempt)
 		}
 		if t.Finished != nil {
-			snapshot.finishCall(t.Finished) // its charge is in the snapshot's sum
+			snapshot.finishCall(t.Finished) // its charge is included in SpentTokens of the snapshot
 		}
 		snapshot.missingTurns--
 	}
@@ -180,7 +187,7 @@
 	}
 }
 
-// finish closes the open call with its outcome.
+// finishCall closes the open call with its outcome.
 func (rebuilt *rebuiltProgram) finishCall(m *peerpb.CallFinished) {
 	if rebuilt.openCall == nil || rebuilt.openCall.accepted.Sequence != m.Sequence {
 		rebuilt.program.corrupt = true
@@ -199,8 +206,9 @@
 	rebuilt.program.addTurn(t)
 }
 
-// close settles a call that was open when its owner died. A non-idempotent call
-// that may have been sent is never sent again; any other will run.
+// settleOpenCall settles a call that was open when its owner died. A
+// non-idempotent call that may have been sent is never sent again; any other
+// call will run.
 func (rebuilt *rebuiltProgram) settleOpenCall(h *Host) {
 	if rebuilt.openCall == nil || rebuilt.program.corrupt || rebuilt.program.ended {
 		return
@@ -211,11 +219,12 @@
 	c.lastAttempt = uint32(lost)
 	c.lostAttempts = lost
 	if lost > 0 && !a.Idempotent {
-		c.failure = failure.Unknown(failure.OwnerLost, "the owner was lost after the call may have been sent")
+		c.failure = failure.Unknown(failure.OwnerLost, "the owner was lost, and the call may have been sent before")
 	}
 	rebuilt.program.activeCall = c
 }
 
+// finishedTurn returns the turn of an accepted call and its outcome.
 func finishedTurn(a *peerpb.CallAccepted, m *peerpb.CallFinished) *turn {
 	t := &turn{
 		accepted: a, answer: m.Answer, target: m.Target,
--- a/core/host/rebuild_test.go
+++ b/core/host/rebuild_test.go
@@ -20,7 +20,8 @@
 	return h, own
 }
 
-// longProgram has so many turns of 50 kB each, and the records that made it.
+// addLongProgram adds a program with the given number of turns of 50 kB each,
+// and appends their records to the journal.
 func addLongProgram(h *Host, own *ownedSlot, turns int) *program {
 	p := newProgram(ident.NewProgram(own.slot, "x"), own, 0)
 	m := &peerpb.ProgramCreated{Caller: "c", Service: "s", BudgetTokens: 1 << 40}
@@ -63,8 +64,8 @@
 	assertSameProgram(t, p, rebuildProgram(t, h, h.log.writer.PendingAfter(0, 1<<30)))
 }
 
-// TestLongHistoriesFitSegments: a history larger than an object is carried
-// forward in parts.
+// A history larger than an object is written as several snapshot records, each
+// smaller than a segment.
 func TestSnapshotOfALongHistoryIsSplitToFitSegments(t *testing.T) {
 	h, own := newTestHost(t)
 	p := addLongProgram(h, own, 40)
@@ -78,7 +79,8 @@
 	assertSameProgram(t, p, rebuildProgram(t, h, parts))
 }
 
-// TestHalfASnapshotDoesNotCount: the owner died between the parts.
+// An owner that dies while it writes the parts of a snapshot leaves an
+// incomplete one; the records before it must still rebuild the program.
 func TestIncompleteSnapshotIsIgnored(t *testing.T) {
 	h, own := newTestHost(t)
 	p := addLongProgram(h, own, 40)
@@ -87,6 +89,8 @@
 	assertSameProgram(t, p, rebuildProgram(t, h, records[:len(records)-1]))
 }
 
+// Missing records make a program corrupt, unless a later snapshot contains its
+// whole state.
 func TestGapMakesAProgramCorruptUnlessASnapshotFollows(t *testing.T) {
 	h, own := newTestHost(t)
 	p := addLongProgram(h, own, 4)
--- a/core/host/recovery.go
+++ b/core/host/recovery.go
@@ -15,39 +15,40 @@
 
 // recovery reads the streams of newly owned slots and rebuilds their programs.
 //
-// A stream whose member died is first ended with a seal: the next segment, which
-// the dead member, should it wake, then fails to create. Only after the seal is
-// the tail of the stream asked from the peers that may keep it. Every step may be
-// repeated.
+// The stream of a dead member is first ended with a seal: the next segment,
+// which the member, should it run again, then fails to create. Only after the
+// seal is the tail of the stream requested from the peers that may keep it.
+// Every step may be repeated.
 type recovery struct {
 	slots   map[int]*ownedSlot
 	streams []*streamReader
-	// generation guards against answers to an attempt that was given up.
+	// generation identifies the current attempt; replies to earlier ones are
+	// ignored.
 	generation int
 	retryAt    time.Duration
 	attempts   int
 	waiting    bool
 }
 
-// streamReader is the progress through one stream.
+// streamReader is the progress of reading one stream.
 type streamReader struct {
 	name         string
-	lastToRead   uint64 // last segment to read; 0 means to the end, and seal
-	nextSegment  uint64 // segment to read next
-	lastExisting uint64 // segments up to here surely exist
-	// bounded says that the bounds were read from the lease.
+	lastToRead   uint64 // last segment to read; 0 to read to the end and seal
+	nextSegment  uint64 // next segment to read
+	lastExisting uint64 // segments up to this one certainly exist
+	// hasBounds reports whether the bounds were read from the lease.
 	hasBounds bool
 
 	lastLSN      uint64
-	gaps         []uint64 // lsn from which records are missing
+	gaps         []uint64 // LSNs from which records are missing
 	records      []*peerpb.Record
-	segmentsRead bool // all segments are read, the stream is sealed if need be
+	segmentsRead bool // all segments are read and the stream is sealed if necessary
 
-	tailPeer         string // member that keeps the tail
+	tailPeer         string // member that keeps the tail, as named by the lease
 	tailRequestedAt  time.Duration
 	tailReceivedFrom map[string]bool
-	// tailGone says that the keeper has no lease any more; tailLookAt is when to
-	// look for one again.
+	// tailPeerGone reports that the tail peer has no lease any more;
+	// tailLeaseCheckAt is when to read it again.
 	tailPeerGone     bool
 	tailLeaseCheckAt time.Duration
 	tailMerged       bool
@@ -57,13 +58,14 @@
 const (
 	recoveryRetryDelay = 200 * time.Millisecond
 	maxTailWait        = time.Second
-	// recoveryAttempts to find an object that must exist take about two minutes;
-	// after boundsAttempts the bounds of the stream are read again.
+	// maxRecoveryAttempts attempts to read an object that must exist take about
+	// two minutes. After each attemptsPerBoundsRead attempts the bounds of the
+	// stream are read again.
 	maxRecoveryAttempts   = 600
 	attemptsPerBoundsRead = 5
 )
 
-// recover starts the recovery of slots that became this member's.
+// recoverSlots starts the recovery of slots that this member has gained.
 func (h *Host) recoverSlots(t *slotTable, gained []*ownedSlot) {
 	r := &recovery{slots: map[int]*ownedSlot{}}
 	lastToRead := map[string]uint64{}
@@ -71,7 +73,7 @@
 		r.slots[own.slot.Number] = own
 		for stream, last := range t.Slots[own.slot.Number].Streams {
 			if stream == h.self && last == 0 {
-				continue // nothing was written for the slot yet
+				continue // this member has written no record of the slot yet
 			}
 			if old, ok := lastToRead[stream]; ok && (old == 0 || last != 0 && old > last) {
 				last = old
@@ -86,6 +88,7 @@
 	h.advanceRecovery(r)
 }
 
+// tickRecoveries continues the recoveries whose next step is due.
 func (h *Host) tickRecoveries() {
 	for _, r := range slices.Clone(h.slots.recoveries) {
 		if h.now >= r.retryAt {
@@ -94,7 +97,7 @@
 	}
 }
 
-// advanceRecovery does the next step that has not been done.
+// advanceRecovery takes the next step that is not done.
 func (h *Host) advanceRecovery(r *recovery) {
 	if r.waiting && h.now < r.retryAt {
 		return
@@ -113,20 +116,21 @@
 		}
 	}
 	if h.declared() == nil && r.hasRecords() {
-		r.retryAt = h.now + recoveryRetryDelay // calls cannot go on without a declaration
+		r.retryAt = h.now + recoveryRetryDelay // calls cannot continue without a declaration
 		return
 	}
 	h.slots.recoveries = slices.DeleteFunc(h.slots.recoveries, func(x *recovery) bool { return x == r })
 	h.finishRecovery(r)
 }
 
-// found reports whether any record was read.
+// hasRecords reports whether any record was read.
 func (r *recovery) hasRecords() bool {
 	return slices.ContainsFunc(r.streams, func(s *streamReader) bool { return len(s.records) > 0 })
 }
 
-// step wraps the answer to an operation of the current attempt. A handler
-// returns whether to go on at once; otherwise the step is tried again later.
+// onReply wraps the handler of a reply to the current attempt. handle returns
+// whether the recovery continues at once; otherwise the step is repeated after
+// recoveryRetryDelay.
 func (h *Host) onReply(r *recovery, handle func(*PlatformReply) bool) func(*PlatformReply) {
 	generation := r.generation
 	return func(reply *PlatformReply) {
@@ -142,12 +146,14 @@
 	}
 }
 
+// readStream takes the next step to read a stream: its bounds, a segment or the
+// seal.
 func (h *Host) readStream(r *recovery, s *streamReader) {
 	switch {
 	case !s.hasBounds:
 		h.readBounds(r, s)
 	case s.lastToRead != 0 && s.nextSegment > s.lastToRead:
-		s.segmentsRead, s.tailMerged = true, true // handed over: all was at the platform
+		s.segmentsRead, s.tailMerged = true, true // handed over after all records were stored at the platform
 		r.waiting = false
 		h.advanceRecovery(r)
 	case s.lastToRead != 0 || s.nextSegment <= s.lastExisting:
@@ -157,8 +163,8 @@
 	}
 }
 
-// readBounds learns from the lease of the stream's member where the stream
-// begins, how far it surely goes, and who keeps its tail.
+// readBounds reads from the lease of the stream's member where the stream
+// begins, which segments certainly exist, and who keeps its tail.
 func (h *Host) readBounds(r *recovery, s *streamReader) {
 	if s.name == h.self {
 		s.setBounds(h.log.firstNeeded, h.log.writer.LastSegment())
@@ -181,8 +187,8 @@
 	}))
 }
 
-// bound notes how far the stream surely goes. Segments before first were freed:
-// their live records stand again in later ones.
+// setBounds sets the segments that certainly exist. Segments before first were
+// freed: their live records were written again in later ones.
 func (s *streamReader) setBounds(first, last uint64) {
 	s.hasBounds = true
 	s.lastExisting = max(s.lastExisting, last)
@@ -191,13 +197,14 @@
 	}
 }
 
+// readSegment reads the next segment of a stream.
 func (h *Host) readSegment(r *recovery, s *streamReader) {
 	h.submitOp(PlatformOp{Kind: OpGet, Key: journal.SegmentKey(s.name, s.nextSegment)}, h.onReply(r, func(reply *PlatformReply) bool {
 		switch reply.Status {
 		case OpOK:
 			h.addSegment(r, s, reply.Body)
 			return true
-		case OpNotFound: // a stale read, or freed since the bounds were read
+		case OpNotFound: // a stale read, or the segment was freed since the bounds were read
 			if r.skipMissing(h, s, "segment "+strconv.FormatUint(s.nextSegment, 10)) {
 				return true
 			}
@@ -209,8 +216,9 @@
 	}))
 }
 
-// givesUp counts a failed look for something that must exist. After many it
-// reports true and the records that should be there count as missing.
+// skipMissing counts a failed read of an object that must exist. After
+// maxRecoveryAttempts it returns true, and the records in the object count as
+// missing.
 func (r *recovery) skipMissing(h *Host, s *streamReader, object string) bool {
 	r.attempts++
 	if r.attempts < maxRecoveryAttempts {
@@ -224,6 +232,8 @@
 	return true
 }
 
+// addSegment adds the records of a segment. A damaged segment leaves a gap, a
+// seal ends the stream.
 func (h *Host) addSegment(r *recovery, s *streamReader, body []byte) {
 	segment, err := journal.Decode(body)
 	s.nextSegment++
@@ -243,7 +253,8 @@
 	}
 }
 
-// seal ends the stream of a dead member by creating its next segment.
+// sealStream ends the stream of a dead member by creating its next segment as a
+// seal.
 func (h *Host) sealStream(r *recovery, s *streamReader) {
 	body, err := journal.Encode(&peerpb.Segment{Stream: s.name, Number: s.nextSegment, Nonce: h.self, Seal: true})
 	if err != nil {
@@ -259,7 +270,7 @@
 		case OpOK:
 			s.segmentsRead = true
 			h.advanceRecovery(r)
-		case OpConflict: // the dead member wrote one more, or a seal stands
+		case OpConflict: // the dead member wrote another segment, or the stream is sealed already
 			s.lastExisting = s.nextSegment
 			h.advanceRecovery(r)
 		default:
@@ -268,7 +279,8 @@
 	})
 }
 
-// finishRecovery rebuilds the programs, carries them forward and serves.
+// finishRecovery rebuilds the programs, writes them into this member's stream
+// and starts to serve the slots.
 func (h *Host) finishRecovery(r *recovery) {
 	rb := newRebuilder(r.slots)
 	for _, s := range r.streams {
@@ -290,8 +302,9 @@
 	}
 }
 
-// carryForward writes the programs of a slot into this member's own stream, so
-// that the older streams can be let go.
+// carryForward writes the programs of a slot into this member's stream, so that
+// the older streams are no longer needed. If keepStreams is set or a program is
+// corrupt, they are kept.
 func (h *Host) carryForward(own *ownedSlot, keepStreams bool) {
 	for _, p := range sortedPrograms(own.programs) {
 		if p.corrupt {
@@ -306,6 +319,7 @@
 	}
 }
 
+// sortedPrograms returns the programs sorted by identifier.
 func sortedPrograms(m map[ident.Program]*program) []*program {
 	return slices.SortedFunc(maps.Values(m), func(a, b *program) int { return cmp.Compare(a.id, b.id) })
 }
--- a/core/host/release.go
+++ b/core/host/release.go
@@ -10,19 +10,19 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// releaseKey names the cache of one program at one target.
+// releaseKey identifies the cache of one program at one target.
 type releaseKey struct {
 	target  string
 	program ident.Program
 }
 
-// releaseTask is an order to drop cache, repeated until the target confirms.
+// releaseTask is an order to drop cache, repeated until the target confirms it.
 type releaseTask struct {
 	retryAt  time.Duration
 	attempts int
 }
 
-// pacing holds the next times of work that is not done on every tick.
+// nextRunTimes holds the next times of work that is not done on every tick.
 type nextRunTimes struct{ expireAt, leaveAt time.Duration }
 
 const (
@@ -30,15 +30,17 @@
 	maxReleaseRetryDelay = 30 * time.Second
 )
 
-// releaseCache frees the cache of an ended program at each target that may
-// hold some. The duty is in the journal: a new owner takes it over, since the
-// program stays there until every target has confirmed.
+// releaseCache releases the cache of an ended program at each target that may
+// keep some. A new owner continues the releases, because the program stays in
+// the journal until every target has confirmed.
 func (h *Host) releaseCache(p *program) {
 	for _, cache := range slices.Clone(p.cacheTargets) {
 		h.orderRelease(cache.target, p)
 	}
 }
 
+// orderRelease sends a release to a target and sets the time of its next
+// repetition, with backoff.
 func (h *Host) orderRelease(target string, p *program) {
 	key := releaseKey{target, p.id}
 	task := h.releaseTasks[key]
@@ -48,7 +50,7 @@
 	}
 	t, declared := h.sched.Target(target)
 	if !declared {
-		h.recordRelease(p, target) // nobody can be told, and nothing is kept
+		h.recordRelease(p, target) // an undeclared target gets no orders and keeps no cache
 		return
 	}
 	task.attempts++
@@ -76,12 +78,14 @@
 	}
 }
 
+// handleReleaseDone processes the result of a release.
 func (h *Host) handleReleaseDone(ev *ReleaseDone) {
 	if p := h.programs[ev.Program]; p != nil && ev.OK && p.ended && p.activeCall == nil {
 		h.recordRelease(p, ev.Target)
 	}
 }
 
+// recordRelease records that a target keeps no cache of the program any more.
 func (h *Host) recordRelease(p *program, target string) {
 	delete(h.releaseTasks, releaseKey{target, p.id})
 	for i := range p.cacheTargets {
@@ -94,9 +98,9 @@
 	}
 }
 
-// targetReport takes a target's own account. Estimates of what it keeps are
-// corrected by it. The sweep: what it keeps for a program of this member that has
-// ended, or that nobody knows, is released.
+// handleTargetReport processes a target's report. It corrects the estimates of
+// cached programs, and orders the release of cache for programs in this member's
+// slots that have ended or are unknown.
 func (h *Host) handleTargetReport(ev *TargetReport) {
 	t, ok := h.sched.Target(ev.Target)
 	if !ok {
--- a/core/host/shared.go
+++ b/core/host/shared.go
@@ -14,30 +14,32 @@
 // declaration and the slot tables. They change rarely.
 const SharedPrefix = "shared/"
 
-// ConfigKey is the key of the declaration in force.
+// ConfigKey is the key of the declaration in force, a ConfigObject.
 const ConfigKey = SharedPrefix + "config"
 
 // ConfigHistoryPrefix is the key prefix of all earlier declarations.
 const ConfigHistoryPrefix = "config-history/"
 
-// ConfigObject is a declaration as it stands at the platform.
+// ConfigObject is a declaration as stored at the platform, encoded as JSON.
 type ConfigObject struct {
-	// Version grows by one with each accepted change. A host never goes back.
+	// Version grows by one with each accepted change. A host never returns to an
+	// earlier version.
 	Version uint64 `json:"version"`
-	// Nonce is unique to the write; Author says who applied it.
+	// Nonce is unique to the write; Author names who applied it.
 	Nonce  string `json:"nonce"`
 	Author string `json:"author,omitempty"`
 	Text   string `json:"text"`
 }
 
-// declaration is the declaration in force at this host.
+// declarationState is the declaration in force at this host.
 //
-// Invariant: version never goes down, whatever is read, watched or told.
+// Invariant: version never decreases, whether it comes from a read, a watch or a
+// peer.
 type declarationState struct {
 	version         uint64
 	set             *decl.Set
-	objectBody      []byte            // the ConfigObject, for peers and for the disk
-	rejectedVersion uint64            // newest version that could not be used
+	objectBody      []byte            // encoded ConfigObject, for peers and the disk
+	rejectedVersion uint64            // last version that could not be used
 	seenVersions    map[string]uint64 // object versions seen, by key
 
 	pollAt        time.Duration
@@ -57,9 +59,9 @@
 	}
 }
 
-// pollShared looks for new versions of the shared objects, in case the watch is
-// stuck. The members of a data centre take turns, so that one of them looks every
-// ConfigPollEvery; what it finds it tells the others.
+// pollShared checks for new versions of the shared objects, in case the watch
+// hangs. The members of a data centre take turns, so that one of them checks
+// every ConfigPollInterval and passes new versions on to the others.
 func (h *Host) pollShared() {
 	h.declaration.pollAt = h.now + h.cfg.ConfigPollInterval*time.Duration(max(1, h.countLocalMembers()))
 	h.submitOp(PlatformOp{Kind: OpListKeys, Key: SharedPrefix}, func(r *PlatformReply) {
@@ -71,7 +73,8 @@
 	})
 }
 
-// fetchNewer reads the objects that are newer than what is known.
+// fetchNewer reads the objects that are newer than the known versions, and
+// creates the slot table of the data centre if there is none.
 func (h *Host) fetchNewer(objects []Object) {
 	tableFound := false
 	for _, o := range objects {
@@ -91,6 +94,7 @@
 	}
 }
 
+// watchShared waits for changes of the shared objects.
 func (h *Host) watchShared() {
 	h.declaration.watching = true
 	h.submitOp(PlatformOp{Kind: OpWatch, Key: SharedPrefix, IfVersion: h.declaration.watchRevision}, func(r *PlatformReply) {
@@ -104,6 +108,7 @@
 	})
 }
 
+// applyShared applies shared objects that were read.
 func (h *Host) applyShared(objects []Object) {
 	for _, o := range objects {
 		h.declaration.seenVersions[o.Key] = max(h.declaration.seenVersions[o.Key], o.Version)
@@ -116,8 +121,9 @@
 	}
 }
 
-// acceptConfig puts a declaration in force if it is newer than the present one
-// and sound. One that this host cannot use leaves the present one in force.
+// acceptConfig puts a declaration in force if it is valid and newer than the
+// present one. A declaration that this host cannot use leaves the present one in
+// force.
 func (h *Host) acceptConfig(body []byte) {
 	var o ConfigObject
 	if json.Unmarshal(body, &o) != nil || o.Version <= h.declaration.version || o.Version == h.declaration.rejectedVersion {
@@ -135,11 +141,13 @@
 	h.applyDeclaration(set)
 	for _, p := range h.members.list {
 		if h.isLocal(p) && !p.gone && p.configVersion < o.Version {
-			h.sendHeartbeat(p) // tells it that there is a newer one
+			h.sendHeartbeat(p) // announces the newer version
 		}
 	}
 }
 
+// applyDeclaration passes the declaration to the scheduler and fails the queued
+// calls of services that are no longer declared.
 func (h *Host) applyDeclaration(set *decl.Set) {
 	for _, it := range h.sched.Apply(set) {
 		if p := h.programs[it.Program]; p != nil && p.activeCall != nil && &p.activeCall.item == it {
@@ -148,6 +156,7 @@
 	}
 }
 
+// handleConfigRequest sends the declaration in force to a peer.
 func (h *Host) handleConfigRequest(p *peer) {
 	if h.declaration.objectBody != nil {
 		h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_ConfigData{ConfigData: &peerpb.ConfigData{
@@ -157,6 +166,6 @@
 }
 
 func mustEncodeJSON(v any) []byte {
-	b, _ := json.Marshal(v) // only structs of plain fields are passed
+	b, _ := json.Marshal(v) // callers pass only structs whose fields can be encoded
 	return b
 }
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -15,12 +15,12 @@
 // SlotsPrefix is the key prefix of the slot tables, one object per data centre.
 const SlotsPrefix = SharedPrefix + "slots/"
 
-// SlotTable maps the slots of one data centre to their owners, as it stands at
-// the platform.
+// SlotTable maps the slots of one data centre to their owners, as stored at the
+// platform, encoded as JSON.
 type SlotTable struct {
 	DataCentre string `json:"data_centre"`
-	// Writer is unique to each write, so that a write can be recognised when
-	// its reply was lost.
+	// Writer is unique to each write, so that a write whose reply was lost can
+	// be recognised.
 	Writer string      `json:"writer"`
 	Slots  []SlotEntry `json:"slots"`
 }
@@ -31,9 +31,9 @@
 	Owner string `json:"owner"`
 	// Epoch grows by one with each change of owner.
 	Epoch uint64 `json:"epoch"`
-	// Streams are the journal streams that hold records of the slot. The value
-	// is the number of the last segment that does, or 0 for a stream that its
-	// member is still writing to or was writing to when it died.
+	// Streams maps the journal streams with records of the slot to the number of
+	// the last segment that has any. The number is 0 for a stream that its
+	// member is still writing or was writing when it died.
 	Streams map[string]uint64 `json:"streams,omitempty"`
 }
 
@@ -49,57 +49,60 @@
 	}
 }
 
-// slotTable is a known version of a SlotTable.
+// slotTable is a SlotTable with the version of its object.
 type slotTable struct {
 	version uint64
 	SlotTable
 }
 
+// slotTables holds the known slot tables and the slots of this member.
 type slotTables struct {
 	tables      map[string]*slotTable // by data centre
 	owned       map[ident.Slot]*ownedSlot
-	writeCount  uint64 // for Writer
-	updating    bool   // an update of the own table is under way
+	writeCount  uint64 // number of table writes, for SlotTable.Writer
+	updating    bool   // whether an update of a table is being written
 	checkAt     time.Duration
 	fullClaimAt time.Duration
 
-	recoveries     []*recovery
-	nextCreateSlot int // where the next program is created
+	recoveries    []*recovery
+	createCounter int // modulo the number of owned slots, where the last program was created
 }
 
 type slotState uint8
 
 const (
-	slotLoading slotState = iota // its programs are being recovered
+	slotLoading slotState = iota // programs are being recovered
 	slotServing
-	slotMoving // being handed over: takes no new calls
+	slotMoving // being handed over; accepts no new calls
 )
 
 var slotStateNames = [...]string{"loading", "serving", "moving"}
 
-// ownedSlot is a slot of which this member is the owner.
+// ownedSlot is a slot that this member owns.
 type ownedSlot struct {
 	slot  ident.Slot
 	epoch uint64
 	state slotState
-	// to is the member that gets the slot while it moves.
+	// newOwner is the member that gets the slot while it is moving.
 	newOwner string
-	// programs are those of the slot.
+	// programs are the programs of the slot.
 	programs map[ident.Program]*program
-	// damaged says that records of the slot may be missing.
+	// mayMissRecords reports whether records of the slot may be missing.
 	mayMissRecords bool
-	// busy counts its programs with a call under way.
+	// activeCalls counts the programs of the slot with an active call.
 	activeCalls int
-	// lastLSN is the last record written for the slot.
+	// lastLSN is the LSN of the last record written for the slot.
 	lastLSN uint64
-	// carried is the lsn after which other streams are no longer needed;
-	// 0 until the slot was recovered, noLSN if they must be kept.
+	// carriedLSN is the LSN that must be durable before the other streams of the
+	// slot are no longer needed; 0 until the slot is recovered, neverLSN if they
+	// must be kept.
 	carriedLSN uint64
 }
 
 const neverLSN = ^uint64(0)
 
-// slotsEvery paces the look at what could be claimed or handed over.
+// slotCheckInterval is the time between two checks for slots to claim or hand
+// over.
 const slotCheckInterval = 200 * time.Millisecond
 
 func (h *Host) tickSlots() {
@@ -121,7 +124,7 @@
 
 func (h *Host) ownTable() *slotTable { return h.slots.tables[h.cfg.DataCentre] }
 
-// createTable makes the table of a new data centre.
+// createTable creates the table of a new data centre.
 func (h *Host) createTable() {
 	if h.slots.updating || !h.holdsLease() {
 		return
@@ -130,8 +133,8 @@
 	h.writeTable(t, nil)
 }
 
-// updateTable changes a copy of a table by conditional update. done may be nil;
-// it is called with whether the change is in force.
+// updateTable changes a copy of a table by conditional update. done, if not nil,
+// is called with whether the change is in force.
 func (h *Host) updateTable(old *slotTable, change func(*SlotTable), done func(ok bool)) {
 	next := &slotTable{version: old.version, SlotTable: old.SlotTable}
 	next.Slots = slices.Clone(old.Slots)
@@ -142,6 +145,7 @@
 	h.writeTable(next, done)
 }
 
+// writeTable writes a table, and applies and announces it if written.
 func (h *Host) writeTable(t *slotTable, done func(ok bool)) {
 	h.slots.writeCount++
 	t.Writer = h.self + "#" + strconv.FormatUint(h.slots.writeCount, 10)
@@ -162,6 +166,8 @@
 	})
 }
 
+// notifySlotsChanged announces a new version of a table to the peers of this
+// data centre and of the table's.
 func (h *Host) notifySlotsChanged(dc string, version uint64) {
 	for _, p := range h.members.list {
 		if (h.isLocal(p) || p.dataCentre == dc) && !p.gone {
@@ -187,7 +193,7 @@
 	})
 }
 
-// seeTable takes in a table unless a newer version is known.
+// applyTable stores a table that was read unless a newer version is known.
 func (h *Host) applyTable(o Object) {
 	t := &slotTable{version: o.Version}
 	if json.Unmarshal(o.Body, &t.SlotTable) != nil || SlotsPrefix+t.DataCentre != o.Key {
@@ -200,9 +206,9 @@
 	h.updateOwned(t)
 }
 
-// compareOwned starts to recover slots that became this member's, and notices
-// when one was taken away, which only happens to a member whose lease was
-// revoked.
+// updateOwned starts the recovery of slots that this member has gained, and
+// removes those that were handed over. Any other loss of a slot only happens to
+// a member whose lease was revoked, which then stops.
 func (h *Host) updateOwned(t *slotTable) {
 	var gained []*ownedSlot
 	for i, e := range t.Slots {
@@ -225,7 +231,7 @@
 	}
 }
 
-// dropSlot forgets a slot that was handed over.
+// removeSlot removes a slot that was handed over.
 func (h *Host) removeSlot(own *ownedSlot) {
 	delete(h.slots.owned, own.slot)
 	for _, p := range own.programs {
@@ -233,8 +239,8 @@
 	}
 }
 
-// pruneStreams takes streams out of the table whose records were all carried
-// forward into this member's own.
+// pruneStreams removes from the table the streams whose records have all been
+// written again into this member's own stream.
 func (h *Host) pruneStreams(t *slotTable) {
 	prune := map[int]bool{}
 	for i, e := range t.Slots {
@@ -256,9 +262,9 @@
 	}, nil)
 }
 
-// Owner tells who owns a slot, with the address at which it is reached. self is
-// true for this member, found false when the slot has no owner that is known
-// now, known false when there is no such slot.
+// Owner returns the address of the owner of a slot. self reports whether this
+// member is the owner. found is false if no owner is known now, known is false
+// if there is no such slot.
 func (h *Host) Owner(slot ident.Slot) (address string, self, found, known bool) {
 	t := h.slots.tables[slot.DataCentre]
 	if t == nil {
@@ -287,13 +293,14 @@
 	return dc == h.cfg.DataCentre
 }
 
-// Healthy reports whether a balancer should send requests to this host.
+// Healthy reports whether a load balancer should send requests to this host.
 func (h *Host) Healthy() bool {
 	return !h.draining && !h.ready.Lost && h.lease.acquired && h.declared() != nil
 }
 
-// CreateAt returns the address of a peer that can create programs when this
-// host has no slot of its own; empty when there is none.
+// NewProgramAddress returns the address of a peer that can create programs when
+// this host cannot, because it drains, has no slot of its own or may not serve.
+// It is empty if this host can, or there is no such peer.
 func (h *Host) NewProgramAddress() string {
 	if h.draining || len(h.ownedSlotsIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
 		for _, p := range h.members.list {
@@ -305,7 +312,7 @@
 	return ""
 }
 
-// mineIn returns this member's slots of a data centre, in order.
+// ownedSlotsIn returns this member's slots of a data centre, sorted by number.
 func (h *Host) ownedSlotsIn(dc string) []*ownedSlot {
 	var all []*ownedSlot
 	for _, own := range h.slots.owned {
@@ -317,7 +324,7 @@
 	return all
 }
 
-// allMine returns all slots of this member, in order.
+// ownedSlots returns all slots of this member, sorted.
 func (h *Host) ownedSlots() []*ownedSlot {
 	return slices.SortedFunc(maps.Values(h.slots.owned), func(a, b *ownedSlot) int {
 		return cmp.Or(cmp.Compare(a.slot.DataCentre, b.slot.DataCentre), a.slot.Number-b.slot.Number)
--- a/core/host/tail.go
+++ b/core/host/tail.go
@@ -7,9 +7,10 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// collectTail asks the peers for the tail of a sealed stream. It must have the
-// answer of the member that the lease names, unless that one is dead too, and
-// gives the others a moment. It reports whether the tail is complete.
+// collectTail requests the tail of a sealed stream from the peers. It waits for
+// the reply of the member that the lease names, unless that one is dead too, and
+// for those of the others up to maxTailWait. It reports whether the tail is
+// complete.
 func (h *Host) collectTail(s *streamReader) bool {
 	if s.tailRequestedAt == 0 || h.now-s.tailRequestedAt > h.cfg.OperationTimeout {
 		s.tailRequestedAt = max(h.now, 1)
@@ -27,9 +28,9 @@
 	return true
 }
 
-// tailPeerAlive reports whether the tail's keeper may still answer. One that is
-// not known here, as after a start, counts as alive until its lease says
-// otherwise.
+// mayTailPeerAnswer reports whether the tail peer may still answer. A tail peer
+// that is not known here, as after a start, counts as alive until its lease
+// shows that it is not.
 func (h *Host) mayTailPeerAnswer(s *streamReader) bool {
 	if p := h.members.peers[s.tailPeer]; p != nil {
 		return !p.revoked && !p.gone
@@ -50,6 +51,7 @@
 	return !s.tailPeerGone
 }
 
+// hasAllTails reports whether every live peer has replied.
 func (h *Host) hasAllTails(s *streamReader) bool {
 	for _, p := range h.members.list {
 		if h.isHeard(p) && !s.tailReceivedFrom[p.name] {
@@ -59,6 +61,8 @@
 	return true
 }
 
+// requestTails adds the tail kept by this member, seals it, and requests the
+// tail from the other peers.
 func (h *Host) requestTails(s *streamReader) {
 	if own := h.log.peerTails[s.name]; own != nil {
 		own.sealed = true
@@ -72,7 +76,7 @@
 	}
 }
 
-// tailData takes in the tail that a peer kept for a stream under recovery.
+// handleTailData adds the tail that a peer kept for a stream being recovered.
 func (h *Host) handleTailData(from *peer, m *peerpb.TailData) {
 	for _, r := range h.slots.recoveries {
 		for _, s := range r.streams {
@@ -88,7 +92,7 @@
 	}
 }
 
-// mergeTail appends the records of the tail that no segment holds.
+// mergeTail appends the records of the tail that no segment contains.
 func (s *streamReader) mergeTail() {
 	slices.SortStableFunc(s.tailRecords, func(a, b *peerpb.Record) int { return cmp.Compare(a.Lsn, b.Lsn) })
 	for _, rec := range s.tailRecords {
