--- a/core/host/admission.go
+++ b/core/host/admission.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// earliest returns the earlier of two times; 0 stands for none.
 func earliest(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -44,7 +44,7 @@
 	suspendedRetryDelay  = 2 * time.Second
 )
 
-// call is a call without a final outcome.
+// call is a submitted call without a final outcome.
 type call struct {
 	program    *program
 	accepted   *peerpb.CallAccepted
@@ -159,6 +159,7 @@
 	unfinished *call
 }
 
+// findCall returns the submitted call with a sequence number.
 func (p *program) findCall(sequence uint32) knownCall {
 	n := uint32(len(p.turns))
 	if sequence < n {
--- a/core/host/handover.go
+++ b/core/host/handover.go
@@ -29,17 +29,17 @@
 	}
 	lastSegment := h.log.writer.LastSegment()
 	h.updateTable(t, func(next *SlotTable) {
-		for n, to := range movable {
-			e := &next.Slots[n]
+		for number, newOwner := range movable {
+			e := &next.Slots[number]
 			delete(e.Streams, h.self)
 			if lastSegment > 0 {
 				e.Streams[h.self] = lastSegment
 			}
-			if to == "" {
+			if newOwner == "" {
 				e.Owner = ""
 				continue
 			}
-			e.assign(to)
+			e.assign(newOwner)
 		}
 	}, func(ok bool) {
 		if ok {
@@ -52,13 +52,13 @@
 // selectMoves marks the slots of a table that should move, and their new owners.
 func (h *Host) selectMoves(t *slotTable) {
 	counts := h.slotCounts(t)
-	mine := h.ownedSlotsIn(t.DataCentre)
+	owned := h.ownedSlotsIn(t.DataCentre)
 	foreign := t.DataCentre != h.cfg.DataCentre
 	if h.draining || foreign {
 		if foreign && !h.draining && len(counts) == 0 {
 			return
 		}
-		for _, own := range mine {
+		for _, own := range owned {
 			if own.state != slotLoading {
 				h.startMove(own, counts)
 			}
@@ -66,8 +66,8 @@
 		return
 	}
 	members := len(counts) + 1
-	excess := len(mine) - (len(t.Slots)+members-1)/members
-	for _, own := range mine {
+	excess := len(owned) - (len(t.Slots)+members-1)/members
+	for _, own := range owned {
 		if own.state == slotMoving {
 			excess--
 		}
@@ -77,7 +77,7 @@
 	if excess <= 1 {
 		return
 	}
-	for _, own := range mine {
+	for _, own := range owned {
 		if excess > 0 && own.state == slotServing && own.activeCalls == 0 {
 			h.startMove(own, counts)
 			excess--
--- a/core/host/lease.go
+++ b/core/host/lease.go
@@ -165,6 +165,6 @@
 			remotePromise = min(remotePromise, p.receivedPromiseUntil)
 		}
 	}
-	dataCentre := h.lease.renewedAt + h.cfg.DataCentreLeaseDuration - h.cfg.ClockMargin
-	return max(h.lease.validUntil, min(localPromise, max(dataCentre, remotePromise)))
+	dataCentreUntil := h.lease.renewedAt + h.cfg.DataCentreLeaseDuration - h.cfg.ClockMargin
+	return max(h.lease.validUntil, min(localPromise, max(dataCentreUntil, remotePromise)))
 }
--- a/core/host/lifecycle.go
+++ b/core/host/lifecycle.go
@@ -84,10 +84,10 @@
 // nextServingSlot returns the slots of this data centre in turn, those that are
 // not serving left out.
 func (h *Host) nextServingSlot() (*ownedSlot, *failure.Failure) {
-	mine := h.ownedSlotsIn(h.cfg.DataCentre)
-	for range mine {
+	owned := h.ownedSlotsIn(h.cfg.DataCentre)
+	for range owned {
 		h.slots.createCounter++
-		own := mine[h.slots.createCounter%len(mine)]
+		own := owned[h.slots.createCounter%len(owned)]
 		if own.state == slotServing {
 			return own, nil
 		}
--- a/core/host/program.go
+++ b/core/host/program.go
@@ -337,6 +337,7 @@
 	return m
 }
 
+// setFailure adds a failure, if any, to the record of an outcome.
 func setFailure(m *peerpb.CallFinished, f *failure.Failure) {
 	if f == nil {
 		return
--- a/core/host/rebuild.go
+++ b/core/host/rebuild.go
@@ -152,23 +152,23 @@
 }
 
 // newSnapshotProgram returns the program of a snapshot without its turns.
-func newSnapshotProgram(h *Host, own *ownedSlot, id ident.Program, s *peerpb.ProgramSnapshot, r streamRecord) *rebuiltProgram {
-	snapshot := &rebuiltProgram{program: newProgram(id, own, h.now), base: r, missingTurns: int(s.TurnCount)}
-	snapshot.program.setCreated(s.Created, h.now)
-	snapshot.program.spentTokens = s.SpentTokens
-	for _, target := range s.Holders {
+func newSnapshotProgram(h *Host, own *ownedSlot, id ident.Program, state *peerpb.ProgramSnapshot, record streamRecord) *rebuiltProgram {
+	snapshot := &rebuiltProgram{program: newProgram(id, own, h.now), base: record, missingTurns: int(state.TurnCount)}
+	snapshot.program.setCreated(state.Created, h.now)
+	snapshot.program.spentTokens = state.SpentTokens
+	for _, target := range state.Holders {
 		snapshot.program.addCacheTarget(target, 0)
 	}
-	if s.Ended != "" {
-		snapshot.program.ended, snapshot.program.endReason, snapshot.program.endedAt = true, s.Ended, h.now
+	if state.Ended != "" {
+		snapshot.program.ended, snapshot.program.endReason, snapshot.program.endedAt = true, state.Ended, h.now
 	}
 	return snapshot
 }
 
 // addTurns adds turns to the incomplete snapshot. With the last turn the
 // snapshot replaces the state before it.
-func (rebuilt *rebuiltProgram) addTurns(turns []*peerpb.Turn) {
-	snapshot := rebuilt.snapshot
+func (rp *rebuiltProgram) addTurns(turns []*peerpb.Turn) {
+	snapshot := rp.snapshot
 	if snapshot == nil {
 		return
 	}
@@ -183,51 +183,51 @@
 		snapshot.missingTurns--
 	}
 	if snapshot.missingTurns <= 0 {
-		*rebuilt = *snapshot
+		*rp = *snapshot
 	}
 }
 
 // finishCall closes the open call with its outcome.
-func (rebuilt *rebuiltProgram) finishCall(m *peerpb.CallFinished) {
-	if rebuilt.openCall == nil || rebuilt.openCall.accepted.Sequence != m.Sequence {
-		rebuilt.program.corrupt = true
+func (rp *rebuiltProgram) finishCall(m *peerpb.CallFinished) {
+	if rp.openCall == nil || rp.openCall.accepted.Sequence != m.Sequence {
+		rp.program.corrupt = true
 		return
 	}
-	a := rebuilt.openCall.accepted
-	rebuilt.openCall = nil
-	t := finishedTurn(a, m)
+	accepted := rp.openCall.accepted
+	rp.openCall = nil
+	t := finishedTurn(accepted, m)
 	if !t.consumesSequence() {
 		return
 	}
-	if int(a.Sequence) != len(rebuilt.program.turns) {
-		rebuilt.program.corrupt = true
+	if int(accepted.Sequence) != len(rp.program.turns) {
+		rp.program.corrupt = true
 		return
 	}
-	rebuilt.program.addTurn(t)
+	rp.program.addTurn(t)
 }
 
 // settleOpenCall settles a call that was open when its owner died. A
 // non-idempotent call that may have been sent is never sent again; any other
 // call will run.
-func (rebuilt *rebuiltProgram) settleOpenCall(h *Host) {
-	if rebuilt.openCall == nil || rebuilt.program.corrupt || rebuilt.program.ended {
+func (rp *rebuiltProgram) settleOpenCall(h *Host) {
+	if rp.openCall == nil || rp.program.corrupt || rp.program.ended {
 		return
 	}
-	a := rebuilt.openCall.accepted
-	c := newCall(rebuilt.program, a, h.now)
-	lost := rebuilt.openCall.attempts
-	c.lastAttempt = uint32(lost)
-	c.lostAttempts = lost
-	if lost > 0 && !a.Idempotent {
+	accepted := rp.openCall.accepted
+	c := newCall(rp.program, accepted, h.now)
+	attempts := rp.openCall.attempts
+	c.lastAttempt = uint32(attempts)
+	c.lostAttempts = attempts
+	if attempts > 0 && !accepted.Idempotent {
 		c.failure = failure.Unknown(failure.OwnerLost, "the owner was lost, and the call may have been sent before")
 	}
-	rebuilt.program.activeCall = c
+	rp.program.activeCall = c
 }
 
 // finishedTurn returns the turn of an accepted call and its outcome.
-func finishedTurn(a *peerpb.CallAccepted, m *peerpb.CallFinished) *turn {
+func finishedTurn(accepted *peerpb.CallAccepted, m *peerpb.CallFinished) *turn {
 	t := &turn{
-		accepted: a, answer: m.Answer, target: m.Target,
+		accepted: accepted, answer: m.Answer, target: m.Target,
 		usage: Usage{Prompt: m.PromptTokens, Output: m.OutputTokens, Cached: m.CachedTokens},
 	}
 	if m.FailureKind != "" {
--- a/core/host/recovery.go
+++ b/core/host/recovery.go
@@ -289,14 +289,14 @@
 	for _, p := range rb.programs(h) {
 		h.addProgram(p)
 	}
-	for _, n := range slices.Sorted(maps.Keys(r.slots)) {
-		own := r.slots[n]
+	for _, number := range slices.Sorted(maps.Keys(r.slots)) {
+		own := r.slots[number]
 		own.state, own.mayMissRecords = slotServing, rb.keepStreams
 		h.carryForward(own, rb.keepStreams)
 	}
 	h.addNote(Note{Kind: NoteSlotsServing, Detail: strconv.Itoa(len(r.slots)) + " slots"})
-	for _, n := range slices.Sorted(maps.Keys(r.slots)) {
-		for _, p := range sortedPrograms(r.slots[n].programs) {
+	for _, number := range slices.Sorted(maps.Keys(r.slots)) {
+		for _, p := range sortedPrograms(r.slots[number].programs) {
 			h.resumeProgram(p)
 		}
 	}
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -99,6 +99,7 @@
 	carriedLSN uint64
 }
 
+// neverLSN is an LSN that is never reached.
 const neverLSN = ^uint64(0)
 
 // slotCheckInterval is the time between two checks for slots to claim or hand
@@ -242,21 +243,21 @@
 // pruneStreams removes from the table the streams whose records have all been
 // written again into this member's own stream.
 func (h *Host) pruneStreams(t *slotTable) {
-	prune := map[int]bool{}
+	prunable := map[int]bool{}
 	for i, e := range t.Slots {
 		own := h.slots.owned[ident.Slot{DataCentre: t.DataCentre, Number: i}]
 		if own == nil || e.Owner != h.self || len(e.Streams) < 2 || own.state == slotLoading {
 			continue
 		}
 		if own.carriedLSN != neverLSN && own.carriedLSN <= h.log.writer.DurableLSN() {
-			prune[i] = true
+			prunable[i] = true
 		}
 	}
-	if len(prune) == 0 {
+	if len(prunable) == 0 {
 		return
 	}
 	h.updateTable(t, func(next *SlotTable) {
-		for i := range prune {
+		for i := range prunable {
 			next.Slots[i].Streams = map[string]uint64{h.self: 0}
 		}
 	}, nil)
--- a/core/host/tail.go
+++ b/core/host/tail.go
@@ -95,10 +95,10 @@
 // mergeTail appends the records of the tail that no segment contains.
 func (s *streamReader) mergeTail() {
 	slices.SortStableFunc(s.tailRecords, func(a, b *peerpb.Record) int { return cmp.Compare(a.Lsn, b.Lsn) })
-	for _, rec := range s.tailRecords {
-		if rec.Lsn == s.lastLSN+1 {
-			s.records = append(s.records, rec)
-			s.lastLSN = rec.Lsn
+	for _, record := range s.tailRecords {
+		if record.Lsn == s.lastLSN+1 {
+			s.records = append(s.records, record)
+			s.lastLSN = record.Lsn
 		}
 	}
 	s.tailRecords = nil
