--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -2,7 +2,8 @@
 
 import "github.com/pistachioarch/pistachioarch/core/decl"
 
-// Dump is the state of a member for operators. It holds no prompt text.
+// Dump is the state of a member for operators, encoded as JSON. It contains no
+// prompt text.
 type Dump struct {
 	Member        string         `json:"member"`
 	DataCentre    string         `json:"data_centre"`
@@ -25,14 +26,19 @@
 	Stats         Stats          `json:"stats"`
 }
 
-// DumpLease is the member's lease.
+// DumpLease is the state of the member's lease. RemainingMS is negative once the
+// lease has lapsed.
 type DumpLease struct {
-	Version  uint64 `json:"version"`
-	LeftMS   int64  `json:"left_ms"`
-	TailPeer string `json:"tail_peer"`
+	Version     uint64 `json:"version"`
+	RemainingMS int64  `json:"left_ms"`
+	TailPeer    string `json:"tail_peer"`
 }
 
-// DumpJournal is the member's journal stream.
+// DumpJournal is the state of the member's journal stream: the last LSN
+// assigned, stored at the platform and acknowledged by the tail peer; the last
+// segment written and the first one needed; the size of the records not yet at
+// the platform; the number of actions that wait for durability; and the number
+// of tails kept for other members.
 type DumpJournal struct {
 	LastLSN      uint64 `json:"last_lsn"`
 	PlatformLSN  uint64 `json:"platform_lsn"`
@@ -44,29 +50,31 @@
 	TailsHeld    int    `json:"tails_held"`
 }
 
-// DumpSlot is one slot that the member owns.
+// DumpSlot is a slot that the member owns. State is loading, serving or moving.
 type DumpSlot struct {
-	Slot     string `json:"slot"`
-	Epoch    uint64 `json:"epoch"`
-	State    string `json:"state"`
-	Programs int    `json:"programs"`
-	Busy     int    `json:"busy"`
+	Slot        string `json:"slot"`
+	Epoch       uint64 `json:"epoch"`
+	State       string `json:"state"`
+	Programs    int    `json:"programs"`
+	ActiveCalls int    `json:"busy"`
 }
 
-// DumpPeer is another member.
+// DumpPeer is another member. Heard reports whether its messages still arrive,
+// Gone whether it has left, is revoked or does not run any more.
 type DumpPeer struct {
-	Member        string `json:"member"`
-	DataCentre    string `json:"data_centre"`
-	Address       string `json:"address"`
-	Heard         bool   `json:"heard"`
-	Gone          bool   `json:"gone"`
-	PlatformOK    bool   `json:"platform_reachable"`
-	ConfigVersion uint64 `json:"config_version"`
-	PromiseLeftMS int64  `json:"promise_left_ms"`
-	Slots         int    `json:"slots"`
+	Member             string `json:"member"`
+	DataCentre         string `json:"data_centre"`
+	Address            string `json:"address"`
+	Heard              bool   `json:"heard"`
+	Gone               bool   `json:"gone"`
+	PlatformOK         bool   `json:"platform_reachable"`
+	ConfigVersion      uint64 `json:"config_version"`
+	PromiseRemainingMS int64  `json:"promise_left_ms"`
+	Slots              int    `json:"slots"`
 }
 
-// DumpTarget is a declared target.
+// DumpTarget is a declared target with the in-flight calls and estimated cached
+// tokens of this member and its peers.
 type DumpTarget struct {
 	Target       string `json:"target"`
 	InFlight     int    `json:"in_flight"`
@@ -76,46 +84,47 @@
 	Leaving      bool   `json:"leaving"`
 }
 
-// DumpProgram is one program.
+// DumpProgram is one program. Budget, Spent and Reserved count tokens; Waiting
+// counts the calls behind the active one; Ended is the reason of its end.
 type DumpProgram struct {
-	Program  string   `json:"program"`
-	Caller   string   `json:"caller"`
-	Parent   string   `json:"parent,omitempty"`
-	Turns    int      `json:"turns"`
-	State    string   `json:"state,omitempty"` // of the call under way
-	Waiting  int      `json:"waiting"`
-	Budget   int64    `json:"budget"`
-	Spent    int64    `json:"spent"`
-	Reserved int64    `json:"reserved"`
-	Ended    string   `json:"ended,omitempty"`
-	Corrupt  bool     `json:"corrupt,omitempty"`
-	Holders  []string `json:"holders,omitempty"`
+	Program      string   `json:"program"`
+	Caller       string   `json:"caller"`
+	Parent       string   `json:"parent,omitempty"`
+	Turns        int      `json:"turns"`
+	State        string   `json:"state,omitempty"` // of the active call
+	Waiting      int      `json:"waiting"`
+	Budget       int64    `json:"budget"`
+	Spent        int64    `json:"spent"`
+	Reserved     int64    `json:"reserved"`
+	Ended        string   `json:"ended,omitempty"`
+	Corrupt      bool     `json:"corrupt,omitempty"`
+	CacheTargets []string `json:"holders,omitempty"`
 }
 
-// Dump returns the state of the member; the caller must not run Step meanwhile.
+// Dump returns the state of the member. It must not run concurrently with Step.
 func (h *Host) Dump() *Dump {
 	d := &Dump{
 		Member: h.self, DataCentre: h.cfg.DataCentre, NowMS: h.now.Milliseconds(),
 		MayServe: h.mayServe(), Draining: h.draining, Lost: h.ready.Lost, PlatformOK: h.ops.reachable,
-		ConfigVersion: h.declare.version, ConfigRefused: h.declare.refused,
-		Lease: DumpLease{Version: h.lease.version, LeftMS: (h.lease.until - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
+		ConfigVersion: h.declaration.version, ConfigRefused: h.declaration.rejectedVersion,
+		Lease: DumpLease{Version: h.lease.version, RemainingMS: (h.lease.validUntil - h.now).Milliseconds(), TailPeer: h.log.tailPeer},
 		Journal: DumpJournal{
-			LastLSN: h.log.writer.Last(), PlatformLSN: h.log.writer.Durable(), TailLSN: h.log.tailAcked,
-			Segments: h.log.writer.Segment(), FirstSegment: h.log.firstKept,
-			PendingBytes: h.log.writer.PendingBytes(), Waiting: len(h.log.waits), TailsHeld: len(h.log.tails),
+			LastLSN: h.log.writer.LastLSN(), PlatformLSN: h.log.writer.DurableLSN(), TailLSN: h.log.tailAcked,
+			Segments: h.log.writer.LastSegment(), FirstSegment: h.log.firstNeeded,
+			PendingBytes: h.log.writer.PendingBytes(), Waiting: len(h.log.waits), TailsHeld: len(h.log.peerTails),
 		},
-		Queues: map[string]int{}, Releases: len(h.releases), Recoveries: len(h.slots.recoveries), Stats: h.stats,
+		Queues: map[string]int{}, Releases: len(h.releaseTasks), Recoveries: len(h.slots.recoveries), Stats: h.stats,
 	}
-	for _, own := range h.allMine() {
+	for _, own := range h.ownedSlots() {
 		d.Slots = append(d.Slots, DumpSlot{
-			Slot: own.slot.String(), Epoch: own.epoch, State: slotStates[own.state], Programs: len(own.programs), Busy: own.busy,
+			Slot: own.slot.String(), Epoch: own.epoch, State: slotStateNames[own.state], Programs: len(own.programs), ActiveCalls: own.activeCalls,
 		})
 	}
 	for _, p := range h.members.list {
 		d.Peers = append(d.Peers, DumpPeer{
-			Member: p.name, DataCentre: p.dataCentre, Address: p.address, Heard: h.hears(p), Gone: p.gone,
+			Member: p.name, DataCentre: p.dataCentre, Address: p.address, Heard: h.isHeard(p), Gone: p.gone,
 			PlatformOK: p.platformOK, ConfigVersion: p.configVersion, Slots: p.slots,
-			PromiseLeftMS: max(0, (p.promiseUntil - h.now).Milliseconds()),
+			PromiseRemainingMS: max(0, (p.receivedPromiseUntil - h.now).Milliseconds()),
 		})
 	}
 	h.dumpTargets(d)
@@ -133,7 +142,7 @@
 			BreakerOpen: t.Breaker.IsOpen(h.now), Leaving: t.Decl.Leaving,
 		})
 	}
-	if set := h.set(); set != nil {
+	if set := h.declared(); set != nil {
 		for name := range set.Services {
 			d.Queues[name] = h.sched.Waiting(name)
 		}
@@ -142,45 +151,47 @@
 
 func (p *program) dump() DumpProgram {
 	d := DumpProgram{
-		Program: string(p.id), Caller: p.caller, Parent: string(p.parent), Turns: len(p.turns), Waiting: len(p.pending),
-		Budget: p.budget, Spent: p.spent, Reserved: p.reserved, Corrupt: p.corrupt,
+		Program: string(p.id), Caller: p.caller, Parent: string(p.parent), Turns: len(p.turns), Waiting: len(p.pendingCalls),
+		Budget: p.budgetTokens, Spent: p.spentTokens, Reserved: p.reservedTokens, Corrupt: p.corrupt,
 	}
-	if p.active != nil {
-		d.State = callChart.StateName(p.active.state)
+	if p.activeCall != nil {
+		d.State = callChart.StateName(p.activeCall.state)
 	}
 	if p.ended {
-		d.Ended = p.reason
+		d.Ended = p.endReason
 	}
-	for _, x := range p.holders {
-		d.Holders = append(d.Holders, x.target)
+	for _, cache := range p.cacheTargets {
+		d.CacheTargets = append(d.CacheTargets, cache.target)
 	}
 	return d
 }
 
-// Caller returns the caller with the token digest, as declared.
+// Caller returns the name and the token budget of the declared caller with this
+// access token digest. ok is false if there is none.
 func (h *Host) Caller(digest string) (name string, budget int64, ok bool) {
-	if h.set() == nil {
+	if h.declared() == nil {
 		return "", 0, false
 	}
-	c, ok := h.set().CallerByToken(digest)
+	c, ok := h.declared().CallerByToken(digest)
 	if !ok {
 		return "", 0, false
 	}
 	return c.Name, c.Budget, true
 }
 
-// ConfigVersion returns the version of the declaration in force, 0 for none.
-func (h *Host) ConfigVersion() uint64 { return h.declare.version }
+// ConfigVersion returns the version of the declaration in force, 0 if none is.
+func (h *Host) ConfigVersion() uint64 { return h.declaration.version }
 
-// Engines returns the declared targets that keep cache, in order of name.
-func (h *Host) Engines() []*decl.Target {
-	if h.set() == nil {
+// EngineTargets returns the declared targets of engine services, which keep
+// cache, sorted by name.
+func (h *Host) EngineTargets() []*decl.Target {
+	if h.declared() == nil {
 		return nil
 	}
 	var all []*decl.Target
 	for _, name := range h.sched.Targets() {
 		t, _ := h.sched.Target(name)
-		if h.set().Services[t.Decl.Service].Kind == decl.Engine {
+		if h.declared().Services[t.Decl.Service].Kind == decl.Engine {
 			all = append(all, t.Decl)
 		}
 	}
--- a/core/host/log.go
+++ b/core/host/log.go
@@ -8,7 +8,8 @@
 	"github.com/pistachioarch/pistachioarch/core/peerpb"
 )
 
-// commitLog is this member's journal stream and the tails it keeps for others.
+// commitLog is this member's journal stream and the tails it keeps for other
+// members.
 //
 // A record is durable when it is in a segment at the platform, or when the tail
 // peer has acknowledged it while this member may serve. The tail is a write
@@ -17,103 +18,110 @@
 type commitLog struct {
 	writer  *journal.Writer
 	flushAt time.Duration
-	flight  *segmentFlight
-	waits   []durableWait // in order of lsn
+	segment *segmentWrite
+	waits   []durableWait // in order of LSN
 
-	tailPeer       string // where the tail is sent
-	tailRegistered string // the same as the lease at the platform says
-	tailSent       uint64
-	tailAcked      uint64
-	tailSentAt     time.Duration
-	// secondPeer, of the own data centre, gets the tail too, without being waited
-	// for: a new owner asks every peer, and finds it there if the first is away.
-	secondPeer string
-	secondSent uint64
+	tailPeer           string // member that the tail is sent to
+	registeredTailPeer string // the tail peer that the lease at the platform names
+	tailSent           uint64
+	tailAcked          uint64
+	tailSentAt         time.Duration
+	// secondTailPeer, of the same data centre, gets the tail too, but its
+	// acknowledgements do not count. A new owner requests the tail from every
+	// peer, and finds it there if the tail peer cannot be reached.
+	secondTailPeer string
+	secondTailSent uint64
 
-	firstKept       uint64 // first segment of the stream that is needed
-	firstRegistered uint64 // the same as the lease at the platform says
+	firstNeeded     uint64 // first segment of the stream still needed
+	registeredFirst uint64 // the first segment that the lease at the platform names
 	firstExisting   uint64 // first segment not yet deleted
-	cleanTo         uint64 // segments below are free once cleanLSN is durable
+	cleanBefore     uint64 // segments before it can be freed once cleanLSN is durable
 	cleanLSN        uint64
 	deleting        bool
 	cleanAt         time.Duration
 
-	tails map[string]*heldTail // of other members, by stream
+	peerTails map[string]*peerTail // tails of other members, by stream
 }
 
-// segmentFlight is a segment under way. It is sent again unchanged until its
+// segmentWrite is a segment being written. It is sent again unchanged until its
 // outcome is known.
-type segmentFlight struct {
-	number uint64
-	body   []byte
-	busy   bool
+type segmentWrite struct {
+	number  uint64
+	body    []byte
+	writing bool
 }
 
-// durableWait is what happens once a record is durable.
+// durableWait is an action that waits for a record to be durable.
 type durableWait struct {
-	lsn    uint64
-	flight *flight
-	then   func(*flight)
-	failAt time.Duration // when a failure is told without waiting any longer; 0 = never
+	lsn       uint64
+	call      *call
+	done      func(*call)
+	timeoutAt time.Duration // when a failure is reported without waiting longer; 0 = never
 }
 
-// heldTail is the tail of another member's stream.
-type heldTail struct {
+// peerTail is the tail of another member's stream.
+type peerTail struct {
 	records []*peerpb.Record
-	last    uint64
-	sealed  bool // a new owner has read it: nothing more is taken
-	touched time.Duration
+	lastLSN uint64
+	sealed  bool // a new owner has read it; it accepts no more records
+	usedAt  time.Duration
 }
 
 const (
-	tailResendAfter = 500 * time.Millisecond
-	tailFrameBytes  = 1 << 20 // of one message to the tail peer
-	tailKeepSealed  = 10 * time.Minute
-	// failureWait is how long a failure waits for its record to be durable
-	// before it is told as "ran: unknown".
-	failureWait = time.Second
-	cleanEvery  = time.Second
-	// Cleaning begins when the stream has more segments, or more bytes beyond
-	// twice the live ones, than these.
-	cleanSegments = 128
-	cleanSlack    = 4 << 20
-	cleanBatch    = 32
+	tailAckTimeout      = 500 * time.Millisecond
+	maxTailFrameBytes   = 1 << 20 // of the records in one message
+	sealedTailRetention = 10 * time.Minute
+	// maxFailureWait is how long a failure waits for its record to be durable.
+	// After that it is reported as "ran: unknown".
+	maxFailureWait = time.Second
+	cleanInterval  = time.Second
+	// Cleaning starts when the stream has more than maxUncleanedSegments
+	// segments, or its bytes exceed twice the live bytes by more than
+	// maxDeadBytes. One round frees up to cleanBatchSegments segments.
+	maxUncleanedSegments = 128
+	maxDeadBytes         = 4 << 20
+	cleanBatchSegments   = 32
 )
 
-// append writes a record of a program under its slot's epoch.
-func (h *Host) append(p *program, r *peerpb.Record) uint64 {
+// appendRecord appends a record of a program under its slot's epoch and returns
+// its LSN.
+func (h *Host) appendRecord(p *program, r *peerpb.Record) uint64 {
 	r.Program, r.Epoch = string(p.id), p.slot.epoch
 	lsn := h.log.writer.Append(r)
 	p.slot.lastLSN = lsn
 	return lsn
 }
 
-// durable is the last lsn that is durable.
-func (h *Host) durable() uint64 {
-	d := h.log.writer.Durable()
-	if h.tailCounts() {
+// durableLSN returns the last durable LSN.
+func (h *Host) durableLSN() uint64 {
+	d := h.log.writer.DurableLSN()
+	if h.isTailDurable() {
 		d = max(d, h.log.tailAcked)
 	}
 	return d
 }
 
-// tailCounts reports whether the tail peer's word counts. A new owner asks the
-// peer that the lease names; while the platform is out of reach the lease
-// cannot name another, and the new owner asks all it hears.
-func (h *Host) tailCounts() bool {
+// isTailDurable reports whether records acknowledged by the tail peer count as
+// durable. A new owner requests the tail from the peer that the lease names.
+// While the platform is unreachable the lease cannot name another peer, and the
+// new owner requests it from all live peers.
+func (h *Host) isTailDurable() bool {
 	return h.log.tailPeer != "" && h.mayServe() &&
-		(h.log.tailRegistered == h.log.tailPeer || !h.ops.reachable)
+		(h.log.registeredTailPeer == h.log.tailPeer || !h.ops.reachable)
 }
 
-// whenDurable calls then once lsn is durable, at once if it is.
-func (h *Host) whenDurable(lsn uint64, f *flight, failAt time.Duration, then func(*flight)) {
-	h.log.waits = append(h.log.waits, durableWait{lsn: lsn, flight: f, then: then, failAt: failAt})
+// whenDurable calls done with c once lsn is durable, in this Step or a later
+// one. At timeoutAt, if not 0, done is called anyway and the failure of c
+// becomes "ran: unknown".
+func (h *Host) whenDurable(lsn uint64, c *call, timeoutAt time.Duration, done func(*call)) {
+	h.log.waits = append(h.log.waits, durableWait{lsn: lsn, call: c, done: done, timeoutAt: timeoutAt})
 }
 
-func (h *Host) releaseWaits() {
-	d := h.durable()
+// completeWaits runs the actions whose records are durable.
+func (h *Host) completeWaits() {
+	durable := h.durableLSN()
 	n := 0
-	for n < len(h.log.waits) && h.log.waits[n].lsn <= d {
+	for n < len(h.log.waits) && h.log.waits[n].lsn <= durable {
 		n++
 	}
 	if n == 0 {
@@ -122,38 +130,40 @@
 	due := append([]durableWait(nil), h.log.waits[:n]...)
 	h.log.waits = append(h.log.waits[:0], h.log.waits[n:]...)
 	for _, w := range due {
-		w.then(w.flight)
+		w.done(w.call)
 	}
 }
 
+// tickLog does the periodic work of the journal: it selects the tail peers,
+// sends unacknowledged records again, writes segments and frees old ones.
 func (h *Host) tickLog() {
-	h.expireWaits()
-	h.chooseTail()
-	h.chooseSecond()
-	if h.log.tailAcked < h.log.tailSent && h.now-h.log.tailSentAt > tailResendAfter {
+	h.timeOutWaits()
+	h.selectTailPeer()
+	h.selectSecondTailPeer()
+	if h.log.tailAcked < h.log.tailSent && h.now-h.log.tailSentAt > tailAckTimeout {
 		h.log.tailSent = h.log.tailAcked
 		h.log.tailSentAt = h.now
 	}
 	if h.now >= h.log.flushAt {
 		h.flush()
 	}
-	h.clean()
-	for stream, t := range h.log.tails {
-		if t.sealed && h.now-t.touched > tailKeepSealed {
-			delete(h.log.tails, stream)
+	h.cleanJournal()
+	for stream, t := range h.log.peerTails {
+		if t.sealed && h.now-t.usedAt > sealedTailRetention {
+			delete(h.log.peerTails, stream)
 		}
 	}
-	h.releaseWaits()
+	h.completeWaits()
 }
 
-// expireWaits tells failures whose record is still not durable. Such a failure
-// cannot be "ran: no" any more: a new owner might not know of it and run the
-// call.
-func (h *Host) expireWaits() {
+// timeOutWaits reports failures whose record is still not durable at their
+// timeout. Such a failure cannot be "ran: no" any more: a new owner might not
+// know of it and run the call.
+func (h *Host) timeOutWaits() {
 	kept := h.log.waits[:0]
 	var due []durableWait
 	for _, w := range h.log.waits {
-		if w.failAt != 0 && h.now >= w.failAt {
+		if w.timeoutAt != 0 && h.now >= w.timeoutAt {
 			due = append(due, w)
 			continue
 		}
@@ -161,143 +171,151 @@
 	}
 	h.log.waits = kept
 	for _, w := range due {
-		w.flight.failure.Ran = failure.RanUnknown
-		w.then(w.flight)
+		w.call.failure.Ran = failure.RanUnknown
+		w.done(w.call)
 	}
 }
 
-// flush writes the next segment, or sends one of unknown outcome again.
+// flush writes the next segment, or repeats one whose outcome is unknown.
 func (h *Host) flush() {
-	f := h.log.flight
-	if f == nil {
-		number, body, ok := h.log.writer.Begin()
+	segment := h.log.segment
+	if segment == nil {
+		number, body, ok := h.log.writer.BeginSegment()
 		if !ok {
 			return
 		}
-		f = &segmentFlight{number: number, body: body}
-		h.log.flight = f
+		segment = &segmentWrite{number: number, body: body}
+		h.log.segment = segment
 	}
-	if f.busy {
+	if segment.writing {
 		return
 	}
-	f.busy = true
-	h.log.flushAt = h.now + h.cfg.FlushEvery
-	h.put(journal.Key(h.self, f.number), 0, f.body, func(s OpStatus, _ uint64) {
-		f.busy = false
+	segment.writing = true
+	h.log.flushAt = h.now + h.cfg.FlushInterval
+	h.putObject(journal.SegmentKey(h.self, segment.number), 0, segment.body, func(s OpStatus, _ uint64) {
+		segment.writing = false
 		switch s {
 		case OpOK:
-			h.log.flight = nil
-			h.segmentWritten(len(f.body))
+			h.log.segment = nil
+			h.segmentWritten(len(segment.body))
 		case OpConflict:
-			h.note(Note{Kind: NoteSealed, Member: h.self})
-			h.lose("journal sealed by a new owner")
+			h.addNote(Note{Kind: NoteSealed, Member: h.self})
+			h.markLost("journal stream sealed by a new owner")
 		}
 	})
 }
 
-func (h *Host) segmentWritten(size int) {
-	h.log.writer.Done(true, size)
-	h.stats.SegmentBytes += uint64(size)
-	for _, keeper := range []string{h.log.tailPeer, h.log.secondPeer} {
-		if p := h.members.peers[keeper]; p != nil {
+// segmentWritten counts a stored segment and lets the tail peers trim its
+// records.
+func (h *Host) segmentWritten(bodyBytes int) {
+	h.log.writer.EndSegment(true, bodyBytes)
+	h.stats.SegmentBytes += uint64(bodyBytes)
+	for _, tailPeer := range []string{h.log.tailPeer, h.log.secondTailPeer} {
+		if p := h.members.peers[tailPeer]; p != nil {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_TailTrim{TailTrim: &peerpb.TailTrim{
-				Stream: h.self, Lsn: h.log.writer.Durable(),
+				Stream: h.self, Lsn: h.log.writer.DurableLSN(),
 			}}})
 		}
 	}
-	h.releaseWaits()
+	h.completeWaits()
 }
 
-// chooseTail keeps a living peer as the keeper of the tail: one of another data
-// centre first, so that the loss of a whole data centre loses no answer.
-func (h *Host) chooseTail() {
-	if p := h.members.peers[h.log.tailPeer]; p != nil && h.hears(p) && !p.draining && !h.local(p) {
+// selectTailPeer keeps a live peer as the tail peer, preferably of another data
+// centre, so that the loss of a whole data centre loses no answer.
+func (h *Host) selectTailPeer() {
+	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && !h.isLocal(p) {
 		return
 	}
-	best := h.prefer(false, func(p *peer) bool { return h.hears(p) && !p.draining })
-	if best == nil || best.name == h.log.tailPeer {
+	candidate := h.selectPeer(false, func(p *peer) bool { return h.isHeard(p) && !p.draining })
+	if candidate == nil || candidate.name == h.log.tailPeer {
 		return
 	}
-	if p := h.members.peers[h.log.tailPeer]; p != nil && h.hears(p) && !p.draining && h.local(best) {
-		return // one local peer is as good as another
+	if p := h.members.peers[h.log.tailPeer]; p != nil && h.isHeard(p) && !p.draining && h.isLocal(candidate) {
+		return // a local peer is no better than the present one
 	}
-	h.log.tailPeer = best.name
+	h.log.tailPeer = candidate.name
 	h.log.tailSent, h.log.tailAcked = 0, 0
-	h.lease.tryAt = min(h.lease.tryAt, h.now) // to name it in the lease
+	h.lease.renewAt = min(h.lease.renewAt, h.now) // the lease must name the new tail peer
 }
 
-// shipTail sends the tail peer what it has not been sent.
-func (h *Host) shipTail() {
+// sendTail sends both tail peers the records that they have not been sent.
+func (h *Host) sendTail() {
 	if h.ready.Lost {
 		return
 	}
-	if sent := h.shipTo(h.log.tailPeer, h.log.tailSent); sent != h.log.tailSent {
+	if sent := h.sendTailTo(h.log.tailPeer, h.log.tailSent); sent != h.log.tailSent {
 		h.log.tailSent, h.log.tailSentAt = sent, h.now
 	}
-	h.log.secondSent = h.shipTo(h.log.secondPeer, h.log.secondSent)
+	h.log.secondTailSent = h.sendTailTo(h.log.secondTailPeer, h.log.secondTailSent)
 }
 
-// shipTo sends a peer the records after sent and returns the last one sent.
-func (h *Host) shipTo(peer string, sent uint64) uint64 {
+// sendTailTo sends a peer the records after LSN sent, up to maxTailFrameBytes,
+// and returns the last LSN sent.
+func (h *Host) sendTailTo(peer string, sent uint64) uint64 {
 	p, w := h.members.peers[peer], h.log.writer
-	if p == nil || sent >= w.Last() {
+	if p == nil || sent >= w.LastLSN() {
 		return sent
 	}
-	records := w.Since(sent, tailFrameBytes)
+	records := w.PendingAfter(sent, maxTailFrameBytes)
 	if len(records) == 0 {
 		return sent
 	}
 	h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_TailAppend{TailAppend: &peerpb.TailAppend{
-		Stream: h.self, Records: records, Durable: w.Durable(),
+		Stream: h.self, Records: records, Durable: w.DurableLSN(),
 	}}})
 	return records[len(records)-1].Lsn
 }
 
-// chooseSecond keeps a living peer of the own data centre as the second keeper.
-func (h *Host) chooseSecond() {
-	if p := h.members.peers[h.log.secondPeer]; p != nil && h.hears(p) && p.name != h.log.tailPeer {
+// selectSecondTailPeer keeps a live peer of the same data centre as the second
+// tail peer.
+func (h *Host) selectSecondTailPeer() {
+	if p := h.members.peers[h.log.secondTailPeer]; p != nil && h.isHeard(p) && p.name != h.log.tailPeer {
 		return
 	}
-	h.log.secondPeer, h.log.secondSent = "", 0
-	second := h.prefer(true, func(p *peer) bool { return h.hears(p) && !p.draining && p.name != h.log.tailPeer })
+	h.log.secondTailPeer, h.log.secondTailSent = "", 0
+	second := h.selectPeer(true, func(p *peer) bool { return h.isHeard(p) && !p.draining && p.name != h.log.tailPeer })
 	if second != nil {
-		h.log.secondPeer = second.name
+		h.log.secondTailPeer = second.name
 	}
 }
 
-func (h *Host) tailAppend(from *peer, m *peerpb.TailAppend) {
+// handleTailAppend stores records of a peer's tail in LSN order and acknowledges
+// them, unless the tail is sealed.
+func (h *Host) handleTailAppend(from *peer, m *peerpb.TailAppend) {
 	if m.Stream != from.name {
 		return
 	}
-	t := h.log.tails[m.Stream]
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
-		t = &heldTail{}
-		h.log.tails[m.Stream] = t
+		t = &peerTail{}
+		h.log.peerTails[m.Stream] = t
 	}
-	t.touched = h.now
+	t.usedAt = h.now
 	if t.sealed {
 		return
 	}
-	t.last = max(t.last, m.Durable)
+	t.lastLSN = max(t.lastLSN, m.Durable)
 	for _, r := range m.Records {
-		if r.Lsn == t.last+1 {
+		if r.Lsn == t.lastLSN+1 {
 			t.records = append(t.records, r)
-			t.last = r.Lsn
+			t.lastLSN = r.Lsn
 		}
 	}
-	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailAck{TailAck: &peerpb.TailAck{Stream: m.Stream, Lsn: t.last}}})
+	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailAck{TailAck: &peerpb.TailAck{Stream: m.Stream, Lsn: t.lastLSN}}})
 }
 
-func (h *Host) tailAck(from *peer, m *peerpb.TailAck) {
+// handleTailAck records what the tail peer has stored.
+func (h *Host) handleTailAck(from *peer, m *peerpb.TailAck) {
 	if from.name != h.log.tailPeer || m.Stream != h.self {
 		return
 	}
-	h.log.tailAcked = min(max(h.log.tailAcked, m.Lsn), h.log.writer.Last())
-	h.releaseWaits()
+	h.log.tailAcked = min(max(h.log.tailAcked, m.Lsn), h.log.writer.LastLSN())
+	h.completeWaits()
 }
 
-func (h *Host) tailTrim(m *peerpb.TailTrim) {
-	t := h.log.tails[m.Stream]
+// handleTailTrim drops the records of a tail that are stored at the platform.
+func (h *Host) handleTailTrim(m *peerpb.TailTrim) {
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
 		return
 	}
@@ -308,66 +326,70 @@
 	t.records = append([]*peerpb.Record(nil), t.records[n:]...)
 }
 
-// tailFetch hands the tail to a new owner of the stream's slots and takes
-// nothing more for it.
-func (h *Host) tailFetch(from *peer, m *peerpb.TailFetch) {
-	t := h.log.tails[m.Stream]
+// handleTailFetch sends the tail to a new owner of the stream's slots and seals
+// it, so that it accepts no more records.
+func (h *Host) handleTailFetch(from *peer, m *peerpb.TailFetch) {
+	t := h.log.peerTails[m.Stream]
 	if t == nil {
-		t = &heldTail{}
-		h.log.tails[m.Stream] = t
+		t = &peerTail{}
+		h.log.peerTails[m.Stream] = t
 	}
-	t.sealed, t.touched = true, h.now
+	t.sealed, t.usedAt = true, h.now
 	h.send(from.address, &peerpb.Frame{Body: &peerpb.Frame_TailData{TailData: &peerpb.TailData{Stream: m.Stream, Records: t.records}}})
 }
 
-// clean frees the oldest segments: it carries their live programs forward, and
-// deletes them once that is durable and the lease says so. Nothing is freed
-// while the slots of another member need this stream.
-func (h *Host) clean() {
+// cleanJournal frees the oldest segments: it writes snapshots of their live
+// programs, and deletes the segments once the snapshots are durable and the
+// lease names the new first segment. It frees none while slots of another member
+// need this stream.
+func (h *Host) cleanJournal() {
 	l := &h.log
 	l.firstExisting = max(l.firstExisting, 1)
-	if l.cleanTo != 0 && l.writer.Durable() >= l.cleanLSN {
-		l.firstKept, l.cleanTo = l.cleanTo, 0
+	if l.cleanBefore != 0 && l.writer.DurableLSN() >= l.cleanLSN {
+		l.firstNeeded, l.cleanBefore = l.cleanBefore, 0
 	}
-	if l.firstExisting < min(l.firstKept, l.firstRegistered) {
-		h.deleteOldest()
+	if l.firstExisting < min(l.firstNeeded, l.registeredFirst) {
+		h.deleteOldestSegment()
 	}
-	if h.now < l.cleanAt || l.cleanTo != 0 || l.firstExisting < l.firstKept {
+	if h.now < l.cleanAt || l.cleanBefore != 0 || l.firstExisting < l.firstNeeded {
 		return
 	}
-	l.cleanAt = h.now + cleanEvery
-	if !h.cleaningDue() || h.othersNeed() {
+	l.cleanAt = h.now + cleanInterval
+	if !h.isCleaningDue() || h.isNeededByOthers() {
 		return
 	}
-	cut := min(l.firstKept+cleanBatch, l.writer.Segment())
-	for _, own := range h.allMine() {
+	before := min(l.firstNeeded+cleanBatchSegments, l.writer.LastSegment())
+	for _, own := range h.ownedSlots() {
 		for _, p := range sortedPrograms(own.programs) {
-			if p.firstSegment < cut && !p.corrupt {
-				h.snapshot(p)
+			if p.firstSegment < before && !p.corrupt {
+				h.writeSnapshot(p)
 			}
 		}
 	}
-	l.cleanTo, l.cleanLSN = cut, l.writer.Last()
+	l.cleanBefore, l.cleanLSN = before, l.writer.LastLSN()
 }
 
-func (h *Host) cleaningDue() bool {
-	segments := h.log.writer.Segment() + 1 - h.log.firstKept
-	if segments > cleanSegments {
+// isCleaningDue reports whether the stream has grown beyond the limits for
+// cleaning.
+func (h *Host) isCleaningDue() bool {
+	segments := h.log.writer.LastSegment() + 1 - h.log.firstNeeded
+	if segments > maxUncleanedSegments {
 		return true
 	}
-	if segments <= cleanBatch {
+	if segments <= cleanBatchSegments {
 		return false
 	}
 	live := int64(0)
 	for _, p := range h.programs {
-		live += int64(p.size)
+		live += int64(p.sizeBytes)
 	}
-	perSegment := h.log.writer.TotalBytes() / int64(max(1, h.log.writer.Segment()))
-	return perSegment*int64(segments) > 2*live+cleanSlack
+	perSegment := h.log.writer.TotalBytes() / int64(max(1, h.log.writer.LastSegment()))
+	return perSegment*int64(segments) > 2*live+maxDeadBytes
 }
 
-// othersNeed reports whether a slot that is not this member's needs its stream.
-func (h *Host) othersNeed() bool {
+// isNeededByOthers reports whether a slot of another owner needs this member's
+// stream. It is true as long as the table of the own data centre is not known.
+func (h *Host) isNeededByOthers() bool {
 	for _, t := range h.slots.tables {
 		for _, e := range t.Slots {
 			if _, ok := e.Streams[h.self]; ok && e.Owner != h.self {
@@ -378,14 +400,15 @@
 	return h.ownTable() == nil
 }
 
-// deleteOldest deletes one segment; the next follows when it is surely gone.
-func (h *Host) deleteOldest() {
+// deleteOldestSegment deletes one segment. The next one is deleted only when
+// this one is certainly gone.
+func (h *Host) deleteOldestSegment() {
 	if h.log.deleting {
 		return
 	}
 	h.log.deleting = true
-	key := journal.Key(h.self, h.log.firstExisting)
-	h.do(PlatformOp{Kind: OpDelete, Key: key}, func(r *PlatformReply) {
+	key := journal.SegmentKey(h.self, h.log.firstExisting)
+	h.submitOp(PlatformOp{Kind: OpDelete, Key: key}, func(r *PlatformReply) {
 		h.log.deleting = false
 		if r.Status == OpOK || r.Status == OpNotFound {
 			h.log.firstExisting++
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -15,12 +15,12 @@
 // SlotsPrefix is the key prefix of the slot tables, one object per data centre.
 const SlotsPrefix = SharedPrefix + "slots/"
 
-// SlotTable maps the slots of one data centre to their owners, as it stands at
-// the platform.
+// SlotTable maps the slots of one data centre to their owners, as stored at the
+// platform, encoded as JSON.
 type SlotTable struct {
 	DataCentre string `json:"data_centre"`
-	// Writer is unique to each write, so that a write can be recognised when
-	// its reply was lost.
+	// Writer is unique to each write, so that a write whose reply was lost can
+	// be recognised.
 	Writer string      `json:"writer"`
 	Slots  []SlotEntry `json:"slots"`
 }
@@ -31,9 +31,9 @@
 	Owner string `json:"owner"`
 	// Epoch grows by one with each change of owner.
 	Epoch uint64 `json:"epoch"`
-	// Streams are the journal streams that hold records of the slot. The value
-	// is the number of the last segment that does, or 0 for a stream that its
-	// member is still writing to or was writing to when it died.
+	// Streams maps the journal streams with records of the slot to the number of
+	// the last segment that has any. The number is 0 for a stream that its
+	// member is still writing or was writing when it died.
 	Streams map[string]uint64 `json:"streams,omitempty"`
 }
 
@@ -49,71 +49,75 @@
 	}
 }
 
-// slotTable is a known version of a SlotTable.
+// slotTable is a SlotTable with the version of its object.
 type slotTable struct {
 	version uint64
 	SlotTable
 }
 
+// slotTables holds the known slot tables and the slots of this member.
 type slotTables struct {
-	tables  map[string]*slotTable // by data centre
-	mine    map[ident.Slot]*ownedSlot
-	writes  uint64 // for Writer
-	busy    bool   // an update of the own table is under way
-	checkAt time.Duration
-	claimAt time.Duration
-
-	recoveries []*recovery
-	nextSlot   int // where the next program is created
+	tables      map[string]*slotTable // by data centre
+	owned       map[ident.Slot]*ownedSlot
+	writeCount  uint64 // number of table writes, for SlotTable.Writer
+	updating    bool   // whether an update of a table is being written
+	checkAt     time.Duration
+	fullClaimAt time.Duration
+
+	recoveries    []*recovery
+	createCounter int // modulo the number of owned slots, where the last program was created
 }
 
 type slotState uint8
 
 const (
-	slotLoading slotState = iota // its programs are being recovered
+	slotLoading slotState = iota // programs are being recovered
 	slotServing
-	slotMoving // being handed over: takes no new calls
+	slotMoving // being handed over; accepts no new calls
 )
 
-var slotStates = [...]string{"loading", "serving", "moving"}
+var slotStateNames = [...]string{"loading", "serving", "moving"}
 
-// ownedSlot is a slot of which this member is the owner.
+// ownedSlot is a slot that this member owns.
 type ownedSlot struct {
 	slot  ident.Slot
 	epoch uint64
 	state slotState
-	// to is the member that gets the slot while it moves.
-	to string
-	// programs are those of the slot.
+	// newOwner is the member that gets the slot while it is moving.
+	newOwner string
+	// programs are the programs of the slot.
 	programs map[ident.Program]*program
-	// damaged says that records of the slot may be missing.
-	damaged bool
-	// busy counts its programs with a call under way.
-	busy int
-	// lastLSN is the last record written for the slot.
+	// mayMissRecords reports whether records of the slot may be missing.
+	mayMissRecords bool
+	// activeCalls counts the programs of the slot with an active call.
+	activeCalls int
+	// lastLSN is the LSN of the last record written for the slot.
 	lastLSN uint64
-	// carried is the lsn after which other streams are no longer needed;
-	// 0 until the slot was recovered, noLSN if they must be kept.
-	carried uint64
+	// carriedLSN is the LSN that must be durable before the other streams of the
+	// slot are no longer needed; 0 until the slot is recovered, neverLSN if they
+	// must be kept.
+	carriedLSN uint64
 }
 
-const noLSN = ^uint64(0)
+// neverLSN is an LSN that is never reached.
+const neverLSN = ^uint64(0)
 
-// slotsEvery paces the look at what could be claimed or handed over.
-const slotsEvery = 200 * time.Millisecond
+// slotCheckInterval is the time between two checks for slots to claim or hand
+// over.
+const slotCheckInterval = 200 * time.Millisecond
 
 func (h *Host) tickSlots() {
 	h.tickRecoveries()
 	if h.now < h.slots.checkAt || !h.holdsLease() {
 		return
 	}
-	h.slots.checkAt = h.now + slotsEvery
+	h.slots.checkAt = h.now + slotCheckInterval
 	for _, dc := range sortedKeys(h.slots.tables) {
-		if h.slots.busy {
+		if h.slots.updating {
 			return
 		}
 		t := h.slots.tables[dc]
-		if !h.claimUnowned(t) && !h.handOver(t) {
+		if !h.claimUnownedSlots(t) && !h.handOverSlots(t) {
 			h.pruneStreams(t)
 		}
 	}
@@ -121,17 +125,17 @@
 
 func (h *Host) ownTable() *slotTable { return h.slots.tables[h.cfg.DataCentre] }
 
-// createTable makes the table of a new data centre.
+// createTable creates the table of a new data centre.
 func (h *Host) createTable() {
-	if h.slots.busy || !h.holdsLease() {
+	if h.slots.updating || !h.holdsLease() {
 		return
 	}
 	t := &slotTable{SlotTable: SlotTable{DataCentre: h.cfg.DataCentre, Slots: make([]SlotEntry, h.cfg.Slots)}}
 	h.writeTable(t, nil)
 }
 
-// updateTable changes a copy of a table by conditional update. done may be nil;
-// it is called with whether the change is in force.
+// updateTable changes a copy of a table by conditional update. done, if not nil,
+// is called with whether the change is in force.
 func (h *Host) updateTable(old *slotTable, change func(*SlotTable), done func(ok bool)) {
 	next := &slotTable{version: old.version, SlotTable: old.SlotTable}
 	next.Slots = slices.Clone(old.Slots)
@@ -142,17 +146,18 @@
 	h.writeTable(next, done)
 }
 
+// writeTable writes a table, and applies and announces it if written.
 func (h *Host) writeTable(t *slotTable, done func(ok bool)) {
-	h.slots.writes++
-	t.Writer = h.self + "#" + strconv.FormatUint(h.slots.writes, 10)
-	body := mustJSON(t.SlotTable)
+	h.slots.writeCount++
+	t.Writer = h.self + "#" + strconv.FormatUint(h.slots.writeCount, 10)
+	body := mustEncodeJSON(t.SlotTable)
 	key := SlotsPrefix + t.DataCentre
-	h.slots.busy = true
-	h.put(key, t.version, body, func(s OpStatus, version uint64) {
-		h.slots.busy = false
+	h.slots.updating = true
+	h.putObject(key, t.version, body, func(s OpStatus, version uint64) {
+		h.slots.updating = false
 		if s == OpOK {
-			h.seeTable(Object{Key: key, Version: version, Body: body})
-			h.tellSlotsChanged(t.DataCentre, version)
+			h.applyTable(Object{Key: key, Version: version, Body: body})
+			h.notifySlotsChanged(t.DataCentre, version)
 		} else {
 			h.readTable(t.DataCentre)
 		}
@@ -162,9 +167,11 @@
 	})
 }
 
-func (h *Host) tellSlotsChanged(dc string, version uint64) {
+// notifySlotsChanged announces a new version of a table to the peers of this
+// data centre and of the table's.
+func (h *Host) notifySlotsChanged(dc string, version uint64) {
 	for _, p := range h.members.list {
-		if (h.local(p) || p.dataCentre == dc) && !p.gone {
+		if (h.isLocal(p) || p.dataCentre == dc) && !p.gone {
 			h.send(p.address, &peerpb.Frame{Body: &peerpb.Frame_SlotChanged{SlotChanged: &peerpb.SlotChanged{
 				DataCentre: dc, Version: version,
 			}}})
@@ -172,7 +179,7 @@
 	}
 }
 
-func (h *Host) slotChanged(m *peerpb.SlotChanged) {
+func (h *Host) handleSlotChanged(m *peerpb.SlotChanged) {
 	if t := h.slots.tables[m.DataCentre]; t == nil || t.version < m.Version {
 		h.readTable(m.DataCentre)
 	}
@@ -180,15 +187,15 @@
 
 func (h *Host) readTable(dc string) {
 	key := SlotsPrefix + dc
-	h.do(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
+	h.submitOp(PlatformOp{Kind: OpGet, Key: key}, func(r *PlatformReply) {
 		if r.Status == OpOK {
-			h.seeTable(Object{Key: key, Version: r.Version, Body: r.Body})
+			h.applyTable(Object{Key: key, Version: r.Version, Body: r.Body})
 		}
 	})
 }
 
-// seeTable takes in a table unless a newer version is known.
-func (h *Host) seeTable(o Object) {
+// applyTable stores a table that was read unless a newer version is known.
+func (h *Host) applyTable(o Object) {
 	t := &slotTable{version: o.Version}
 	if json.Unmarshal(o.Body, &t.SlotTable) != nil || SlotsPrefix+t.DataCentre != o.Key {
 		return
@@ -197,72 +204,72 @@
 		return
 	}
 	h.slots.tables[t.DataCentre] = t
-	h.compareOwned(t)
+	h.updateOwned(t)
 }
 
-// compareOwned starts to recover slots that became this member's, and notices
-// when one was taken away, which only happens to a member whose lease was
-// revoked.
-func (h *Host) compareOwned(t *slotTable) {
+// updateOwned starts the recovery of slots that this member has gained, and
+// removes those that were handed over. Any other loss of a slot only happens to
+// a member whose lease was revoked, which then stops.
+func (h *Host) updateOwned(t *slotTable) {
 	var gained []*ownedSlot
 	for i, e := range t.Slots {
 		slot := ident.Slot{DataCentre: t.DataCentre, Number: i}
-		own := h.slots.mine[slot]
+		own := h.slots.owned[slot]
 		switch {
 		case e.Owner == h.self && own == nil:
 			own = &ownedSlot{slot: slot, epoch: e.Epoch, programs: map[ident.Program]*program{}}
-			h.slots.mine[slot] = own
+			h.slots.owned[slot] = own
 			gained = append(gained, own)
-		case e.Owner != h.self && own != nil && own.state == slotMoving && own.busy == 0:
-			h.dropSlot(own) // the handover is in force
+		case e.Owner != h.self && own != nil && own.state == slotMoving && own.activeCalls == 0:
+			h.removeSlot(own) // the handover is in force
 		case e.Owner != h.self && own != nil, own != nil && own.epoch != e.Epoch:
-			h.lose("slot " + slot.String() + " has another owner")
+			h.markLost("slot " + slot.String() + " has another owner")
 			return
 		}
 	}
 	if len(gained) > 0 {
-		h.recover(t, gained)
+		h.recoverSlots(t, gained)
 	}
 }
 
-// dropSlot forgets a slot that was handed over.
-func (h *Host) dropSlot(own *ownedSlot) {
-	delete(h.slots.mine, own.slot)
+// removeSlot removes a slot that was handed over.
+func (h *Host) removeSlot(own *ownedSlot) {
+	delete(h.slots.owned, own.slot)
 	for _, p := range own.programs {
-		h.forget(p)
+		h.removeProgram(p)
 	}
 }
 
-// pruneStreams takes streams out of the table whose records were all carried
-// forward into this member's own.
+// pruneStreams removes from the table the streams whose records have all been
+// written again into this member's own stream.
 func (h *Host) pruneStreams(t *slotTable) {
-	prune := map[int]bool{}
+	prunable := map[int]bool{}
 	for i, e := range t.Slots {
-		own := h.slots.mine[ident.Slot{DataCentre: t.DataCentre, Number: i}]
+		own := h.slots.owned[ident.Slot{DataCentre: t.DataCentre, Number: i}]
 		if own == nil || e.Owner != h.self || len(e.Streams) < 2 || own.state == slotLoading {
 			continue
 		}
-		if own.carried != noLSN && own.carried <= h.log.writer.Durable() {
-			prune[i] = true
+		if own.carriedLSN != neverLSN && own.carriedLSN <= h.log.writer.DurableLSN() {
+			prunable[i] = true
 		}
 	}
-	if len(prune) == 0 {
+	if len(prunable) == 0 {
 		return
 	}
 	h.updateTable(t, func(next *SlotTable) {
-		for i := range prune {
+		for i := range prunable {
 			next.Slots[i].Streams = map[string]uint64{h.self: 0}
 		}
 	}, nil)
 }
 
-// Owner tells who owns a slot, with the address at which it is reached. self is
-// true for this member, found false when the slot has no owner that is known
-// now, known false when there is no such slot.
+// Owner returns the address of the owner of a slot. self reports whether this
+// member is the owner. found is false if no owner is known now, known is false
+// if there is no such slot.
 func (h *Host) Owner(slot ident.Slot) (address string, self, found, known bool) {
 	t := h.slots.tables[slot.DataCentre]
 	if t == nil {
-		return "", false, false, len(h.slots.tables) == 0 || h.centreKnown(slot.DataCentre)
+		return "", false, false, len(h.slots.tables) == 0 || h.isDataCentreKnown(slot.DataCentre)
 	}
 	if slot.Number >= len(t.Slots) {
 		return "", false, false, false
@@ -278,7 +285,7 @@
 	return p.address, false, true, true
 }
 
-func (h *Host) centreKnown(dc string) bool {
+func (h *Host) isDataCentreKnown(dc string) bool {
 	for _, p := range h.members.list {
 		if p.dataCentre == dc {
 			return true
@@ -287,17 +294,18 @@
 	return dc == h.cfg.DataCentre
 }
 
-// Healthy reports whether a balancer should send requests to this host.
+// Healthy reports whether a load balancer should send requests to this host.
 func (h *Host) Healthy() bool {
-	return !h.draining && !h.ready.Lost && h.lease.held && h.set() != nil
+	return !h.draining && !h.ready.Lost && h.lease.acquired && h.declared() != nil
 }
 
-// CreateAt returns the address of a peer that can create programs when this
-// host has no slot of its own; empty when there is none.
-func (h *Host) CreateAt() string {
-	if h.draining || len(h.mineIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
+// NewProgramAddress returns the address of a peer that can create programs when
+// this host cannot, because it drains, has no slot of its own or may not serve.
+// It is empty if this host can, or there is no such peer.
+func (h *Host) NewProgramAddress() string {
+	if h.draining || len(h.ownedSlotsIn(h.cfg.DataCentre)) == 0 || !h.mayServe() {
 		for _, p := range h.members.list {
-			if h.local(p) && h.hears(p) && !p.draining && !p.suspended && p.slots > 0 {
+			if h.isLocal(p) && h.isHeard(p) && !p.draining && !p.suspended && p.slots > 0 {
 				return p.address
 			}
 		}
@@ -305,10 +313,10 @@
 	return ""
 }
 
-// mineIn returns this member's slots of a data centre, in order.
-func (h *Host) mineIn(dc string) []*ownedSlot {
+// ownedSlotsIn returns this member's slots of a data centre, sorted by number.
+func (h *Host) ownedSlotsIn(dc string) []*ownedSlot {
 	var all []*ownedSlot
-	for _, own := range h.slots.mine {
+	for _, own := range h.slots.owned {
 		if own.slot.DataCentre == dc {
 			all = append(all, own)
 		}
@@ -317,9 +325,9 @@
 	return all
 }
 
-// allMine returns all slots of this member, in order.
-func (h *Host) allMine() []*ownedSlot {
-	return slices.SortedFunc(maps.Values(h.slots.mine), func(a, b *ownedSlot) int {
+// ownedSlots returns all slots of this member, sorted.
+func (h *Host) ownedSlots() []*ownedSlot {
+	return slices.SortedFunc(maps.Values(h.slots.owned), func(a, b *ownedSlot) int {
 		return cmp.Or(cmp.Compare(a.slot.DataCentre, b.slot.DataCentre), a.slot.Number-b.slot.Number)
 	})
 }
--- a/ctl/replay/callers.go
+++ b/ctl/replay/callers.go
@@ -266,7 +266,7 @@
 // nil.
 func (req *forwardedRequest) owner() *entryHost {
 	if req.program == "" {
-		if address := req.entry.host.CreateAt(); address != "" {
+		if address := req.entry.host.NewProgramAddress(); address != "" {
 			return req.sim.hostsByName[address]
 		}
 		return req.entry
--- a/ctl/replay/engine.go
+++ b/ctl/replay/engine.go
@@ -199,7 +199,7 @@
 		e.evict(p)
 	}
 	for _, c := range calls {
-		c.finish(host.TargetBroken, host.Usage{})
+		c.finish(host.TargetLost, host.Usage{})
 	}
 }
 
--- a/ctl/replay/simulation.go
+++ b/ctl/replay/simulation.go
@@ -296,7 +296,7 @@
 		t := sim.engines[name]
 		for _, e := range sim.hosts {
 			if t.alive && !t.frozen && !sim.isPartitioned(e.dc, t.header.DataCentre) {
-				e.step(&host.TargetReport{Target: name, Queued: t.reportedQueue(), Holds: slices.Clone(t.recentPrograms)})
+				e.step(&host.TargetReport{Target: name, Queued: t.reportedQueue(), CachedPrograms: slices.Clone(t.recentPrograms)})
 			}
 		}
 	}
