--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -24,9 +24,9 @@
 	host := entry.New(entry.Options{
 		Headers: platform.Headers{}, History: past, Dialer: dialer,
 		DataCentre: set.DataCentre, Regions: set.Regions, MemoryBytes: set.MemoryBytes, Descriptors: set.Descriptors,
-		KeyRules:            entry.KeyRules{MaxAge: set.KeyMaxAge(), UnknownKeyMaxAge: set.KeySureAge()},
+		KeyRules:            entry.KeyRules{MaxAge: set.KeyMaxAge(), UnknownKeyMaxAge: set.UnknownKeyMaxAge()},
 		QuotaTolerance:      quota.Tolerance{Window: set.QuotaWindow, Overage: set.QuotaOverage, Slack: set.QuotaSlack},
-		DisableLoadExchange: !set.SharesLoads(),
+		DisableLoadExchange: !set.ExchangesLoads(),
 		ReadyPath:           platform.ReadyPath, Log: logger, Meter: o.meter,
 	})
 	callers, err := listen(set.CallerListen)
@@ -39,7 +39,7 @@
 	}
 	follow, stop := context.WithCancel(context.Background())
 	defer stop()
-	store := meter.Store(platform.NewStore(set.PlatformAddress), o.meter)
+	store := meter.CountStoreCalls(platform.NewStore(set.PlatformAddress), o.meter)
 	followed := follower{set, store, past, logger}.start(follow, host)
 	o.state = func() any { return entryState{host.State(), relaysOf(followed)} }
 	o.serve(follow, set.MetricsListen())
@@ -48,7 +48,7 @@
 	host.Serve(callers)
 	host.ServeReady(ready)
 	<-ctx.Done()
-	host.Drain(set.Grace)
+	host.Drain(set.GracePeriod)
 	return nil
 }
 
@@ -65,16 +65,16 @@
 	config, targets, slots := f.source(), f.source(), f.slots()
 	targets.WithSubset(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
 	followConfig := objects.Follow
-	if f.set.KeyRemoval > 0 {
+	if f.set.MaxKeyRemovalDelay > 0 {
 		followConfig = objects.FollowFastRetry
 	}
 	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
-	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchFor(), entry.NewTargetView(host, platform.DecodeTarget).WithHalvings(targets.Halvings))
+	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchTimeout(), entry.NewTargetView(host, platform.DecodeTarget).WithHalvings(targets.Halvings))
 	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, f.past)
 	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.MapKind: slots}
-	if f.set.Evacuation > 0 {
+	if f.set.MaxEvacuationDelay > 0 {
 		evacuations := f.source()
-		go objects.Follow(ctx, evacuations, platform.EvacuationKind, f.set.WatchFor(), entry.NewEvacuationView(host))
+		go objects.Follow(ctx, evacuations, platform.EvacuationKind, f.set.WatchTimeout(), entry.NewEvacuationView(host))
 		followed[platform.EvacuationKind] = evacuations
 	}
 	return followed
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -19,7 +19,7 @@
 
 func runHistory(ctx context.Context, set *settings.Role, o *observer) error {
 	logger := o.logger
-	server, err := history.OpenServer(history.Options{Dir: set.DataFolder, Logger: logger, Meter: o.meter})
+	server, err := history.OpenServer(history.Options{Dir: set.DataDir, Logger: logger, Meter: o.meter})
 	if err != nil {
 		return err
 	}
@@ -27,16 +27,16 @@
 	if err != nil {
 		return err
 	}
-	store := meter.Store(platform.NewStore(set.PlatformAddress), o.meter)
+	store := meter.CountStoreCalls(platform.NewStore(set.PlatformAddress), o.meter)
 	retirements := platform.NewRetirements(store)
 	self := placement.Member{ID: server.MemberID(), Host: set.Host, Address: set.HistoryListen(), DataCentre: set.DataCentre, Region: set.Regions[set.DataCentre]}
-	keeper := history.NewController(server, store, self, set.FaultHosts, retirements, peerDialer(), logger)
+	keeper := history.NewController(server, store, self, set.ToleratedHostFaults, retirements, peerDialer(), logger)
 	o.state = func() any { return keeper.State() }
 	o.serve(ctx, set.MetricsListen())
 	source := func() objects.Reader { return relay.NewSource(set.Host, store, keeper, logger) }
 	relays := relay.NewServer(ctx, source, logger, relayedKinds(set)...)
 	server.SetRelayHandler(relays.Handle)
-	go objects.Follow(ctx, relays.Reader(), platform.RetirementKind, set.WatchFor(), retirements)
+	go objects.Follow(ctx, relays.Reader(), platform.RetirementKind, set.WatchTimeout(), retirements)
 	go keeper.Run(ctx, relays.Reader())
 	go server.Sweep(ctx.Done())
 	go func() {
@@ -57,10 +57,10 @@
 // change, of slots that have moved among them.
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
-		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatch(), ForwardConfirmations: set.KeyRemoval > 0},
-		{Name: platform.TargetKind, WatchTimeout: set.WatchFor(), MinWatchInterval: targetPace, GroupOf: platform.DecodeTargetGroup},
-		{Name: platform.EvacuationKind, WatchTimeout: set.WatchFor()},
-		{Name: platform.RetirementKind, WatchTimeout: set.WatchFor()},
-		{Name: history.MapKind, WatchTimeout: set.WatchFor()},
+		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatch(), ForwardConfirmations: set.MaxKeyRemovalDelay > 0},
+		{Name: platform.TargetKind, WatchTimeout: set.WatchTimeout(), MinWatchInterval: targetPace, GroupOf: platform.DecodeTargetGroup},
+		{Name: platform.EvacuationKind, WatchTimeout: set.WatchTimeout()},
+		{Name: platform.RetirementKind, WatchTimeout: set.WatchTimeout()},
+		{Name: history.MapKind, WatchTimeout: set.WatchTimeout()},
 	}
 }
--- a/daemon/cmd/pistachiod/main.go
+++ b/daemon/cmd/pistachiod/main.go
@@ -75,7 +75,7 @@
 }
 
 func reportFaults(logger *log.Logger, err error) {
-	var faults settings.Faults
+	var faults settings.InvalidSettings
 	if !errors.As(err, &faults) {
 		logger.Error("settings", "error", err.Error())
 		return
--- a/daemon/cmd/pistachiod/observe_test.go
+++ b/daemon/cmd/pistachiod/observe_test.go
@@ -116,7 +116,7 @@
 // A watch that hangs must end before hosts have to know what it would have told.
 func TestNoRelayedKindWaitsLongerThanHostsMayBeOutOfTouch(t *testing.T) {
 	for _, contact := range []time.Duration{3 * time.Second, 6 * time.Second} {
-		set := &settings.Role{Contact: contact}
+		set := &settings.Role{ContactWindow: contact}
 		for _, kind := range relayedKinds(set) {
 			require.LessOrEqual(t, kind.WatchTimeout, contact, kind.Name)
 		}
--- a/daemon/cmd/pistachiod/reload.go
+++ b/daemon/cmd/pistachiod/reload.go
@@ -76,5 +76,5 @@
 	}
 	got := r.set.Reload(next)
 	r.apply()
-	r.logger.Info("settings reloaded", "cause", cause, "changed", got.Changed, "need_restart", got.Kept)
+	r.logger.Info("settings reloaded", "cause", cause, "changed", got.Changed, "need_restart", got.NeedRestart)
 }
--- a/daemon/meter/store.go
+++ b/daemon/meter/store.go
@@ -8,8 +8,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// Store counts the calls to a store by operation and result: platform_calls_OP_RESULT.
-func Store(s objects.Store, m *Meter) objects.Store { return &countedStore{s, m} }
+// CountStoreCalls counts the calls to a store by operation and result: platform_calls_OP_RESULT.
+func CountStoreCalls(s objects.Store, m *Meter) objects.Store { return &countedStore{s, m} }
 
 type countedStore struct {
 	objects.Store
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -137,8 +137,8 @@
 
 func (n *Node) startEvent() *host.Start {
 	ev := &host.Start{Seeds: n.set.Seeds, CachedConfig: n.config}
-	if n.config == nil && n.set.DataFolder != "" {
-		cached, err := os.ReadFile(filepath.Join(n.set.DataFolder, cacheFile))
+	if n.config == nil && n.set.DataDir != "" {
+		cached, err := os.ReadFile(filepath.Join(n.set.DataDir, cacheFile))
 		if err == nil {
 			ev.CachedConfig = cached
 		}
@@ -271,10 +271,10 @@
 
 func (n *Node) saveConfig(body []byte) {
 	n.config = body
-	if n.set.DataFolder == "" {
+	if n.set.DataDir == "" {
 		return
 	}
-	path := filepath.Join(n.set.DataFolder, cacheFile)
+	path := filepath.Join(n.set.DataDir, cacheFile)
 	if err := os.WriteFile(path+".new", body, 0o600); err != nil {
 		n.log.Warn("cannot keep the declaration", "error", err)
 		return
--- a/daemon/node/poll.go
+++ b/daemon/node/poll.go
@@ -11,9 +11,9 @@
 
 // pollTargets reads the load of every target, and now and then what it keeps.
 func (n *Node) pollTargets() {
-	report := time.NewTicker(n.set.ReportEvery)
+	report := time.NewTicker(n.set.ReportInterval)
 	defer report.Stop()
-	sweepAt := time.Now().Add(n.set.SweepEvery)
+	sweepAt := time.Now().Add(n.set.SweepInterval)
 	for {
 		select {
 		case <-n.ctx.Done():
@@ -22,7 +22,7 @@
 		}
 		sweep := time.Now().After(sweepAt)
 		if sweep {
-			sweepAt = time.Now().Add(n.set.SweepEvery)
+			sweepAt = time.Now().Add(n.set.SweepInterval)
 		}
 		for _, t := range n.engines() {
 			n.goDo(func() { n.pollTarget(t, sweep) })
--- a/daemon/node/route.go
+++ b/daemon/node/route.go
@@ -37,11 +37,11 @@
 
 // route brings a request to the owner of its slot and returns the outcome. The
 // owner may change on the way: the request is then sent again, which is safe,
-// since an owner recognises it by program and sequence. Once ForwardPatience is
+// since an owner recognises it by program and sequence. Once ForwardTimeout is
 // over the request is given up.
 func (n *Node) route(ctx context.Context, rq *request) host.Outcome {
 	pause := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(routeFirstPause), backoff.WithMaxInterval(routeMaxPause), backoff.WithMaxElapsedTime(n.set.ForwardPatience))
+		backoff.WithInitialInterval(routeFirstPause), backoff.WithMaxInterval(routeMaxPause), backoff.WithMaxElapsedTime(n.set.ForwardTimeout))
 	maybe := false // an owner may have taken the request
 	rq.follow()
 	for {
--- a/daemon/settings/reload.go
+++ b/daemon/settings/reload.go
@@ -8,9 +8,9 @@
 
 // Reloaded is what a running role does with settings that were read anew.
 type Reloaded struct {
-	// Changed are the settings taken, Kept those that need a restart; as
+	// Changed are the settings taken, NeedRestart those that need a restart; as
 	// "section.key".
-	Changed, Kept []string
+	Changed, NeedRestart []string
 }
 
 // Reload takes from next what can change while the role runs, and says what it
@@ -26,9 +26,9 @@
 	keep(&out, "host.name", r.Host, next.Host)
 	keep(&out, "host.data_centre", r.DataCentre, next.DataCentre)
 	if !maps.Equal(r.Regions, next.Regions) {
-		out.Kept = append(out.Kept, "regions")
+		out.NeedRestart = append(out.NeedRestart, "regions")
 	}
-	keep(&out, "host.data_folder", r.DataFolder, next.DataFolder)
+	keep(&out, "host.data_folder", r.DataDir, next.DataDir)
 	keep(&out, "listen.address", r.Address, next.Address)
 	keep(&out, "listen.callers", r.CallerListen, next.CallerListen)
 	keep(&out, "listen.ready", r.ReadyListen, next.ReadyListen)
@@ -36,11 +36,11 @@
 	keep(&out, "listen.metrics_port", r.MetricsPort, next.MetricsPort)
 	keep(&out, "platform.address", r.PlatformAddress, next.PlatformAddress)
 	keep(&out, "limits.descriptors", r.Descriptors, next.Descriptors)
-	keep(&out, "faults.hosts", r.FaultHosts, next.FaultHosts)
-	keep(&out, "timing.grace_s", r.Grace, next.Grace)
-	keep(&out, "timing.contact_ms", r.Contact, next.Contact)
-	keep(&out, "keys.removal_ms", r.KeyRemoval, next.KeyRemoval)
-	keep(&out, "evacuations.bound_ms", r.Evacuation, next.Evacuation)
+	keep(&out, "faults.hosts", r.ToleratedHostFaults, next.ToleratedHostFaults)
+	keep(&out, "timing.grace_s", r.GracePeriod, next.GracePeriod)
+	keep(&out, "timing.contact_ms", r.ContactWindow, next.ContactWindow)
+	keep(&out, "keys.removal_ms", r.MaxKeyRemovalDelay, next.MaxKeyRemovalDelay)
+	keep(&out, "evacuations.bound_ms", r.MaxEvacuationDelay, next.MaxEvacuationDelay)
 	keep(&out, "quotas.window_s", r.QuotaWindow, next.QuotaWindow)
 	keep(&out, "quotas.overage", r.QuotaOverage, next.QuotaOverage)
 	keep(&out, "quotas.slack", r.QuotaSlack, next.QuotaSlack)
@@ -58,6 +58,6 @@
 
 func keep[T string | int | float64 | time.Duration](out *Reloaded, name string, now, next T) {
 	if now != next {
-		out.Kept = append(out.Kept, name)
+		out.NeedRestart = append(out.NeedRestart, name)
 	}
 }
--- a/daemon/settings/role.go
+++ b/daemon/settings/role.go
@@ -13,7 +13,7 @@
 
 // Role is the settings of an entry or history role.
 type Role struct {
-	Host, DataCentre, DataFolder string
+	Host, DataCentre, DataDir string
 	// Regions is the region of each data centre.
 	Regions map[string]string
 	// Address is the host's own IP number.
@@ -28,19 +28,19 @@
 	PlatformAddress string
 	MemoryBytes     int64
 	Descriptors     int
-	// FaultHosts is how many history hosts may be lost at once.
-	FaultHosts int
-	// Grace is the time from the order to stop to the kill.
-	Grace time.Duration
-	// Contact is how long the platform must have answered without trouble before
+	// ToleratedHostFaults is how many history hosts may be lost at once.
+	ToleratedHostFaults int
+	// GracePeriod is the time from the order to stop to the kill.
+	GracePeriod time.Duration
+	// ContactWindow is how long the platform must have answered without trouble before
 	// its changes must be in force within their bounds.
-	Contact time.Duration
-	// KeyRemoval is the time after which no host serves by a key that was taken away,
+	ContactWindow time.Duration
+	// MaxKeyRemovalDelay is the time after which no host serves by a key that was taken away,
 	// whatever it hears; 0 if only hosts in touch with the platform must know.
-	KeyRemoval time.Duration
-	// Evacuation is the time after which no host sends to the targets of a data centre that is
+	MaxKeyRemovalDelay time.Duration
+	// MaxEvacuationDelay is the time after which no host sends to the targets of a data centre that is
 	// to be evacuated; 0 if operators ask for none.
-	Evacuation time.Duration
+	MaxEvacuationDelay time.Duration
 	// QuotaWindow, QuotaOverage and QuotaSlack are by how much the quotas of customers may be
 	// exceeded; see quota.Tolerance.
 	QuotaWindow              time.Duration
@@ -61,11 +61,11 @@
 	watchLeast = 500 * time.Millisecond
 )
 
-// WatchFor is how long one watch of the platform may wait. A watch can hang from
+// WatchTimeout is how long one watch of the platform may wait. A watch can hang from
 // the last moment of an outage on; it is given up and what it missed is read
 // before the contact time after the outage has passed.
-func (r *Role) WatchFor() time.Duration {
-	return max(watchLeast, r.Contact-watchMargin)
+func (r *Role) WatchTimeout() time.Duration {
+	return max(watchLeast, r.ContactWindow-watchMargin)
 }
 
 // keyRemoval reads the bound on removed keys, which holds where it is strict.
@@ -103,14 +103,14 @@
 
 // KeyMaxAge is how old a host's word of the configuration may be to serve by keys; 0 where
 // there is no bound.
-func (r *Role) KeyMaxAge() time.Duration { return share(keyAgeShare, r.KeyRemoval) }
+func (r *Role) KeyMaxAge() time.Duration { return share(keyAgeShare, r.MaxKeyRemovalDelay) }
 
-// KeySureAge is how old a host's word of the configuration may be to call a key unknown.
-func (r *Role) KeySureAge() time.Duration {
-	if r.KeyRemoval > 0 {
-		return share(sureShare, r.KeyRemoval)
+// UnknownKeyMaxAge is how old a host's word of the configuration may be to call a key unknown.
+func (r *Role) UnknownKeyMaxAge() time.Duration {
+	if r.MaxKeyRemovalDelay > 0 {
+		return share(sureShare, r.MaxKeyRemovalDelay)
 	}
-	return sureWatches * r.WatchFor()
+	return sureWatches * r.WatchTimeout()
 }
 
 // RelayedConfigWatch is how long one watch of a relay for the configuration may wait.
@@ -125,10 +125,10 @@
 
 // configWatch keeps watches short enough that what they tell in vain comes in time.
 func (r *Role) configWatch(part float64) time.Duration {
-	if r.KeyRemoval == 0 {
-		return r.WatchFor()
+	if r.MaxKeyRemovalDelay == 0 {
+		return r.WatchTimeout()
 	}
-	return min(r.WatchFor(), max(keyWatchLeast, share(part, r.KeyRemoval)))
+	return min(r.WatchTimeout(), max(keyWatchLeast, share(part, r.MaxKeyRemovalDelay)))
 }
 
 // HistoryListen is the address that history hosts listen on.
@@ -158,33 +158,33 @@
 func ParseRole(text []byte) (*Role, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
-		return nil, Faults{{Reason: "not INI: " + err.Error()}}
+		return nil, InvalidSettings{{Reason: "not INI: " + err.Error()}}
 	}
 	r := &reader{file: f, used: map[string]bool{}}
 	s := &Role{
-		Host:            r.text("host", "name", ""),
-		DataCentre:      r.text("host", "data_centre", ""),
-		DataFolder:      r.text("host", "data_folder", ""),
-		Address:         r.text("listen", "address", ""),
-		CallerListen:    r.address("listen", "callers", ""),
-		ReadyListen:     r.address("listen", "ready", ""),
-		MetricsPort:     int(r.integer("listen", "metrics_port", 0, 0, 65535)),
-		LogLevel:        r.oneOf("log", "level", "info", "debug", "warn", "error"),
-		HistoryPort:     int(r.integer("listen", "first_internal_port", 0, 1, 65535)),
-		PlatformAddress: r.address("platform", "address", ""),
-		Seeds:           r.addresses("peers", "seeds"),
-		MemoryBytes:     r.integer("limits", "memory_mb", 0, 16, 1<<20) << 20,
-		Descriptors:     int(r.integer("limits", "descriptors", 0, 256, 1<<24)),
-		FaultHosts:      int(r.integer("faults", "hosts", 1, 0, 16)),
-		Grace:           r.milliseconds("timing", "grace_s", 1000, 8000),
-		Contact:         r.milliseconds("timing", "contact_ms", 1, 3000),
-		KeyRemoval:      r.keyRemoval(),
-		Evacuation:      r.milliseconds("evacuations", "bound_ms", 1, 0),
-		QuotaWindow:     r.milliseconds("quotas", "window_s", 1000, 0),
-		QuotaOverage:    r.fraction("quotas", "overage"),
-		QuotaSlack:      r.fraction("quotas", "slack"),
-		Regions:         r.table("regions"),
-		LoadExchange:    r.oneOf("loads", "exchange", loadsAuto, loadsOff),
+		Host:                r.text("host", "name", ""),
+		DataCentre:          r.text("host", "data_centre", ""),
+		DataDir:             r.text("host", "data_folder", ""),
+		Address:             r.text("listen", "address", ""),
+		CallerListen:        r.address("listen", "callers", ""),
+		ReadyListen:         r.address("listen", "ready", ""),
+		MetricsPort:         int(r.integer("listen", "metrics_port", 0, 0, 65535)),
+		LogLevel:            r.oneOf("log", "level", "info", "debug", "warn", "error"),
+		HistoryPort:         int(r.integer("listen", "first_internal_port", 0, 1, 65535)),
+		PlatformAddress:     r.address("platform", "address", ""),
+		Seeds:               r.addresses("peers", "seeds"),
+		MemoryBytes:         r.integer("limits", "memory_mb", 0, 16, 1<<20) << 20,
+		Descriptors:         int(r.integer("limits", "descriptors", 0, 256, 1<<24)),
+		ToleratedHostFaults: int(r.integer("faults", "hosts", 1, 0, 16)),
+		GracePeriod:         r.milliseconds("timing", "grace_s", 1000, 8000),
+		ContactWindow:       r.milliseconds("timing", "contact_ms", 1, 3000),
+		MaxKeyRemovalDelay:  r.keyRemoval(),
+		MaxEvacuationDelay:  r.milliseconds("evacuations", "bound_ms", 1, 0),
+		QuotaWindow:         r.milliseconds("quotas", "window_s", 1000, 0),
+		QuotaOverage:        r.fraction("quotas", "overage"),
+		QuotaSlack:          r.fraction("quotas", "slack"),
+		Regions:             r.table("regions"),
+		LoadExchange:        r.oneOf("loads", "exchange", loadsAuto, loadsOff),
 	}
 	r.required("host", "name", s.Host)
 	r.required("host", "data_centre", s.DataCentre)
@@ -242,8 +242,8 @@
 // The ways of exchanging loads: where hosts hear too little by themselves, or never.
 const loadsAuto, loadsOff = "auto", "off"
 
-// SharesLoads reports whether hosts may tell each other what they see of the targets.
-func (r *Role) SharesLoads() bool { return r.LoadExchange != loadsOff }
+// ExchangesLoads reports whether hosts may tell each other what they see of the targets.
+func (r *Role) ExchangesLoads() bool { return r.LoadExchange != loadsOff }
 
 // mostFraction is above any tolerance.
 const mostFraction = 1e6
--- a/daemon/settings/role_test.go
+++ b/daemon/settings/role_test.go
@@ -54,18 +54,18 @@
 	require.NoError(t, err)
 	require.Equal(t, "10.0.0.1:7380", r.HistoryListen())
 	require.Equal(t, map[string]string{"dc1": "north", "dc2": "south"}, r.Regions)
-	require.Equal(t, 8*time.Second, r.Grace)
-	require.Equal(t, 3300*time.Millisecond, r.WatchFor())
+	require.Equal(t, 8*time.Second, r.GracePeriod)
+	require.Equal(t, 3300*time.Millisecond, r.WatchTimeout())
 	require.EqualValues(t, 134<<20, r.MemoryBytes)
-	require.Equal(t, 2, r.FaultHosts)
+	require.Equal(t, 2, r.ToleratedHostFaults)
 	require.Equal(t, 4*time.Second, r.KeyMaxAge())
-	require.Equal(t, 2*time.Second, r.KeySureAge())
+	require.Equal(t, 2*time.Second, r.UnknownKeyMaxAge())
 	require.Equal(t, 300*time.Millisecond, r.RelayedConfigWatch())
 	require.Equal(t, 600*time.Millisecond, r.ConfigWatch())
 	require.Equal(t, 5*time.Second, r.QuotaWindow)
 	require.Equal(t, []float64{0.1, 20}, []float64{r.QuotaOverage, r.QuotaSlack})
-	require.Equal(t, 5*time.Second, r.Evacuation)
-	require.False(t, r.SharesLoads())
+	require.Equal(t, 5*time.Second, r.MaxEvacuationDelay)
+	require.False(t, r.ExchangesLoads())
 	require.Equal(t, []string{"10.0.0.7:7380", "10.0.1.7:7380"}, r.Seeds, "where history hosts listen")
 }
 
@@ -88,7 +88,7 @@
 contact_ms = NaN
 wait = 5
 `))
-	var faults Faults
+	var faults InvalidSettings
 	require.True(t, errors.As(err, &faults))
 	var keys []string
 	for _, f := range faults {
@@ -113,10 +113,10 @@
 	require.NoError(t, err)
 	got := r.Reload(next)
 	require.Equal(t, []string{"limits.memory_mb", "log.level"}, got.Changed)
-	require.Equal(t, []string{"platform.address", "faults.hosts", "timing.grace_s"}, got.Kept)
-	require.Equal(t, 8*time.Second, r.Grace)
+	require.Equal(t, []string{"platform.address", "faults.hosts", "timing.grace_s"}, got.NeedRestart)
+	require.Equal(t, 8*time.Second, r.GracePeriod)
 	require.Equal(t, "debug", r.LogLevel)
-	require.Equal(t, 2, r.FaultHosts)
+	require.Equal(t, 2, r.ToleratedHostFaults)
 	require.Equal(t, "10.9.0.1:80", r.PlatformAddress)
 }
 
@@ -139,7 +139,7 @@
 			v.SetInt(7)
 		}
 		got := r.Reload(next)
-		require.Equal(t, 1, len(got.Changed)+len(got.Kept), fields.Field(i).Name)
+		require.Equal(t, 1, len(got.Changed)+len(got.NeedRestart), fields.Field(i).Name)
 	}
 }
 
@@ -151,8 +151,8 @@
 		r, err := ParseRole([]byte(text))
 		require.NoError(t, err)
 		require.Zero(t, r.KeyMaxAge())
-		require.Equal(t, r.WatchFor(), r.ConfigWatch())
-		require.Equal(t, r.WatchFor(), r.RelayedConfigWatch())
+		require.Equal(t, r.WatchTimeout(), r.ConfigWatch())
+		require.Equal(t, r.WatchTimeout(), r.RelayedConfigWatch())
 		require.Zero(t, r.QuotaWindow)
 	}
 	for old, bad := range map[string]string{"removal_ms = 5000": "removal_ms =", "slack = 20": "slack = -1", "overage = 0.1": "overage = NaN"} {
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -36,28 +36,28 @@
 	// TLS for connections between hosts; all three or none.
 	PeerCert, PeerKey, PeerCA string
 
-	DataFolder string
-	LogLevel   string
+	DataDir  string
+	LogLevel string
 
 	MaxBodyBytes       int64
 	ClientWriteTimeout time.Duration
-	ForwardPatience    time.Duration
-	ReportEvery        time.Duration
-	SweepEvery         time.Duration
+	ForwardTimeout     time.Duration
+	ReportInterval     time.Duration
+	SweepInterval      time.Duration
 }
 
-// Fault is one wrong setting.
-type Fault struct {
+// InvalidSetting is one wrong setting.
+type InvalidSetting struct {
 	Section string `json:"section"`
 	Key     string `json:"key"`
 	Reason  string `json:"reason"`
 }
 
-// Faults is every wrong setting of a file, as an error.
-type Faults []Fault
+// InvalidSettings is every wrong setting of a file, as an error.
+type InvalidSettings []InvalidSetting
 
 // Error implements error.
-func (f Faults) Error() string {
+func (f InvalidSettings) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = fmt.Sprintf("[%s] %s: %s", x.Section, x.Key, x.Reason)
@@ -79,7 +79,7 @@
 func Parse(text []byte) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
-		return nil, Faults{{Section: "", Key: "", Reason: "not INI: " + err.Error()}}
+		return nil, InvalidSettings{{Section: "", Key: "", Reason: "not INI: " + err.Error()}}
 	}
 	r := &reader{file: f, used: map[string]bool{}}
 	s := r.read()
@@ -94,7 +94,7 @@
 type reader struct {
 	file   *ini.File
 	used   map[string]bool
-	faults Faults
+	faults InvalidSettings
 }
 
 func (r *reader) read() *Settings {
@@ -102,8 +102,8 @@
 	h := &s.Host
 	h.Host = r.name("host", "name", true)
 	h.DataCentre = r.name("host", "data_centre", true)
-	s.DataFolder = r.text("host", "data_folder", "")
-	h.HasDisk = s.DataFolder != ""
+	s.DataDir = r.text("host", "data_folder", "")
+	h.HasDisk = s.DataDir != ""
 	s.CallerListen = r.address("listen", "callers", "127.0.0.1:0")
 	s.OperatorListen = r.address("listen", "operators", "127.0.0.1:0")
 	s.PeerListen = r.address("listen", "peers", "127.0.0.1:0")
@@ -166,13 +166,13 @@
 	s.Host.MaxPrograms = int(r.integer("limits", "programs", int64(s.Host.MaxPrograms), 1, 1<<24))
 	s.Host.MaxTailBytes = int(r.integer("limits", "tail_bytes", int64(s.Host.MaxTailBytes), 1<<16, 24<<20))
 	s.ClientWriteTimeout = r.duration("limits", "client_write", 10*time.Second, time.Millisecond)
-	s.ForwardPatience = r.duration("limits", "forward_patience", 20*time.Second, time.Millisecond)
-	s.ReportEvery = r.duration("limits", "report_every", time.Second, 10*time.Millisecond)
-	s.SweepEvery = r.duration("limits", "sweep_every", time.Second, 10*time.Millisecond)
+	s.ForwardTimeout = r.duration("limits", "forward_patience", 20*time.Second, time.Millisecond)
+	s.ReportInterval = r.duration("limits", "report_every", time.Second, 10*time.Millisecond)
+	s.SweepInterval = r.duration("limits", "sweep_every", time.Second, 10*time.Millisecond)
 }
 
 func (r *reader) fault(section, key, format string, args ...any) {
-	r.faults = append(r.faults, Fault{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, InvalidSetting{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (r *reader) text(section, key, def string) string {
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -41,7 +41,7 @@
 		"policy":          {sound + "[scheduling]\npolicy = luck\n", "scheduling", "policy"},
 	} {
 		_, err := Parse([]byte(c.text))
-		var faults Faults
+		var faults InvalidSettings
 		if assert.ErrorAs(t, err, &faults, name) {
 			found := false
 			for _, f := range faults {
@@ -54,7 +54,7 @@
 
 func TestAllFaultsAtOnce(t *testing.T) {
 	_, err := Parse([]byte("[host]\nname = a b\n[listen]\ncallers = x\n"))
-	var faults Faults
+	var faults InvalidSettings
 	require.True(t, errors.As(err, &faults))
 	assert.Len(t, faults, 5, "%v", faults)
 }
