--- a/daemon/settings/role.go
+++ b/daemon/settings/role.go
@@ -11,132 +11,140 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Role is the settings of an entry or history role.
+// Role holds the settings of an entry or history role.
 type Role struct {
 	Host, DataCentre, DataDir string
 	// Regions is the region of each data centre.
 	Regions map[string]string
-	// Address is the host's own IP number.
+	// Address is the host's own IP address.
 	Address                   string
 	CallerListen, ReadyListen string
-	// MetricsPort is where metrics and the state are served; 0 if they are not.
+	// MetricsPort is the port of metrics and state; 0 if they are not served.
 	MetricsPort int
-	// HistoryPort is where history hosts listen for entry hosts.
+	// HistoryPort is the port on which history hosts listen for entry hosts.
 	HistoryPort int
-	// Seeds are history hosts' addresses from the platform, which may be stale.
+	// Seeds are addresses of history hosts as given by the platform; they may be stale.
 	Seeds           []string
 	PlatformAddress string
 	MemoryBytes     int64
 	Descriptors     int
-	// ToleratedHostFaults is how many history hosts may be lost at once.
+	// ToleratedHostFaults is the number of history hosts that may be lost at once.
 	ToleratedHostFaults int
-	// GracePeriod is the time from the order to stop to the kill.
+	// GracePeriod is the time between the request to stop and the kill.
 	GracePeriod time.Duration
-	// ContactWindow is how long the platform must have answered without trouble before
-	// its changes must be in force within their bounds.
+	// ContactWindow is how long the platform must have answered without errors before the bounds
+	// on the time until its changes are in force apply.
 	ContactWindow time.Duration
-	// MaxKeyRemovalDelay is the time after which no host serves by a key that was taken away,
-	// whatever it hears; 0 if only hosts in touch with the platform must know.
+	// MaxKeyRemovalDelay is the time after which no host accepts a removed key, even if it cannot
+	// reach the platform; 0 if only hosts that reach the platform must apply the removal.
 	MaxKeyRemovalDelay time.Duration
-	// MaxEvacuationDelay is the time after which no host sends to the targets of a data centre that is
-	// to be evacuated; 0 if operators ask for none.
+	// MaxEvacuationDelay is the time after which no host sends to the targets of a data centre
+	// under evacuation; 0 if evacuations are not used.
 	MaxEvacuationDelay time.Duration
-	// QuotaWindow, QuotaOverage and QuotaSlack are by how much the quotas of customers may be
-	// exceeded; see quota.Tolerance.
+	// QuotaWindow, QuotaOverage and QuotaSlack state by how much customers may exceed their
+	// quotas; see quota.Tolerance.
 	QuotaWindow              time.Duration
 	QuotaOverage, QuotaSlack float64
-	// LoadExchange is auto, or off if hosts do not tell each other what they see of the targets.
+	// LoadExchange is auto, or off if hosts do not exchange their observations of targets.
 	LoadExchange string
-	// LogLevel is the least level of log lines that are written.
+	// LogLevel is the minimum level of log lines that are written.
 	LogLevel string
 }
 
 const (
-	// watchMargin is kept of the contact time for giving up a watch that hangs (0.3 s)
-	// and reading anew (0.1 s); each watch is a priced call.
-	watchMargin = 700 * time.Millisecond
-	// keyWatchLeast is watchLeast where the configuration's age decides what is served.
-	keyWatchLeast = 200 * time.Millisecond
-	// watchLeast keeps watches from turning into polls where the contact time is short.
-	watchLeast = 500 * time.Millisecond
+	// watchTimeoutMargin is the part of the contact window reserved for abandoning a watch that
+	// hangs (0.3 s) and reading again (0.1 s). It is kept small because each watch is a priced call.
+	watchTimeoutMargin = 700 * time.Millisecond
+	// minKeyWatchTimeout replaces minWatchTimeout if keys are accepted only up to a maximum age of
+	// the configuration.
+	minKeyWatchTimeout = 200 * time.Millisecond
+	// minWatchTimeout prevents watches from becoming polls if the contact window is short.
+	minWatchTimeout = 500 * time.Millisecond
 )
 
-// WatchTimeout is how long one watch of the platform may wait. A watch can hang from
-// the last moment of an outage on; it is given up and what it missed is read
-// before the contact time after the outage has passed.
+// WatchTimeout returns how long one watch of the platform may wait. A watch that starts at the
+// end of an outage can hang; it is abandoned, and the changes it missed are read, within the
+// contact window after the outage.
 func (r *Role) WatchTimeout() time.Duration {
-	return max(watchLeast, r.ContactWindow-watchMargin)
+	return max(minWatchTimeout, r.ContactWindow-watchTimeoutMargin)
 }
 
-// keyRemoval reads the bound on removed keys, which holds where it is strict.
+// keyRemoval reads the bound on the removal of keys; 0 unless removal_strict is true.
 func (r *reader) keyRemoval() time.Duration {
 	const section, key = "keys", "removal_ms"
 	if r.oneOf(section, "removal_strict", "false", "true") != "true" {
-		r.text(section, key, "") // known, but of no use
+		r.text(section, key, "") // a known key, but not used
 		return 0
 	}
 	bound := r.milliseconds(section, key, 1, 0)
 	if bound == 0 {
-		r.fault(section, key, "must be given where removal_strict is true")
+		r.reject(section, key, "must be given where removal_strict is true")
 	}
 	return bound
 }
 
 const (
-	// keyAgeShare is the part of the time for the removal of a key after which a host that
-	// has not heard since serves by no key any more. The rest, a second of five, covers watches
-	// of the platform that hear nothing for a second while its history is dropped: a word that
-	// such a watch confirms may be that much older than it says.
-	keyAgeShare = 0.8
-	// relayedShare and followedShare are the waits of the relays' and of the other hosts'
-	// watches of the configuration, as parts of that time. Answers are passed on as they come,
-	// so that a host's word is at most some three waits of a relay old while nothing fails.
-	relayedShare, followedShare = 0.06, 0.12
-	// sureShare is how old a host's word may be for a key to be surely unknown.
-	sureShare = 0.4
-	// sureWatches is how many watches old a host's word of the configuration may be for that,
-	// where removal is not strict: one for each step.
-	sureWatches = 3
+	// keyMaxAgeFraction is the fraction of MaxKeyRemovalDelay after which a host without a newer
+	// confirmation of the configuration accepts no key. The rest, one second of five, covers
+	// watches that receive nothing for a second while the platform discards its change history: a
+	// configuration that such a watch confirms may be older by that second than its stated age.
+	keyMaxAgeFraction = 0.8
+	// relayedWatchFraction and configWatchFraction are the timeouts of the relays' and of the other
+	// hosts' watches of the configuration, as fractions of MaxKeyRemovalDelay. Answers are passed
+	// on as they arrive, so that without failures a host's confirmation is at most about three
+	// relay timeouts old.
+	relayedWatchFraction, configWatchFraction = 0.06, 0.12
+	// unknownKeyAgeFraction is the maximum age of a host's configuration for rejecting a key as
+	// unknown, as a fraction of MaxKeyRemovalDelay.
+	unknownKeyAgeFraction = 0.4
+	// unknownKeyMaxWatches is that maximum age if removal is not strict, in watch timeouts: one for
+	// each hop.
+	unknownKeyMaxWatches = 3
 )
 
-func share(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
+// fractionOf returns a fraction of a duration.
+func fractionOf(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
 
-// KeyMaxAge is how old a host's word of the configuration may be to serve by keys; 0 where
-// there is no bound.
-func (r *Role) KeyMaxAge() time.Duration { return share(keyAgeShare, r.MaxKeyRemovalDelay) }
+// KeyMaxAge returns the maximum age of a host's configuration for accepting keys; 0 if there is
+// no bound.
+func (r *Role) KeyMaxAge() time.Duration { return fractionOf(keyMaxAgeFraction, r.MaxKeyRemovalDelay) }
 
-// UnknownKeyMaxAge is how old a host's word of the configuration may be to call a key unknown.
+// UnknownKeyMaxAge returns the maximum age of a host's configuration for rejecting a key as
+// unknown.
 func (r *Role) UnknownKeyMaxAge() time.Duration {
 	if r.MaxKeyRemovalDelay > 0 {
-		return share(sureShare, r.MaxKeyRemovalDelay)
+		return fractionOf(unknownKeyAgeFraction, r.MaxKeyRemovalDelay)
 	}
-	return sureWatches * r.WatchTimeout()
+	return unknownKeyMaxWatches * r.WatchTimeout()
 }
 
-// RelayedConfigWatch is how long one watch of a relay for the configuration may wait.
+// RelayedConfigWatch returns how long one watch of the configuration by a relay may wait.
 func (r *Role) RelayedConfigWatch() time.Duration {
-	return r.configWatch(relayedShare)
+	return r.configWatchTimeout(relayedWatchFraction)
 }
 
-// ConfigWatch is how long one watch of any other host for the configuration may wait.
+// ConfigWatch returns how long one watch of the configuration by any other host may wait.
 func (r *Role) ConfigWatch() time.Duration {
-	return r.configWatch(followedShare)
+	return r.configWatchTimeout(configWatchFraction)
 }
 
-// configWatch keeps watches short enough that what they tell in vain comes in time.
-func (r *Role) configWatch(part float64) time.Duration {
+// configWatchTimeout returns a watch timeout short enough that confirmations without changes
+// arrive within their fraction of MaxKeyRemovalDelay.
+func (r *Role) configWatchTimeout(fraction float64) time.Duration {
 	if r.MaxKeyRemovalDelay == 0 {
 		return r.WatchTimeout()
 	}
-	return min(r.WatchTimeout(), max(keyWatchLeast, share(part, r.MaxKeyRemovalDelay)))
+	return min(r.WatchTimeout(), max(minKeyWatchTimeout, fractionOf(fraction, r.MaxKeyRemovalDelay)))
 }
 
-// HistoryListen is the address that history hosts listen on.
+// HistoryListen returns the address on which this host, as a history host, listens.
 func (r *Role) HistoryListen() string {
 	return net.JoinHostPort(r.Address, strconv.Itoa(r.HistoryPort))
 }
 
-// MetricsListen is the address of metrics and state, empty if they are not served.
+// MetricsListen returns the address of metrics and state; empty if they are not served.
 func (r *Role) MetricsListen() string {
 	if r.MetricsPort == 0 {
 		return ""
@@ -144,8 +152,8 @@
 	return net.JoinHostPort(r.Address, strconv.Itoa(r.MetricsPort))
 }
 
-// LoadRole reads and checks the settings of a role. The error is Faults, or a
-// Failure if the file cannot be read.
+// LoadRole reads and validates the settings file of a role. The error is InvalidSettings, or a
+// Failure of kind InvalidSetting if the file cannot be read.
 func LoadRole(path string) (*Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +162,7 @@
 	return ParseRole(text)
 }
 
-// ParseRole checks the text of a role's settings.
+// ParseRole parses and validates the text of a role's settings. The error is InvalidSettings.
 func ParseRole(text []byte) (*Role, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
@@ -184,17 +192,17 @@
 		QuotaOverage:        r.fraction("quotas", "overage"),
 		QuotaSlack:          r.fraction("quotas", "slack"),
 		Regions:             r.table("regions"),
-		LoadExchange:        r.oneOf("loads", "exchange", loadsAuto, loadsOff),
+		LoadExchange:        r.oneOf("loads", "exchange", loadExchangeAuto, loadExchangeOff),
 	}
 	r.required("host", "name", s.Host)
 	r.required("host", "data_centre", s.DataCentre)
 	r.required("platform", "address", s.PlatformAddress)
 	if net.ParseIP(s.Address) == nil {
-		r.fault("listen", "address", "%q is not an IP number", s.Address)
+		r.reject("listen", "address", "%q is not an IP address", s.Address)
 	}
 	r.checkUnknown()
-	if len(r.faults) > 0 {
-		return nil, r.faults
+	if len(r.invalid) > 0 {
+		return nil, r.invalid
 	}
 	for i, seed := range s.Seeds {
 		s.Seeds[i] = s.historyAddress(seed)
@@ -202,18 +210,17 @@
 	return s, nil
 }
 
-// historyAddress is where the history host at an address listens for other hosts: ports
-// are the same everywhere.
+// historyAddress returns the address on which the history host at an address listens for other
+// hosts. Ports are the same on all hosts.
 func (r *Role) historyAddress(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return address // checked when it was read
+		return address // addresses are validated when they are read
 	}
 	return net.JoinHostPort(host, strconv.Itoa(r.HistoryPort))
 }
 
-// milliseconds reads a number, fractions allowed, of the unit, which is given in
-// milliseconds; def is in milliseconds.
+// milliseconds reads a duration as a decimal number of units; unit and def are in milliseconds.
 func (r *reader) milliseconds(section, key string, unit, def float64) time.Duration {
 	v := r.text(section, key, "")
 	if v == "" {
@@ -221,38 +228,40 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n > 0 && n*unit <= maxTimingMs) {
-		r.fault(section, key, "must be a number over 0 and at most a day, not %q", v)
+		r.reject(section, key, "must be a number above 0 and at most a day, not %q", v)
 	}
 	return time.Duration(n * unit * float64(time.Millisecond))
 }
 
-// fraction reads a number that is not below 0; 0 if none is given.
+// fraction reads a number from 0 to maxFraction; 0 if none is given.
 func (r *reader) fraction(section, key string) float64 {
 	v := r.text(section, key, "")
 	if v == "" {
 		return 0
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= 0 && n <= mostFraction) {
-		r.fault(section, key, "must be a number from 0 to %g, not %q", float64(mostFraction), v)
+	if err != nil || !(n >= 0 && n <= maxFraction) {
+		r.reject(section, key, "must be a number from 0 to %g, not %q", float64(maxFraction), v)
 	}
 	return n
 }
 
-// The ways of exchanging loads: where hosts hear too little by themselves, or never.
-const loadsAuto, loadsOff = "auto", "off"
+// Modes of the exchange of loads between hosts: auto exchanges them where a host receives too few
+// load reports itself, off never does.
+const loadExchangeAuto, loadExchangeOff = "auto", "off"
 
-// ExchangesLoads reports whether hosts may tell each other what they see of the targets.
-func (r *Role) ExchangesLoads() bool { return r.LoadExchange != loadsOff }
+// ExchangesLoads reports whether hosts may exchange their observations of targets.
+func (r *Role) ExchangesLoads() bool { return r.LoadExchange != loadExchangeOff }
 
-// mostFraction is above any tolerance.
-const mostFraction = 1e6
+// maxFraction exceeds any meaningful tolerance.
+const maxFraction = 1e6
 
-// maxTimingMs is a day: longer times are slips of the pen.
+// maxTimingMs is one day in milliseconds; longer times are taken for typing errors.
 const maxTimingMs = 24 * 60 * 60 * 1000
 
+// required rejects an empty value.
 func (r *reader) required(section, key, value string) {
 	if value == "" {
-		r.fault(section, key, "is missing")
+		r.reject(section, key, "is missing")
 	}
 }
--- a/daemon/settings/role_test.go
+++ b/daemon/settings/role_test.go
@@ -49,7 +49,7 @@
 bound_ms = 5000
 `
 
-func TestRoleIsRead(t *testing.T) {
+func TestParseRole(t *testing.T) {
 	r, err := ParseRole([]byte(roleText))
 	require.NoError(t, err)
 	require.Equal(t, "10.0.0.1:7380", r.HistoryListen())
@@ -66,10 +66,10 @@
 	require.Equal(t, []float64{0.1, 20}, []float64{r.QuotaOverage, r.QuotaSlack})
 	require.Equal(t, 5*time.Second, r.MaxEvacuationDelay)
 	require.False(t, r.ExchangesLoads())
-	require.Equal(t, []string{"10.0.0.7:7380", "10.0.1.7:7380"}, r.Seeds, "where history hosts listen")
+	require.Equal(t, []string{"10.0.0.7:7380", "10.0.1.7:7380"}, r.Seeds, "seeds get the port of history hosts")
 }
 
-func TestAllFaultsOfARoleAreReportedAtOnce(t *testing.T) {
+func TestParseRoleReportsAllInvalidSettings(t *testing.T) {
 	_, err := ParseRole([]byte(`
 [host]
 data_centre = dc1
@@ -88,10 +88,10 @@
 contact_ms = NaN
 wait = 5
 `))
-	var faults InvalidSettings
-	require.True(t, errors.As(err, &faults))
+	var invalid InvalidSettings
+	require.True(t, errors.As(err, &invalid))
 	var keys []string
-	for _, f := range faults {
+	for _, f := range invalid {
 		require.NotEmpty(t, f.Reason)
 		keys = append(keys, f.Section+"."+f.Key)
 	}
@@ -101,7 +101,7 @@
 	}, keys)
 }
 
-func TestReloadTakesWhatCanChangeAndSaysWhatCannot(t *testing.T) {
+func TestReloadAppliesChangeableSettingsAndReportsTheOthers(t *testing.T) {
 	r, err := ParseRole([]byte(roleText))
 	require.NoError(t, err)
 	same, err := ParseRole([]byte(roleText))
@@ -120,8 +120,8 @@
 	require.Equal(t, "10.9.0.1:80", r.PlatformAddress)
 }
 
-// Every setting is either taken or named as one that needs a restart.
-func TestReloadKnowsEverySetting(t *testing.T) {
+// Each setting must be either applied or reported as one that needs a restart.
+func TestReloadHandlesEverySetting(t *testing.T) {
 	fields := reflect.TypeOf(Role{})
 	for i := range fields.NumField() {
 		r, next := &Role{}, &Role{}
@@ -143,8 +143,8 @@
 	}
 }
 
-// What a deployment does not say is empty in its settings.
-func TestRulesOnKeysAndQuotasMayBeAbsent(t *testing.T) {
+// Optional values that a deployment does not define are rendered as empty settings.
+func TestKeyAndQuotaSettingsMayBeEmpty(t *testing.T) {
 	absent := strings.NewReplacer("removal_strict = true", "removal_strict = ", "removal_ms = 5000", "removal_ms =",
 		"window_s = 5", "window_s =", "overage = 0.1", "overage =", "slack = 20", "slack =").Replace(roleText)
 	for _, text := range []string{absent, strings.Replace(absent, "removal_strict = ", "removal_strict = false", 1)} {
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the INI settings of pistachiod.
+// Package settings reads and validates the INI settings of pistachiod.
 package settings
 
 import (
@@ -21,19 +21,19 @@
 
 // Settings is the content of a settings file.
 type Settings struct {
-	// Host is what the decision machine is told; Incarnation and Address are
-	// filled in at start.
+	// Host is the configuration of the state machine in core/host; Incarnation and Address are
+	// set at startup.
 	Host host.Config
 
 	CallerListen, OperatorListen, PeerListen string
-	// PeerAdvertise is the address told to peers; empty takes the listener's.
+	// PeerAdvertise is the address advertised to peers; empty for the listener's address.
 	PeerAdvertise string
 	Seeds         []string
 
 	PlatformURL, PlatformToken string
 	OperatorTokenSHA256        string
 
-	// TLS for connections between hosts; all three or none.
+	// PeerCert, PeerKey and PeerCA are files for TLS between hosts; all three or none are set.
 	PeerCert, PeerKey, PeerCA string
 
 	DataDir  string
@@ -46,14 +46,14 @@
 	SweepInterval      time.Duration
 }
 
-// InvalidSetting is one wrong setting.
+// InvalidSetting describes one invalid setting.
 type InvalidSetting struct {
 	Section string `json:"section"`
 	Key     string `json:"key"`
 	Reason  string `json:"reason"`
 }
 
-// InvalidSettings is every wrong setting of a file, as an error.
+// InvalidSettings is the error that lists all invalid settings of a file.
 type InvalidSettings []InvalidSetting
 
 // Error implements error.
@@ -65,8 +65,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. The error is Faults, or a Failure if
-// the file cannot be read.
+// Load reads and validates a settings file. The error is InvalidSettings, or a Failure of kind
+// InvalidSetting if the file cannot be read.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return Parse(text)
 }
 
-// Parse checks the text of a settings file.
+// Parse parses and validates the text of a settings file. The error is InvalidSettings.
 func Parse(text []byte) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
@@ -84,17 +84,17 @@
 	r := &reader{file: f, used: map[string]bool{}}
 	s := r.read()
 	r.checkUnknown()
-	if len(r.faults) > 0 {
-		return nil, r.faults
+	if len(r.invalid) > 0 {
+		return nil, r.invalid
 	}
 	return s, nil
 }
 
-// reader collects faults while it reads the keys.
+// reader reads keys and collects the invalid ones.
 type reader struct {
-	file   *ini.File
-	used   map[string]bool
-	faults InvalidSettings
+	file    *ini.File
+	used    map[string]bool
+	invalid InvalidSettings
 }
 
 func (r *reader) read() *Settings {
@@ -132,7 +132,7 @@
 		}
 	}
 	if given != 0 && given != 3 {
-		r.fault("peers", "tls_cert", "tls_cert, tls_key and tls_ca go together")
+		r.reject("peers", "tls_cert", "tls_cert, tls_key and tls_ca must be set together")
 	}
 }
 
@@ -148,17 +148,17 @@
 	h.ConfigPollEvery = r.duration("timing", "config_poll", h.ConfigPollEvery, 100*time.Millisecond)
 	h.Retention = r.duration("timing", "retention", h.Retention, time.Second)
 	if h.RenewEvery*2 > h.LeaseDuration {
-		r.fault("timing", "renew", "a lease must be renewed at least twice in its duration")
+		r.reject("timing", "renew", "must be at most half of the lease duration")
 	}
 	if h.DataCentreLease < 2*h.LeaseDuration {
-		r.fault("timing", "data_centre_lease", "must be at least two leases long")
+		r.reject("timing", "data_centre_lease", "must be at least twice the lease duration")
 	}
 	if h.SuspectAfter < 2*h.HeartbeatEvery {
-		r.fault("timing", "suspect", "must be at least two heartbeats long")
+		r.reject("timing", "suspect", "must be at least twice the heartbeat interval")
 	}
 }
 
-// maxBodyBytes lets the record of a call fit into one object of the platform.
+// maxBodyBytes ensures that the record of a call fits into one platform object.
 const maxBodyBytes = 512 << 10
 
 func (r *reader) limits(s *Settings) {
@@ -171,8 +171,8 @@
 	s.SweepInterval = r.duration("limits", "sweep_every", time.Second, 10*time.Millisecond)
 }
 
-func (r *reader) fault(section, key, format string, args ...any) {
-	r.faults = append(r.faults, InvalidSetting{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)})
+func (r *reader) reject(section, key, format string, args ...any) {
+	r.invalid = append(r.invalid, InvalidSetting{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (r *reader) text(section, key, def string) string {
@@ -187,10 +187,10 @@
 func (r *reader) name(section, key string, required bool) string {
 	v := r.text(section, key, "")
 	if v == "" && required {
-		r.fault(section, key, "is missing")
+		r.reject(section, key, "is missing")
 	}
 	if strings.ContainsAny(v, "./ \t\"") {
-		r.fault(section, key, "%q must not hold dots, slashes, spaces or quotes", v)
+		r.reject(section, key, "%q must not contain dots, slashes, spaces or quotes", v)
 	}
 	return v
 }
@@ -207,11 +207,11 @@
 func (r *reader) checkAddress(section, key, v string) {
 	ip, _, err := net.SplitHostPort(v)
 	if err != nil {
-		r.fault(section, key, "%q is not IP:port", v)
+		r.reject(section, key, "%q is not IP:port", v)
 		return
 	}
 	if net.ParseIP(ip) == nil {
-		r.fault(section, key, "%q is not an IP number", ip)
+		r.reject(section, key, "%q is not an IP address", ip)
 	}
 }
 
@@ -229,11 +229,11 @@
 func (r *reader) url(section, key string) string {
 	v := r.text(section, key, "")
 	if v == "" {
-		r.fault(section, key, "is missing")
+		r.reject(section, key, "is missing")
 		return v
 	}
 	if u, err := url.Parse(v); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		r.fault(section, key, "%q is not an http or https URL", v)
+		r.reject(section, key, "%q is not an http or https URL", v)
 	}
 	return v
 }
@@ -241,24 +241,24 @@
 func (r *reader) digest(section, key string) string {
 	v := strings.ToLower(r.text(section, key, ""))
 	if len(v) != 64 || strings.Trim(v, "0123456789abcdef") != "" {
-		r.fault(section, key, "must be the 64 hex digits of a SHA-256")
+		r.reject(section, key, "must be the 64 hex digits of a SHA-256")
 	}
 	return v
 }
 
-// path reads the path of a file that must exist.
+// path reads the path of an existing file.
 func (r *reader) path(section, key string) string {
 	v := r.text(section, key, "")
 	if v == "" {
 		return v
 	}
 	if _, err := os.Stat(v); err != nil {
-		r.fault(section, key, "cannot be read: %v", err)
+		r.reject(section, key, "cannot be read: %v", err)
 	}
 	return v
 }
 
-// table reads a section of any keys, without those that have no value.
+// table reads all keys of a section, without those that have no value.
 func (r *reader) table(section string) map[string]string {
 	s, err := r.file.GetSection(section)
 	if err != nil {
@@ -276,43 +276,43 @@
 func (r *reader) oneOf(section, key, first string, others ...string) string {
 	v := cmp.Or(r.text(section, key, ""), first)
 	if v != first && !slices.Contains(others, v) {
-		r.fault(section, key, "must be %s or %s, not %q", first, strings.Join(others, ", "), v)
+		r.reject(section, key, "must be %s or %s, not %q", first, strings.Join(others, ", "), v)
 	}
 	return v
 }
 
-func (r *reader) integer(section, key string, def, least, most int64) int64 {
+func (r *reader) integer(section, key string, def, minimum, maximum int64) int64 {
 	v := r.text(section, key, "")
 	if v == "" {
 		return def
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
-	if err != nil || n < least || n > most {
-		r.fault(section, key, "must be a whole number from %d to %d, not %q", least, most, v)
+	if err != nil || n < minimum || n > maximum {
+		r.reject(section, key, "must be a whole number from %d to %d, not %q", minimum, maximum, v)
 	}
 	return n
 }
 
-func (r *reader) duration(section, key string, def, least time.Duration) time.Duration {
+func (r *reader) duration(section, key string, def, minimum time.Duration) time.Duration {
 	v := r.text(section, key, "")
 	if v == "" {
 		return def
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d < least || d > 24*time.Hour {
-		r.fault(section, key, "must be a duration from %s to 24h, not %q", least, v)
+	if err != nil || d < minimum || d > 24*time.Hour {
+		r.reject(section, key, "must be a duration from %s to 24h, not %q", minimum, v)
 		return def
 	}
 	return d
 }
 
-// checkUnknown reports keys that no setting reads, so that a slip of the pen
-// is not a silent default.
+// checkUnknown rejects unknown keys, so that a misspelt key does not silently leave the default
+// in force.
 func (r *reader) checkUnknown() {
 	for _, s := range r.file.Sections() {
 		for _, k := range s.Keys() {
 			if !r.used[s.Name()+"\x00"+k.Name()] {
-				r.fault(s.Name(), k.Name(), "unknown setting")
+				r.reject(s.Name(), k.Name(), "unknown setting")
 			}
 		}
 	}
