--- a/daemon/meter/meter.go
+++ b/daemon/meter/meter.go
@@ -1,6 +1,5 @@
-// Package meter keeps the counters, gauges and latency histograms of one process
-// and serves them as text, one "name value" a line. docs/OPERATIONS.md has a table of
-// them.
+// Package meter holds the counters, gauges and latency histograms of one process and serves them
+// as text, one "name value" per line. docs/OPERATIONS.md lists them.
 package meter
 
 import (
@@ -17,32 +16,31 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// sampleSize is how many durations a histogram keeps: 4 KB each, and a 99th
-// percentile that five of them decide.
-const sampleSize = 512
+// histogramSampleSize is the number of durations in a histogram's sample: 4 KB per histogram, and
+// five values above the 99th percentile.
+const histogramSampleSize = 512
 
-// quantiles are those of a histogram that are served.
+// quantiles are the quantiles served for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Meter is a set of metrics. Safe for concurrent use; a nil *Meter counts nothing.
+// Meter is a set of metrics. It is safe for concurrent use; a nil *Meter records nothing.
 type Meter struct {
 	registry metrics.Registry
 	mu       sync.Mutex
-	// histograms are kept here as well: the registry's look-up makes a new sample
-	// each time.
+	// histograms are held here because the registry's lookup allocates a new sample on each call.
 	histograms map[string]metrics.Histogram
 }
 
-// New returns an empty set.
+// New returns a Meter without metrics.
 func New() *Meter {
 	return &Meter{registry: metrics.NewRegistry(), histograms: map[string]metrics.Histogram{}}
 }
 
-// Count adds one to the counter that the parts name: "requests", "failed" and
-// "timeout" are requests_failed_timeout.
+// Count adds one to a counter, whose name is the parts joined by underscores: "requests",
+// "failed" and "timeout" give requests_failed_timeout.
 func (m *Meter) Count(parts ...string) { m.Add(1, parts...) }
 
-// Add adds n to a counter.
+// Add adds n to a counter, named as in Count.
 func (m *Meter) Add(n int64, parts ...string) {
 	if m == nil {
 		return
@@ -58,24 +56,25 @@
 	m.mu.Lock()
 	h := m.histograms[name]
 	if h == nil {
-		// A metrics.Timer would do, but starts a goroutine that nothing ends.
-		h = metrics.NewHistogram(metrics.NewUniformSample(sampleSize))
+		// A metrics.Timer starts a goroutine that never ends.
+		h = metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
 		m.histograms[name] = h
 	}
 	m.mu.Unlock()
 	h.Update(d.Microseconds())
 }
 
-// Gauge serves what read returns at the time of asking.
+// Gauge registers a gauge whose value is read at each request for the metrics. If the name is
+// taken, the first gauge stays.
 func (m *Meter) Gauge(name string, read func() int64) {
 	if m == nil {
 		return
 	}
-	// The registry refuses a second gauge of one name; the first one stays.
+	// The registry rejects a second gauge with the same name; the first one stays.
 	_ = m.registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
-// Value is a counter's or gauge's value, 0 if there is none of that name.
+// Value returns the value of a counter or gauge; 0 if there is none with that name.
 func (m *Meter) Value(name string) int64 {
 	if m == nil {
 		return 0
@@ -89,20 +88,20 @@
 	return 0
 }
 
-// Write writes all metrics in order of name.
+// Write writes all metrics, sorted by name.
 func (m *Meter) Write(to io.Writer) error {
 	var lines []string
 	m.registry.Each(func(name string, x any) {
 		switch x := x.(type) {
 		case metrics.Counter:
-			lines = append(lines, line(name, x.Count()))
+			lines = append(lines, formatLine(name, x.Count()))
 		case metrics.Gauge:
-			lines = append(lines, line(name, x.Value()))
+			lines = append(lines, formatLine(name, x.Value()))
 		}
 	})
 	m.mu.Lock()
 	for name, h := range m.histograms {
-		lines = append(lines, histogram(name+"_us", h.Snapshot())...)
+		lines = append(lines, histogramLines(name+"_us", h.Snapshot())...)
 	}
 	m.mu.Unlock()
 	slices.Sort(lines)
@@ -113,12 +112,12 @@
 	return out.Flush()
 }
 
-func line(name string, value int64) string { return name + " " + strconv.FormatInt(value, 10) }
+func formatLine(name string, value int64) string { return name + " " + strconv.FormatInt(value, 10) }
 
-func histogram(name string, h metrics.Histogram) []string {
-	lines := []string{line(name+"_count", h.Count()), line(name+"_max", h.Max())}
+func histogramLines(name string, h metrics.Histogram) []string {
+	lines := []string{formatLine(name+"_count", h.Count()), formatLine(name+"_max", h.Max())}
 	for i, v := range h.Percentiles(quantiles) {
-		lines = append(lines, line(fmt.Sprintf("%s_p%g", name, quantiles[i]*100), int64(v)))
+		lines = append(lines, formatLine(fmt.Sprintf("%s_p%g", name, quantiles[i]*100), int64(v)))
 	}
 	return lines
 }
@@ -126,5 +125,5 @@
 // ServeHTTP implements http.Handler.
 func (m *Meter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_ = m.Write(w) // whoever asked has gone
+	_ = m.Write(w) // the client has disconnected
 }
--- a/daemon/meter/meter_test.go
+++ b/daemon/meter/meter_test.go
@@ -32,7 +32,7 @@
 	require.Zero(t, m.Value("other"))
 }
 
-func TestNilCountsNothing(t *testing.T) {
+func TestNilMeterRecordsNothing(t *testing.T) {
 	var m *Meter
 	m.Count("x")
 	m.Observe("x", time.Second)
--- a/daemon/meter/store.go
+++ b/daemon/meter/store.go
@@ -8,15 +8,16 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// CountStoreCalls counts the calls to a store by operation and result: platform_calls_OP_RESULT.
-func CountStoreCalls(s objects.Store, m *Meter) objects.Store { return &countedStore{s, m} }
+// CountStoreCalls returns a store that counts its calls by operation and result, in counters named
+// platform_calls_OP_RESULT.
+func CountStoreCalls(s objects.Store, m *Meter) objects.Store { return &countingStore{s, m} }
 
-type countedStore struct {
+type countingStore struct {
 	objects.Store
 	meter *Meter
 }
 
-func (s *countedStore) count(op string, err error) {
+func (s *countingStore) count(op string, err error) {
 	result := "ok"
 	if err != nil {
 		result = string(failure.From(err).Kind)
@@ -24,43 +25,43 @@
 	s.meter.Count("platform_calls", op, result)
 }
 
-func (s *countedStore) Get(ctx context.Context, kind, name string) (objects.Object, error) {
+func (s *countingStore) Get(ctx context.Context, kind, name string) (objects.Object, error) {
 	o, err := s.Store.Get(ctx, kind, name)
 	s.count("get", err)
 	return o, err
 }
 
-func (s *countedStore) Create(ctx context.Context, kind, name string, spec []byte) (objects.Object, error) {
+func (s *countingStore) Create(ctx context.Context, kind, name string, spec []byte) (objects.Object, error) {
 	o, err := s.Store.Create(ctx, kind, name, spec)
 	s.count("create", err)
 	return o, err
 }
 
-func (s *countedStore) Update(ctx context.Context, kind, name string, revision uint64, spec []byte) (objects.Object, error) {
+func (s *countingStore) Update(ctx context.Context, kind, name string, revision uint64, spec []byte) (objects.Object, error) {
 	o, err := s.Store.Update(ctx, kind, name, revision, spec)
 	s.count("update", err)
 	return o, err
 }
 
-func (s *countedStore) UpdateStatus(ctx context.Context, kind, name string, status []byte) error {
+func (s *countingStore) UpdateStatus(ctx context.Context, kind, name string, status []byte) error {
 	err := s.Store.UpdateStatus(ctx, kind, name, status)
 	s.count("update_status", err)
 	return err
 }
 
-func (s *countedStore) Delete(ctx context.Context, kind, name string) error {
+func (s *countingStore) Delete(ctx context.Context, kind, name string) error {
 	err := s.Store.Delete(ctx, kind, name)
 	s.count("delete", err)
 	return err
 }
 
-func (s *countedStore) List(ctx context.Context, kind string) (objects.Snapshot, error) {
+func (s *countingStore) List(ctx context.Context, kind string) (objects.Snapshot, error) {
 	l, err := s.Store.List(ctx, kind)
 	s.count("list", err)
 	return l, err
 }
 
-func (s *countedStore) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
+func (s *countingStore) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Changes, error) {
 	c, err := s.Store.Watch(ctx, kind, revision, wait)
 	s.count("watch", err)
 	return c, err
