--- a/daemon/logsink/logsink.go
+++ b/daemon/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without making the writer wait: a line that
-// does not fit the buffer is dropped and counted.
+// Package logsink writes log lines without blocking the caller: a line that does not fit into the
+// buffer is dropped and counted.
 package logsink
 
 import (
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// bufferLines is how many lines may wait: half a second of a busy host's
-// decisions, some 200 KB.
+// bufferLines is the number of lines that the buffer holds: half a second of the decisions logged by
+// a busy host, some 200 KB.
 const bufferLines = 1024
 
 // Sink is an io.Writer that never blocks.
@@ -18,14 +18,14 @@
 	dropped atomic.Int64
 }
 
-// New returns a sink in front of to.
+// New returns a sink that writes to another writer in a goroutine of its own.
 func New(to io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, bufferLines)}
 	go s.drain(to)
 	return s
 }
 
-// Write implements io.Writer; p is one line.
+// Write implements io.Writer for one line. It never fails; a dropped line counts as written.
 func (s *Sink) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -36,17 +36,17 @@
 	return len(p), nil
 }
 
-// Dropped is the number of lines lost so far.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) drain(to io.Writer) {
-	told := int64(0)
+	reported := int64(0)
 	for line := range s.lines {
-		// There is nowhere to report that logs cannot be written.
+		// A failure to write logs cannot be reported anywhere.
 		_, _ = to.Write(line)
-		if lost := s.dropped.Load(); lost > told {
+		if lost := s.dropped.Load(); lost > reported {
 			_, _ = fmt.Fprintf(to, `{"level":"warn","msg":"log lines dropped","total":%d}`+"\n", lost)
-			told = lost
+			reported = lost
 		}
 	}
 }
--- a/daemon/logsink/logsink_test.go
+++ b/daemon/logsink/logsink_test.go
@@ -12,25 +12,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gate is a writer that waits until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
-	got  chan struct{}
+// blockingWriter blocks each write until open is closed.
+type blockingWriter struct {
+	open    chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{}
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n, err := g.text.Write(p)
-	g.got <- struct{}{}
+	g.written <- struct{}{}
 	return n, err
 }
 
-func TestAWriterThatHangsIsNotWaitedFor(t *testing.T) {
-	g := &gate{open: make(chan struct{}), got: make(chan struct{}, 2*bufferLines)}
+func TestWriteDoesNotBlockOnBlockedWriter(t *testing.T) {
+	g := &blockingWriter{open: make(chan struct{}), written: make(chan struct{}, 2*bufferLines)}
 	s := New(g)
 	for range bufferLines + 100 {
 		n, err := s.Write([]byte("{}\n"))
@@ -38,10 +38,10 @@
 		require.Equal(t, 3, n)
 	}
 	lost := s.Dropped()
-	require.GreaterOrEqual(t, lost, int64(99), "one line may be with the writer")
+	require.GreaterOrEqual(t, lost, int64(99), "one line may be held by the writer")
 	close(g.open)
 	for range bufferLines + 100 - int(lost) + 1 {
-		<-g.got
+		<-g.written
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
