--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -16,13 +16,14 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
+// runEntry runs an entry host until ctx ends, then drains it within the grace period.
 func runEntry(ctx context.Context, set *settings.Role, o *observer) error {
 	logger := o.logger
 	dialer := peerDialer()
-	past := quorum.New(dialer, set.DataCentre, logger, o.meter)
-	past.SetSeeds(set.Seeds)
+	historyClient := quorum.New(dialer, set.DataCentre, logger, o.meter)
+	historyClient.SetSeeds(set.Seeds)
 	host := entry.New(entry.Options{
-		Headers: platform.Headers{}, History: past, Dialer: dialer,
+		Headers: platform.Headers{}, History: historyClient, Dialer: dialer,
 		DataCentre: set.DataCentre, Regions: set.Regions, MemoryBytes: set.MemoryBytes, Descriptors: set.Descriptors,
 		KeyRules:            entry.KeyRules{MaxAge: set.KeyMaxAge(), UnknownKeyMaxAge: set.UnknownKeyMaxAge()},
 		QuotaTolerance:      quota.Tolerance{Window: set.QuotaWindow, Overage: set.QuotaOverage, Slack: set.QuotaSlack},
@@ -37,14 +38,14 @@
 	if err != nil {
 		return err
 	}
-	follow, stop := context.WithCancel(context.Background())
+	hostCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	store := meter.CountStoreCalls(platform.NewStore(set.PlatformAddress), o.meter)
-	followed := follower{set, store, past, logger}.start(follow, host)
-	o.state = func() any { return entryState{host.State(), relaysOf(followed)} }
-	o.serve(follow, set.MetricsListen())
-	go host.Run(follow)
-	go past.Run(follow)
+	sources := platformFollower{set, store, historyClient, logger}.start(hostCtx, host)
+	o.state = func() any { return entryState{host.State(), relaysOf(sources)} }
+	o.serve(hostCtx, set.MetricsListen())
+	go host.Run(hostCtx)
+	go historyClient.Run(hostCtx)
 	host.Serve(callers)
 	host.ServeReady(ready)
 	<-ctx.Done()
@@ -52,17 +53,18 @@
 	return nil
 }
 
-// follower follows the platform for an entry host.
-type follower struct {
-	set    *settings.Role
-	store  objects.Store
-	past   *quorum.Client
-	logger *log.Logger
+// platformFollower keeps an entry host up to date with the platform's objects.
+type platformFollower struct {
+	set           *settings.Role
+	store         objects.Store
+	historyClient *quorum.Client
+	logger        *log.Logger
 }
 
-// start follows all that the host needs until the context ends; it returns the sources by kind.
-func (f follower) start(ctx context.Context, host *entry.Host) map[string]*relay.Source {
-	config, targets, slots := f.source(), f.source(), f.slots()
+// start follows every kind of object that the host needs until ctx ends, and returns the sources
+// by kind.
+func (f platformFollower) start(ctx context.Context, host *entry.Host) map[string]*relay.Source {
+	config, targets, slots := f.newSource(), f.newSource(), f.slotMapSource()
 	targets.WithSubset(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
 	followConfig := objects.Follow
 	if f.set.MaxKeyRemovalDelay > 0 {
@@ -70,44 +72,46 @@
 	}
 	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
 	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchTimeout(), entry.NewTargetView(host, platform.DecodeTarget).WithHalvings(targets.Halvings))
-	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, f.past)
-	followed := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.MapKind: slots}
+	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, f.historyClient)
+	sources := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.MapKind: slots}
 	if f.set.MaxEvacuationDelay > 0 {
-		evacuations := f.source()
+		evacuations := f.newSource()
 		go objects.Follow(ctx, evacuations, platform.EvacuationKind, f.set.WatchTimeout(), entry.NewEvacuationView(host))
-		followed[platform.EvacuationKind] = evacuations
+		sources[platform.EvacuationKind] = evacuations
 	}
-	return followed
+	return sources
 }
 
-// slots is the source of the slot map, which seeds can give.
-func (f follower) slots() *relay.Source {
-	source := relay.NewSource(f.set.Host, f.store, f.past, f.logger)
+// slotMapSource returns a source of the slot map, which the seeds can serve.
+func (f platformFollower) slotMapSource() *relay.Source {
+	source := relay.NewSource(f.set.Host, f.store, f.historyClient, f.logger)
 	if len(f.set.Seeds) > 0 {
 		source.WithStartTimeout(relay.StartTimeout)
 	}
 	return source
 }
 
-// source is one of anything else, which waits for the slot map where there are seeds.
-func (f follower) source() *relay.Source {
+// newSource returns a source of any other kind. If seeds are configured, it waits until the slots
+// are assigned.
+func (f platformFollower) newSource() *relay.Source {
 	if len(f.set.Seeds) == 0 {
-		return relay.NewSource(f.set.Host, f.store, f.past, f.logger).WithStartTimeout(relay.StartTimeout)
+		return relay.NewSource(f.set.Host, f.store, f.historyClient, f.logger).WithStartTimeout(relay.StartTimeout)
 	}
-	return relay.NewSource(f.set.Host, f.store, f.past.AssignedPeers(), f.logger).WithStartTimeout(relay.MembersStartTimeout)
+	return relay.NewSource(f.set.Host, f.store, f.historyClient.AssignedPeers(), f.logger).WithStartTimeout(relay.MembersStartTimeout)
 }
 
-// entryState is the dump of an entry host for operators.
+// entryState is the state of an entry host as operators see it.
 type entryState struct {
 	entry.State
-	// Relays is the history host through which each kind of the platform's objects is followed,
-	// empty where it is the platform itself.
+	// Relays is the history host through which the host follows each kind of platform object;
+	// empty if it follows the platform directly.
 	Relays map[string]string `json:"relays"`
 }
 
-func relaysOf(followed map[string]*relay.Source) map[string]string {
-	relays := make(map[string]string, len(followed))
-	for kind, source := range followed {
+// relaysOf returns the current relay of each kind.
+func relaysOf(sources map[string]*relay.Source) map[string]string {
+	relays := make(map[string]string, len(sources))
+	for kind, source := range sources {
 		relays[kind] = source.CurrentRelay()
 	}
 	return relays
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -13,10 +13,11 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// targetPace is the least time between two reads of changed targets: of many targets some
-// change all the time, and what is told of them is seconds old already.
-const targetPace = 150 * time.Millisecond
+// minTargetWatchInterval is the minimum time between two reads of changed targets. Among many
+// targets some change all the time, and the reported state is seconds old already.
+const minTargetWatchInterval = 150 * time.Millisecond
 
+// runHistory runs a history host until ctx ends, then closes it.
 func runHistory(ctx context.Context, set *settings.Role, o *observer) error {
 	logger := o.logger
 	server, err := history.OpenServer(history.Options{Dir: set.DataDir, Logger: logger, Meter: o.meter})
@@ -30,14 +31,14 @@
 	store := meter.CountStoreCalls(platform.NewStore(set.PlatformAddress), o.meter)
 	retirements := platform.NewRetirements(store)
 	self := placement.Member{ID: server.MemberID(), Host: set.Host, Address: set.HistoryListen(), DataCentre: set.DataCentre, Region: set.Regions[set.DataCentre]}
-	keeper := history.NewController(server, store, self, set.ToleratedHostFaults, retirements, peerDialer(), logger)
-	o.state = func() any { return keeper.State() }
+	controller := history.NewController(server, store, self, set.ToleratedHostFaults, retirements, peerDialer(), logger)
+	o.state = func() any { return controller.State() }
 	o.serve(ctx, set.MetricsListen())
-	source := func() objects.Reader { return relay.NewSource(set.Host, store, keeper, logger) }
-	relays := relay.NewServer(ctx, source, logger, relayedKinds(set)...)
-	server.SetRelayHandler(relays.Handle)
-	go objects.Follow(ctx, relays.Reader(), platform.RetirementKind, set.WatchTimeout(), retirements)
-	go keeper.Run(ctx, relays.Reader())
+	newSource := func() objects.Reader { return relay.NewSource(set.Host, store, controller, logger) }
+	relayServer := relay.NewServer(ctx, newSource, logger, relayedKinds(set)...)
+	server.SetRelayHandler(relayServer.Handle)
+	go objects.Follow(ctx, relayServer.Reader(), platform.RetirementKind, set.WatchTimeout(), retirements)
+	go controller.Run(ctx, relayServer.Reader())
 	go server.Sweep(ctx.Done())
 	go func() {
 		if err := server.Serve(listener); err != nil {
@@ -51,14 +52,14 @@
 	return nil
 }
 
-// relayedKinds are the kinds of the platform's objects that a history host reads for others. No
-// watch waits for longer than hosts may be out of touch: one that begins in an outage of the
-// platform may hang to its end, and a host that takes over from a lost relay then knows of no
-// change, of slots that have moved among them.
+// relayedKinds returns the kinds of platform objects that a history host reads for other hosts.
+// No watch timeout exceeds the contact window: a watch that starts during an outage of the
+// platform may hang until its timeout, and a host that takes over from a lost relay meanwhile
+// knows of no changes, including slots that have moved.
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
 		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatch(), ForwardConfirmations: set.MaxKeyRemovalDelay > 0},
-		{Name: platform.TargetKind, WatchTimeout: set.WatchTimeout(), MinWatchInterval: targetPace, GroupOf: platform.DecodeTargetGroup},
+		{Name: platform.TargetKind, WatchTimeout: set.WatchTimeout(), MinWatchInterval: minTargetWatchInterval, GroupOf: platform.DecodeTargetGroup},
 		{Name: platform.EvacuationKind, WatchTimeout: set.WatchTimeout()},
 		{Name: platform.RetirementKind, WatchTimeout: set.WatchTimeout()},
 		{Name: history.MapKind, WatchTimeout: set.WatchTimeout()},
--- a/daemon/cmd/pistachiod/main.go
+++ b/daemon/cmd/pistachiod/main.go
@@ -1,10 +1,10 @@
 // Command pistachiod runs one host of the system.
 //
-//	pistachiod --settings FILE.ini     a host that owns programs
-//	pistachiod entry|history [...]     one role on the users' platform
+//	pistachiod --settings FILE.ini     runs a host that owns programs
+//	pistachiod entry|history [...]     runs one role on the users' platform
 //
-// Exit codes: 0 after a graceful stop, 1 on a failure to run, 2 on wrong
-// settings or a wrong command line.
+// Exit codes: 0 after a graceful stop, 1 on a runtime failure, 2 on invalid
+// settings or an invalid command line.
 package main
 
 import (
@@ -34,8 +34,8 @@
 )
 
 type options struct {
-	Settings string `long:"settings" value-name:"FILE.ini" required:"true" description:"settings of this host"`
-	Check    bool   `long:"check" description:"check the settings and stop"`
+	Settings string `long:"settings" value-name:"FILE.ini" required:"true" description:"settings file of this host"`
+	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
@@ -57,11 +57,11 @@
 	logger := log.NewWithOptions(os.Stderr, log.Options{Formatter: log.JSONFormatter, ReportTimestamp: true, TimeFormat: time.RFC3339Nano})
 	set, err := settings.Load(opt.Settings)
 	if err != nil {
-		reportFaults(logger, err)
+		logSettingsError(logger, err)
 		return exitSettings
 	}
 	if opt.Check {
-		logger.Info("settings are sound", "file", opt.Settings)
+		logger.Info("settings are valid", "file", opt.Settings)
 		return exitOK
 	}
 	if level, err := log.ParseLevel(set.LogLevel); err == nil {
@@ -74,18 +74,19 @@
 	return exitOK
 }
 
-func reportFaults(logger *log.Logger, err error) {
-	var faults settings.InvalidSettings
-	if !errors.As(err, &faults) {
-		logger.Error("settings", "error", err.Error())
+// logSettingsError logs each invalid setting, or the error itself if it is of another kind.
+func logSettingsError(logger *log.Logger, err error) {
+	var invalid settings.InvalidSettings
+	if !errors.As(err, &invalid) {
+		logger.Error("settings not loaded", "error", err.Error())
 		return
 	}
-	for _, f := range faults {
-		logger.Error("wrong setting", "section", f.Section, "key", f.Key, "reason", f.Reason)
+	for _, f := range invalid {
+		logger.Error("invalid setting", "section", f.Section, "key", f.Key, "reason", f.Reason)
 	}
 }
 
-// serve runs the host until it was told to stop and has stopped.
+// serve runs the host until it has drained after a signal or an operator's request.
 func serve(set *settings.Settings, logger *log.Logger) error {
 	opt := node.Options{Settings: set, Log: logger, Dialer: &net.Dialer{Timeout: 2 * time.Second}}
 	var err error
@@ -93,10 +94,10 @@
 		return err
 	}
 	for _, l := range []struct {
-		into    *net.Listener
-		address string
+		listener *net.Listener
+		address  string
 	}{{&opt.Callers, set.CallerListen}, {&opt.Operators, set.OperatorListen}, {&opt.Peers, set.PeerListen}} {
-		if *l.into, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return failure.Wrap(err, failure.InvalidSetting, "listen on %s", l.address)
 		}
 	}
@@ -104,8 +105,8 @@
 	if err != nil {
 		return err
 	}
-	stop := make(chan os.Signal, 4)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	n.Run()
 	ended := make(chan error, 1)
 	draining := false
@@ -123,13 +124,13 @@
 			if !draining {
 				drain()
 			}
-		case s := <-stop:
+		case s := <-signals:
 			if s == syscall.SIGUSR1 {
 				dump(n, logger)
 				continue
 			}
 			if draining {
-				logger.Warn("still stopping; requests are under way", "status", n.Status())
+				logger.Warn("already draining; requests are in flight", "status", n.Status())
 				continue
 			}
 			drain()
@@ -140,11 +141,11 @@
 // dump writes the state as one JSON line to standard output.
 func dump(n *node.Node, logger *log.Logger) {
 	if err := json.NewEncoder(os.Stdout).Encode(n.Dump()); err != nil {
-		logger.Error("dump", "error", err.Error())
+		logger.Error("state not dumped", "error", err.Error())
 	}
 }
 
-// peerTLS makes the mutual TLS of connections between hosts.
+// peerTLS returns the configuration of mutual TLS between hosts; nil if no certificate is set.
 func peerTLS(set *settings.Settings) (*tls.Config, error) {
 	if set.PeerCert == "" {
 		return nil, nil
--- a/daemon/cmd/pistachiod/observe.go
+++ b/daemon/cmd/pistachiod/observe.go
@@ -16,23 +16,23 @@
 	"github.com/pistachioarch/pistachioarch/daemon/meter"
 )
 
-// Paths of the metrics address.
+// Paths served on the metrics address.
 const (
 	metricsPath = "/metrics"
 	statePath   = "/state"
 )
 
-// observer lets operators look into a running role.
+// observer exposes the metrics, state and logs of a running role to operators.
 type observer struct {
 	meter  *meter.Meter
 	sink   *logsink.Sink
 	logger *log.Logger
-	// state returns what the role holds.
+	// state returns the role's state, to be encoded as JSON.
 	state func() any
 }
 
-// gauges serves what every role has.
-func (o *observer) gauges() {
+// registerGauges registers the gauges that all roles have.
+func (o *observer) registerGauges() {
 	o.meter.Gauge("log_lines_dropped", o.sink.Dropped)
 	o.meter.Gauge("goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
 	o.meter.Gauge("heap_bytes", func() int64 {
@@ -42,8 +42,8 @@
 	})
 }
 
-// serve serves metrics and state on an address until the context ends. A role
-// without them goes on: callers do not depend on it.
+// serve serves metrics and state on an address until ctx ends. If it cannot listen, the role
+// runs without them, since callers do not depend on them.
 func (o *observer) serve(ctx context.Context, address string) {
 	if address == "" {
 		return
@@ -53,7 +53,7 @@
 		o.logger.Error("metrics are not served", "address", address, "error", err.Error())
 		return
 	}
-	server := &http.Server{Handler: o.handler(), ReadHeaderTimeout: observeTimeout, IdleTimeout: observeTimeout}
+	server := &http.Server{Handler: o.handler(), ReadHeaderTimeout: metricsTimeout, IdleTimeout: metricsTimeout}
 	go func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
 			o.logger.Error("metrics listener failed", "error", err.Error())
@@ -62,22 +62,22 @@
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 }
 
-// handler serves metrics and state.
+// handler returns the handler of the metrics address.
 func (o *observer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, o.meter)
 	mux.HandleFunc("GET "+statePath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(o.dump()) // whoever asked has gone
+		_, _ = w.Write(o.dump()) // the client has disconnected
 	})
 	return mux
 }
 
-// observeTimeout bounds a connection that asks for metrics: whoever reads them is
-// close by and asks every few seconds.
-const observeTimeout = 10 * time.Second
+// metricsTimeout bounds reading of request headers and idle time on a metrics connection:
+// clients are close by and poll every few seconds.
+const metricsTimeout = 10 * time.Second
 
-// dump is the state as one JSON line.
+// dump returns the state as one JSON line; nil if it cannot be encoded.
 func (o *observer) dump() []byte {
 	line, err := json.Marshal(o.state())
 	if err != nil {
@@ -89,15 +89,15 @@
 
 // dumpOnSignal writes the state to standard output at each SIGUSR1.
 func (o *observer) dumpOnSignal(ctx context.Context) {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
-	defer signal.Stop(asked)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
+	defer signal.Stop(signals)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
-			_, _ = o.sink.Write(o.dump()) // a sink takes or counts every line
+		case <-signals:
+			_, _ = o.sink.Write(o.dump()) // the sink never fails: it counts the lines it drops
 		}
 	}
 }
--- a/daemon/cmd/pistachiod/observe_test.go
+++ b/daemon/cmd/pistachiod/observe_test.go
@@ -26,7 +26,7 @@
 
 func newObserver(logger *log.Logger) *observer {
 	o := &observer{meter: meter.New(), sink: logsink.New(io.Discard), logger: logger, state: func() any { return nil }}
-	o.gauges()
+	o.registerGauges()
 	return o
 }
 
@@ -36,11 +36,11 @@
 	return w.Body.String()
 }
 
-func TestAnEntryHostServesItsStateAndMetrics(t *testing.T) {
+func TestEntryHostServesStateAndMetrics(t *testing.T) {
 	logger := log.New(io.Discard)
 	o := newObserver(logger)
-	past := quorum.New(&net.Dialer{}, "dc", logger, o.meter)
-	host := entry.New(entry.Options{Headers: platform.Headers{}, History: past, Dialer: &net.Dialer{}, DataCentre: "dc", Log: logger, Meter: o.meter})
+	historyClient := quorum.New(&net.Dialer{}, "dc", logger, o.meter)
+	host := entry.New(entry.Options{Headers: platform.Headers{}, History: historyClient, Dialer: &net.Dialer{}, DataCentre: "dc", Log: logger, Meter: o.meter})
 	o.state = func() any { return host.State() }
 	var state entry.State
 	require.NoError(t, json.Unmarshal([]byte(get(o, statePath)), &state))
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAHistoryHostServesItsMetrics(t *testing.T) {
+func TestHistoryHostServesMetrics(t *testing.T) {
 	logger := log.New(io.Discard)
 	o := newObserver(logger)
 	server, err := history.OpenServer(history.Options{Dir: t.TempDir(), Logger: logger, Meter: o.meter})
@@ -75,7 +75,7 @@
 memory_mb = 134
 `
 
-func TestSettingsAreReadAnewAndFaultsChangeNothing(t *testing.T) {
+func TestReloadAppliesChangesAndIgnoresInvalidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.ini")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o644)) }
 	write(roleSettings)
@@ -102,19 +102,19 @@
 	require.Equal(t, log.DebugLevel, r.logger.GetLevel())
 }
 
-func TestAChangedFileIsSeenByItsTime(t *testing.T) {
+func TestChangedFileIsDetectedByModificationTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.ini")
 	r := &reloader{path: path}
-	require.True(t, r.modified().IsZero(), "no file yet")
+	require.True(t, r.modifiedAt().IsZero(), "file does not exist")
 	require.NoError(t, os.WriteFile(path, nil, 0o644))
-	first := r.modified()
-	later := first.Add(time.Minute)
+	before := r.modifiedAt()
+	later := before.Add(time.Minute)
 	require.NoError(t, os.Chtimes(path, later, later))
-	require.False(t, r.modified().Equal(first))
+	require.False(t, r.modifiedAt().Equal(before))
 }
 
-// A watch that hangs must end before hosts have to know what it would have told.
-func TestNoRelayedKindWaitsLongerThanHostsMayBeOutOfTouch(t *testing.T) {
+// A watch that hangs must end within the contact window, after which its changes must be in force.
+func TestWatchTimeoutsOfRelayedKindsAreWithinContactWindow(t *testing.T) {
 	for _, contact := range []time.Duration{3 * time.Second, 6 * time.Second} {
 		set := &settings.Role{ContactWindow: contact}
 		for _, kind := range relayedKinds(set) {
--- a/daemon/cmd/pistachiod/reload.go
+++ b/daemon/cmd/pistachiod/reload.go
@@ -13,53 +13,53 @@
 	"github.com/pistachioarch/pistachioarch/daemon/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without a
-// signal.
-const lookEvery = 5 * time.Second
+// fileCheckInterval is the interval between checks of the settings file, which may change without
+// a signal.
+const fileCheckInterval = 5 * time.Second
 
-// reloader keeps a role's settings as its file says.
+// reloader reloads a role's settings when their file changes.
 type reloader struct {
 	path   string
 	set    *settings.Role
 	logger *log.Logger
 }
 
-// apply puts in force what the process itself holds of the settings.
+// apply applies the settings of the process: memory limit and log level.
 func (r *reloader) apply() {
 	if r.set.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(r.set.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(r.set.MemoryBytes)))
 	}
 	if level, err := log.ParseLevel(r.set.LogLevel); err == nil {
 		r.logger.SetLevel(level)
 	}
 }
 
-// run reads the settings anew at each SIGHUP and when the file has changed.
+// run reloads the settings on SIGHUP and when the file has changed, until ctx ends.
 func (r *reloader) run(ctx context.Context) {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
-	defer signal.Stop(asked)
-	tick := time.NewTicker(lookEvery)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
+	tick := time.NewTicker(fileCheckInterval)
 	defer tick.Stop()
-	seen := r.modified()
+	lastModified := r.modifiedAt()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
-			seen = r.modified()
+		case <-signals:
+			lastModified = r.modifiedAt()
 			r.reload("signal")
 		case <-tick.C:
-			if now := r.modified(); !now.Equal(seen) {
-				seen = now
+			if now := r.modifiedAt(); !now.Equal(lastModified) {
+				lastModified = now
 				r.reload("file changed")
 			}
 		}
 	}
 }
 
-// modified is when the file was written last; zero if it cannot be told.
-func (r *reloader) modified() time.Time {
+// modifiedAt returns the modification time of the file; zero if it is not known.
+func (r *reloader) modifiedAt() time.Time {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return time.Time{}
@@ -67,14 +67,14 @@
 	return info.ModTime()
 }
 
-// reload takes what can change. Settings with faults change nothing.
+// reload applies the settings that can change at run time. Invalid settings change nothing.
 func (r *reloader) reload(cause string) {
 	next, err := settings.LoadRole(r.path)
 	if err != nil {
 		r.logger.Error("settings not reloaded", "cause", cause, "error", err.Error())
 		return
 	}
-	got := r.set.Reload(next)
+	result := r.set.Reload(next)
 	r.apply()
-	r.logger.Info("settings reloaded", "cause", cause, "changed", got.Changed, "need_restart", got.NeedRestart)
+	r.logger.Info("settings reloaded", "cause", cause, "changed", result.Changed, "need_restart", result.NeedRestart)
 }
--- a/daemon/cmd/pistachiod/role.go
+++ b/daemon/cmd/pistachiod/role.go
@@ -21,28 +21,30 @@
 	"github.com/pistachioarch/pistachioarch/wire/tcpopt"
 )
 
-// roleFunc runs a role until the context ends, then stops it within the grace time.
-// It sets the observer's state before it serves.
+// roleFunc runs a role until ctx ends, then stops it within the grace period. It sets the
+// observer's state function before it serves requests.
 type roleFunc func(ctx context.Context, set *settings.Role, o *observer) error
 
+// roles maps the first command-line argument to its role.
 var roles = map[string]roleFunc{"entry": runEntry, "history": runHistory}
 
 type roleOptions struct {
-	Settings string `long:"settings" value-name:"FILE.ini" description:"settings of this role; on the users' platform it says where they are"`
-	Check    bool   `long:"check" description:"check the settings and stop"`
+	Settings string `long:"settings" value-name:"FILE.ini" description:"settings file of this role; by default the one that the users' platform provides"`
+	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
 const (
-	// memoryShare is the part of the memory limit that the collector keeps to; the
-	// rest is for stacks, sockets and the runtime.
-	memoryShare = 0.75
-	// gcPercent keeps the heap close to what lives in it: memory at its peak is
-	// dearer than the processor time of more collections.
+	// memoryLimitFraction is the fraction of the memory limit given to the garbage collector;
+	// the rest is for stacks, sockets and the runtime.
+	memoryLimitFraction = 0.75
+	// gcPercent, in percent of the live heap, keeps the heap small: peak memory costs more than
+	// the CPU time of additional collections.
 	gcPercent = 50
 )
 
+// runRole runs a role with its command-line arguments and returns the exit code.
 func runRole(role roleFunc, args []string) int {
-	holdSignals()
+	catchSignals()
 	var opt roleOptions
 	if _, err := flags.NewParser(&opt, flags.Default).ParseArgs(args); err != nil {
 		var help *flags.Error
@@ -59,13 +61,13 @@
 	}
 	set, err := settings.LoadRole(path)
 	if err != nil {
-		reportFaults(logger, err)
-		time.Sleep(logFlush)
+		logSettingsError(logger, err)
+		time.Sleep(logFlushDelay)
 		return exitSettings
 	}
 	if opt.Check {
-		logger.Info("settings are sound", "file", path)
-		time.Sleep(logFlush)
+		logger.Info("settings are valid", "file", path)
+		time.Sleep(logFlushDelay)
 		return exitOK
 	}
 	reload := &reloader{path: path, set: set, logger: logger}
@@ -75,27 +77,28 @@
 	defer stop()
 	go reload.run(ctx)
 	o := &observer{meter: meter.New(), sink: sink, logger: logger, state: func() any { return nil }}
-	o.gauges()
+	o.registerGauges()
 	go o.dumpOnSignal(ctx)
 	logger.Info("started", "host", set.Host, "data_centre", set.DataCentre, "address", set.Address)
 	if err := role(ctx, set, o); err != nil {
 		logger.Error("cannot run", "type", string(failure.From(err).Kind), "error", err.Error())
-		time.Sleep(logFlush)
+		time.Sleep(logFlushDelay)
 		return exitFailure
 	}
 	return exitOK
 }
 
-// holdSignals keeps the signals that ask a process for something from ending it, from its
-// start to its end. Those who act on them begin later and leave earlier: an entry host that
-// was told to reload while it drained was ended with its streams.
-func holdSignals() {
+// catchSignals prevents SIGHUP and SIGUSR1 from terminating the process at any time. Their
+// handlers start later and stop earlier than the process: without it, an entry host that was
+// told to reload while it drained was terminated together with its streams.
+func catchSignals() {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP, syscall.SIGUSR1)
 }
 
-// logFlush gives the last log lines time to be written before the process ends.
-const logFlush = 20 * time.Millisecond
+// logFlushDelay is the time for the last log lines to be written before the process exits.
+const logFlushDelay = 20 * time.Millisecond
 
+// listen opens a TCP listener; its error is a Failure of kind InvalidSetting.
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -104,21 +107,21 @@
 	return l, nil
 }
 
-// peerDialer connects to other hosts of the system and to targets. Probes and the
-// user timeout end a connection through a partition in about a second.
+// peerDialer returns the dialer for other hosts of the system and for targets. Keep-alive probes
+// and the TCP user timeout close a connection across a partition within about a second.
 func peerDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         connectTimeout,
-		Control:         tcpopt.UserTimeout(unackedLimit),
+		Control:         tcpopt.UserTimeout(userTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2},
 	}
 }
 
 const (
-	// connectTimeout bounds a dial: a round trip between data centres takes some
-	// milliseconds; a lost SYN is sent again after a second, too late for a caller.
+	// connectTimeout bounds a dial: a round trip between data centres takes some milliseconds,
+	// and a lost SYN is retransmitted after a second, too late for a caller.
 	connectTimeout = 250 * time.Millisecond
-	// unackedLimit closes a connection whose peer has acknowledged nothing for it, so that
-	// one that fell silent is found within a second of a request on it.
-	unackedLimit = 900 * time.Millisecond
+	// userTimeout closes a connection on which sent data stays unacknowledged for this long, so
+	// that a silent peer is detected within a second of a request.
+	userTimeout = 900 * time.Millisecond
 )
--- a/daemon/cmd/pistachiod/signals_test.go
+++ b/daemon/cmd/pistachiod/signals_test.go
@@ -15,7 +15,7 @@
 	"github.com/pistachioarch/pistachioarch/daemon/settings"
 )
 
-const checkedRole = `
+const minimalRoleSettings = `
 [host]
 name = h1
 data_centre = dc1
@@ -28,28 +28,28 @@
 address = 10.9.0.1:80
 `
 
-// A process that stops is asked to reload and to dump its state: it goes on answering the
-// requests that it has. Without anybody who holds the signals they end this test's process.
-func TestSignalsDoNotEndAProcessThatStops(t *testing.T) {
+// A stopping process that receives SIGHUP or SIGUSR1 must continue with its requests in flight.
+// If the process does not catch the signals, they terminate the test process.
+func TestSignalsDoNotTerminateStoppingProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.ini")
-	require.NoError(t, os.WriteFile(path, []byte(checkedRole), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(minimalRoleSettings), 0o600))
 	require.Equal(t, exitOK, runRole(runEntry, []string{"--settings", path, "--check"}))
 
 	ctx, stop := context.WithCancel(context.Background())
 	r := &reloader{path: path, set: &settings.Role{}, logger: log.New(io.Discard)}
-	left := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		r.run(ctx)
-		close(left)
+		close(stopped)
 	}()
 	stop()
-	<-left
+	<-stopped
 
-	after := make(chan os.Signal, 1)
-	signal.Notify(after, syscall.SIGUSR2)
-	defer signal.Stop(after)
+	delivered := make(chan os.Signal, 1)
+	signal.Notify(delivered, syscall.SIGUSR2)
+	defer signal.Stop(delivered)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2} {
 		require.NoError(t, syscall.Kill(os.Getpid(), s))
 	}
-	<-after
+	<-delivered
 }
