--- a/ctl/always/always_test.go
+++ b/ctl/always/always_test.go
@@ -181,7 +181,7 @@
 	o.config = c.platform.History(host.ConfigKey)
 	for name, e := range c.engines {
 		o.calls[name] = e.Calls()
-		if c.net.Listening(enginePlace(name) + ":80") {
+		if c.net.IsListening(enginePlace(name) + ":80") {
 			o.cached[name] = e.Cached()
 		}
 	}
--- a/ctl/always/cluster_test.go
+++ b/ctl/always/cluster_test.go
@@ -201,11 +201,11 @@
 			continue
 		}
 		if fromPlatform {
-			c.net.Cut(m.place, platformPlace, on)
+			c.net.SetPartitioned(m.place, platformPlace, on)
 		}
 		for _, o := range c.members {
 			if fromOthers && o.dc != dc {
-				c.net.Cut(m.place, o.place, on)
+				c.net.SetPartitioned(m.place, o.place, on)
 			}
 		}
 	}
--- a/ctl/always/faults_test.go
+++ b/ctl/always/faults_test.go
@@ -98,9 +98,9 @@
 	}},
 	{name: "host frozen past its lease and woken", unknownOrders: 4, cutOff: true, inject: func(c *cluster) {
 		wait(firstFault)
-		c.net.Freeze("10.1.0.1", true)
+		c.net.SetFrozen("10.1.0.1", true)
 		wait(12 * time.Second)
-		c.net.Freeze("10.1.0.1", false)
+		c.net.SetFrozen("10.1.0.1", false)
 	}},
 	{name: "platform down for five minutes", inject: func(c *cluster) {
 		wait(firstFault)
@@ -149,9 +149,9 @@
 	}},
 	{name: "host cut from the platform alone", inject: func(c *cluster) {
 		wait(firstFault)
-		c.net.Cut("10.1.0.1", platformPlace, true)
+		c.net.SetPartitioned("10.1.0.1", platformPlace, true)
 		wait(time.Minute)
-		c.net.Cut("10.1.0.1", platformPlace, false)
+		c.net.SetPartitioned("10.1.0.1", platformPlace, false)
 	}},
 	{name: "target killed", inject: func(c *cluster) {
 		wait(firstFault)
@@ -238,10 +238,10 @@
 	}},
 	{name: "host frozen and a target killed", unknownOrders: 8, cutOff: true, inject: func(c *cluster) {
 		wait(firstFault)
-		c.net.Freeze("10.1.0.2", true)
+		c.net.SetFrozen("10.1.0.2", true)
 		c.stopServer(enginePlace("e2"))
 		wait(15 * time.Second)
-		c.net.Freeze("10.1.0.2", false)
+		c.net.SetFrozen("10.1.0.2", false)
 	}},
 	{name: "data centre cut from all and a host stopped", unknownOrders: 8, cutOff: true, inject: func(c *cluster) {
 		wait(firstFault)
--- a/ctl/command/command.go
+++ b/ctl/command/command.go
@@ -37,12 +37,12 @@
 
 // Globals are the options of every subcommand.
 type Globals struct {
-	Output   string        `long:"output" choice:"table" choice:"json" default:"table" description:"form of the output"`
-	Platform string        `long:"platform" env:"PISTACHIO_PLATFORM" value-name:"URL" description:"platform's object API"`
-	PToken   string        `long:"platform-token" env:"PISTACHIO_PLATFORM_TOKEN" description:"bearer token for the platform"`
-	Hosts    []string      `long:"host" env:"PISTACHIO_HOSTS" env-delim:"," value-name:"IP:PORT" description:"operators' address of an entry host; may stand several times"`
-	Token    string        `long:"token" env:"PISTACHIO_TOKEN" description:"operators' bearer token"`
-	Timeout  time.Duration `long:"timeout" default:"30s" description:"limit of one command"`
+	Output        string        `long:"output" choice:"table" choice:"json" default:"table" description:"form of the output"`
+	Platform      string        `long:"platform" env:"PISTACHIO_PLATFORM" value-name:"URL" description:"platform's object API"`
+	PlatformToken string        `long:"platform-token" env:"PISTACHIO_PLATFORM_TOKEN" description:"bearer token for the platform"`
+	Hosts         []string      `long:"host" env:"PISTACHIO_HOSTS" env-delim:"," value-name:"IP:PORT" description:"operators' address of an entry host; may stand several times"`
+	Token         string        `long:"token" env:"PISTACHIO_TOKEN" description:"operators' bearer token"`
+	Timeout       time.Duration `long:"timeout" default:"30s" description:"limit of one command"`
 }
 
 // app is what the subcommands share.
@@ -149,7 +149,7 @@
 	if a.globals.Platform == "" {
 		return nil, failure.New(failure.Usage, "--platform (or PISTACHIO_PLATFORM) is needed")
 	}
-	return store.New(platform.New(a.http, a.globals.Platform, a.globals.PToken)), nil
+	return store.New(platform.New(a.http, a.globals.Platform, a.globals.PlatformToken)), nil
 }
 
 func (a *app) operators() ([]string, error) {
--- a/ctl/lineplot/lineplot.go
+++ b/ctl/lineplot/lineplot.go
@@ -27,15 +27,15 @@
 	Points []Point
 }
 
-// Picture is what to draw. All y are shares between 0 and 1.
-type Picture struct {
+// Chart is what to draw. All y are shares between 0 and 1.
+type Chart struct {
 	Title, XLabel, YLabel string
 	Lines                 []Line
 }
 
 // Save draws the picture into a PNG file. The error is a Failure of kind Usage if the file
 // cannot be written.
-func (p Picture) Save(file string) error {
+func (p Chart) Save(file string) error {
 	out := plot.New()
 	out.Title.Text, out.X.Label.Text, out.Y.Label.Text = p.Title, p.XLabel, p.YLabel
 	out.Y.Min, out.Y.Max = 0, 1
--- a/ctl/lineplot/lineplot_test.go
+++ b/ctl/lineplot/lineplot_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPictureIsSaved(t *testing.T) {
-	p := Picture{Title: "t", XLabel: "x", YLabel: "y", Lines: []Line{{"a", []Point{{0, 0}, {1, 1}}}, {"b", []Point{{0, 1}, {1, 0}}}}}
+	p := Chart{Title: "t", XLabel: "x", YLabel: "y", Lines: []Line{{"a", []Point{{0, 0}, {1, 1}}}, {"b", []Point{{0, 1}, {1, 0}}}}}
 	file := filepath.Join(t.TempDir(), "p.png")
 	require.NoError(t, p.Save(file))
 	content, err := os.ReadFile(file)
--- a/ctl/player/plot.go
+++ b/ctl/player/plot.go
@@ -5,7 +5,7 @@
 // Plot draws the worth by the time at which programs began, a line for each run, and
 // saves it as PNG.
 func Plot(results []*Result, file string) error {
-	p := lineplot.Picture{XLabel: "programs begun at (s)", YLabel: "share in time, late ones half"}
+	p := lineplot.Chart{XLabel: "programs begun at (s)", YLabel: "share in time, late ones half"}
 	for _, r := range results {
 		p.Title = r.Pattern
 		line := lineplot.Line{Name: r.Policy}
--- a/ctl/player/uneven_test.go
+++ b/ctl/player/uneven_test.go
@@ -157,7 +157,7 @@
 		w.After(seconds(0.1), look)
 	}
 	look()
-	for n < samples*len(w.order) && w.Step() {
+	for n < samples*len(w.order) && w.RunNext() {
 		continue
 	}
 	require.InDelta(t, f.NoiseShare, float64(slow)/float64(n), 0.02)
--- a/ctl/player/world.go
+++ b/ctl/player/world.go
@@ -202,7 +202,7 @@
 	w := newWorld(f, p, policy, seed)
 	newCallers(w, seed)
 	end := seconds(p.Seconds) + drainAfterEnd
-	for w.Now() < end && w.Step() {
+	for w.Now() < end && w.RunNext() {
 	}
 	w.result.close()
 	return w.result
--- a/ctl/replay/plot.go
+++ b/ctl/replay/plot.go
@@ -9,7 +9,7 @@
 // Plot draws the distribution of program latency under each policy, with the
 // wasted cache in the legend, and saves it as PNG.
 func Plot(results []*Result, file string) error {
-	p := lineplot.Picture{XLabel: "program latency (s)", YLabel: "share of programs"}
+	p := lineplot.Chart{XLabel: "program latency (s)", YLabel: "share of programs"}
 	for _, r := range results {
 		p.Title = r.Trace
 		line := lineplot.Line{Name: legend(r)}
--- a/ctl/replay/recovery_test.go
+++ b/ctl/replay/recovery_test.go
@@ -77,7 +77,7 @@
 	w, err := newWorld(recoveryTrace(t, 8, 20, 200, ""), sched.PolicyDefault, 1, host.Config{})
 	require.NoError(t, err)
 	for w.Now() < settleBefore+2*time.Second {
-		require.True(t, w.Step())
+		require.True(t, w.RunNext())
 	}
 	damaged := 0
 	for key, o := range w.platform.all {
@@ -89,7 +89,7 @@
 	}
 	require.Positive(t, damaged)
 	w.hostDies(w.byName["h2"])
-	for w.callers.left > 0 && w.Now() < maxReplay && w.Step() {
+	for w.callers.left > 0 && w.Now() < maxReplay && w.RunNext() {
 	}
 	require.Zero(t, w.result.Violations, "%v", w.result.ViolationTexts)
 	require.Positive(t, w.audit.notes[host.NoteCorrupt], "it is reported")
--- a/ctl/replay/run.go
+++ b/ctl/replay/run.go
@@ -60,12 +60,12 @@
 	if err != nil {
 		return nil, err
 	}
-	for w.callers.left > 0 && w.Now() < maxReplay && w.Step() {
+	for w.callers.left > 0 && w.Now() < maxReplay && w.RunNext() {
 	}
 	if w.callers.left > 0 {
 		return nil, failure.New(failure.OutcomeMissed, "%d programs were not over after %s", w.callers.left, maxReplay)
 	}
-	for end := w.Now() + settleAfter; w.Now() < end && w.Step(); {
+	for end := w.Now() + settleAfter; w.Now() < end && w.RunNext(); {
 	}
 	w.audit.close()
 	return w.finish(), nil
--- a/ctl/replicas/isolation_test.go
+++ b/ctl/replicas/isolation_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(500 * time.Millisecond)
 		for _, m := range c.members {
 			if m.dataCentre != "d" {
-				c.net.Cut(e.ip, m.ip, true)
+				c.net.SetPartitioned(e.ip, m.ip, true)
 			}
 		}
 		isolatedAt := time.Now()
--- a/ctl/replicas/read_test.go
+++ b/ctl/replicas/read_test.go
@@ -49,8 +49,8 @@
 		_ = m.listener.Close()
 		c.net.Crash(m.ip)
 	}},
-	{"member frozen", func(c *cluster, _ *entryHost, m *member) { c.net.Freeze(m.ip, true) }},
-	{"member unreachable from entry host", func(c *cluster, e *entryHost, m *member) { c.net.Cut(e.ip, m.ip, true) }},
+	{"member frozen", func(c *cluster, _ *entryHost, m *member) { c.net.SetFrozen(m.ip, true) }},
+	{"member unreachable from entry host", func(c *cluster, e *entryHost, m *member) { c.net.SetPartitioned(e.ip, m.ip, true) }},
 	{"member answers 250 ms late", func(_ *cluster, _ *entryHost, m *member) { m.extraDelay.Store(int64(250 * time.Millisecond)) }},
 }
 
@@ -196,7 +196,7 @@
 		require.NoError(t, err)
 		require.Len(t, c.membersAsked(isRead), 3)
 		require.Contains(t, c.membersAsked(isRead), former)
-		c.net.Freeze(former.ip, true)
+		c.net.SetFrozen(former.ip, true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = e.Read(ctx, program, "")
--- a/ctl/replicas/retention_test.go
+++ b/ctl/replicas/retention_test.go
@@ -62,7 +62,7 @@
 		require.NoError(t, d.Write(t.Context(), program, retention, settleRecord(program+"2"), turnRecord(program+"2", program+"1")))
 		time.Sleep(time.Second)
 		for _, m := range sentBoth {
-			c.net.Freeze(m.ip, true)
+			c.net.SetFrozen(m.ip, true)
 		}
 		history, err := a.Read(t.Context(), program, program+"2")
 		require.NoError(t, err)
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -190,7 +190,7 @@
 	outside := []string{"10.2.0.2", "10.1.0.1", "10.1.0.2", "10.1.0.3", "10.3.7.1", "10.3.6.1", "10.3.7.2", "10.3.6.2"}
 	for _, a := range inside {
 		for _, b := range outside {
-			c.net.Cut(a, b, cut)
+			c.net.SetPartitioned(a, b, cut)
 		}
 		c.store.Cut(a, cut)
 	}
@@ -384,7 +384,7 @@
 		c.killEntryHost(i)
 	}
 	for i := range c.historyHosts {
-		if c.historyHosts[i].listener != nil && c.net.Listening(c.historyHosts[i].ip+":1") {
+		if c.historyHosts[i].listener != nil && c.net.IsListening(c.historyHosts[i].ip+":1") {
 			c.killHistoryHost(i)
 		}
 	}
--- a/ctl/roles/customers_test.go
+++ b/ctl/roles/customers_test.go
@@ -103,7 +103,7 @@
 func (c *cluster) isolateEntryHost(e *entryHost, cut bool) {
 	c.store.Cut(e.ip, cut)
 	for _, h := range c.historyHosts {
-		c.net.Cut(e.ip, h.ip, cut)
+		c.net.SetPartitioned(e.ip, h.ip, cut)
 	}
 }
 
@@ -150,11 +150,11 @@
 	}, func(*cluster) {}, false},
 	{"two history hosts frozen and resumed", func(c *cluster) {
 		for _, h := range c.historyHosts[:2] {
-			c.net.Freeze(h.ip, true)
+			c.net.SetFrozen(h.ip, true)
 		}
 	}, func(c *cluster) {
 		for _, h := range c.historyHosts[:2] {
-			c.net.Freeze(h.ip, false)
+			c.net.SetFrozen(h.ip, false)
 		}
 	}, false},
 }
--- a/ctl/roles/faults_test.go
+++ b/ctl/roles/faults_test.go
@@ -98,16 +98,16 @@
 		c.killHistoryHost(3) // the new host must have copied its slots by now
 	}},
 	{name: "history host frozen and resumed", inject: func(c *cluster) {
-		c.net.Freeze("10.2.0.0", true)
+		c.net.SetFrozen("10.2.0.0", true)
 		wait(3 * time.Second)
-		c.net.Freeze("10.2.0.0", false)
+		c.net.SetFrozen("10.2.0.0", false)
 	}},
 	{name: "history host replaced while frozen, then resumed", inject: func(c *cluster) {
-		c.net.Freeze("10.2.0.1", true)
+		c.net.SetFrozen("10.2.0.1", true)
 		c.store.Cut("10.2.0.1", true)
 		c.startHistoryHost(&historyHost{name: "h9", ip: "10.2.0.9", dir: c.t.TempDir()})
 		wait(6 * time.Second)
-		c.net.Freeze("10.2.0.1", false)
+		c.net.SetFrozen("10.2.0.1", false)
 		wait(time.Second)
 		c.store.Cut("10.2.0.1", false)
 	}},
@@ -118,7 +118,7 @@
 	}},
 	{name: "entry host partitioned from all history hosts", inject: func(c *cluster) {
 		for _, h := range c.historyHosts {
-			c.net.Cut("10.1.0.0", h.ip, true)
+			c.net.SetPartitioned("10.1.0.0", h.ip, true)
 		}
 		wait(4 * time.Second)
 		c.net.Heal()
@@ -126,7 +126,7 @@
 	{name: "only one history host reachable from entry hosts, then its disk lost", inject: func(c *cluster) {
 		for _, e := range c.entryHosts {
 			for _, h := range c.historyHosts[1:] {
-				c.net.Cut(e.ip, h.ip, true)
+				c.net.SetPartitioned(e.ip, h.ip, true)
 			}
 		}
 		wait(3 * time.Second)
@@ -138,7 +138,7 @@
 	}},
 	{name: "history host missed writes, then another killed so that two replicas answer", inject: func(c *cluster) {
 		for _, e := range c.entryHosts {
-			c.net.Cut(e.ip, "10.2.0.0", true)
+			c.net.SetPartitioned(e.ip, "10.2.0.0", true)
 		}
 		wait(2 * time.Second)
 		c.net.Heal()
@@ -178,7 +178,7 @@
 	}},
 	{name: "target unreachable from entry hosts", inject: func(c *cluster) {
 		for _, e := range c.entryHosts {
-			c.net.Cut(e.ip, "10.3.7.1", true)
+			c.net.SetPartitioned(e.ip, "10.3.7.1", true)
 		}
 		wait(4 * time.Second)
 		c.net.Heal()
@@ -197,7 +197,7 @@
 	{name: "full disk while another history host is unreachable, then a third disk lost", inject: func(c *cluster) {
 		c.historyHosts[1].disk.full.Store(true)
 		for _, e := range c.entryHosts {
-			c.net.Cut(e.ip, "10.2.0.0", true)
+			c.net.SetPartitioned(e.ip, "10.2.0.0", true)
 		}
 		wait(3 * time.Second)
 		c.historyHosts[1].disk.full.Store(false)
@@ -297,7 +297,7 @@
 	for i, a := range c.historyHosts {
 		for j, b := range c.historyHosts {
 			if i%2 == 0 && j%2 == 1 {
-				c.net.Cut(a.ip, b.ip, cut)
+				c.net.SetPartitioned(a.ip, b.ip, cut)
 			}
 		}
 	}
--- a/ctl/roles/five_replicas_test.go
+++ b/ctl/roles/five_replicas_test.go
@@ -21,7 +21,7 @@
 	}},
 	{name: "five replicas, two history hosts frozen", fiveReplicas: true, inject: func(c *cluster) {
 		for _, ip := range []string{"10.2.0.1", "10.2.0.4"} {
-			c.net.Freeze(ip, true)
+			c.net.SetFrozen(ip, true)
 		}
 		wait(2 * time.Second)
 		c.net.Heal()
@@ -30,7 +30,7 @@
 	{name: "five replicas, each entry host partitioned from two history hosts", fiveReplicas: true, inject: func(c *cluster) {
 		for i, e := range c.entryHosts {
 			for j := range 2 {
-				c.net.Cut(e.ip, c.historyHosts[(2*i+j)%len(c.historyHosts)].ip, true)
+				c.net.SetPartitioned(e.ip, c.historyHosts[(2*i+j)%len(c.historyHosts)].ip, true)
 			}
 		}
 		wait(2 * time.Second)
--- a/ctl/roles/relay_test.go
+++ b/ctl/roles/relay_test.go
@@ -32,7 +32,7 @@
 	}},
 	{"all history hosts frozen", func(c *cluster) {
 		for _, h := range c.historyHosts {
-			c.net.Freeze(h.ip, true)
+			c.net.SetFrozen(h.ip, true)
 		}
 	}},
 	{"all history hosts killed", func(c *cluster) {
--- a/ctl/simclock/clock.go
+++ b/ctl/simclock/clock.go
@@ -49,8 +49,8 @@
 	heap.Push(&c.events, event{at: c.now + max(0, d), order: c.order, run: f})
 }
 
-// Step runs the next event; it reports false if there is none.
-func (c *Clock) Step() bool {
+// RunNext runs the next event; it reports false if there is none.
+func (c *Clock) RunNext() bool {
 	if len(c.events) == 0 {
 		return false
 	}
--- a/ctl/vnet/vnet.go
+++ b/ctl/vnet/vnet.go
@@ -39,8 +39,8 @@
 	n.changed = make(chan struct{})
 }
 
-// Cut cuts two places off from each other, or joins them again.
-func (n *Network) Cut(a, b string, on bool) {
+// SetPartitioned cuts two places off from each other, or joins them again.
+func (n *Network) SetPartitioned(a, b string, on bool) {
 	n.update(func() { n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = on, on })
 }
 
@@ -52,8 +52,8 @@
 	})
 }
 
-// Freeze stalls all traffic of a place, or lets it pass again.
-func (n *Network) Freeze(place string, on bool) { n.update(func() { n.frozen[place] = on }) }
+// SetFrozen stalls all traffic of a place, or lets it pass again.
+func (n *Network) SetFrozen(place string, on bool) { n.update(func() { n.frozen[place] = on }) }
 
 // Crash closes every connection of a place, as when its process
 // dies.
@@ -240,8 +240,8 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
-// Listening reports whether the newest listener at an address is open.
-func (n *Network) Listening(address string) bool {
+// IsListening reports whether the newest listener at an address is open.
+func (n *Network) IsListening(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.listeners[address]
--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -70,7 +70,7 @@
 	if f.set.MaxKeyRemovalDelay > 0 {
 		followConfig = objects.FollowFastRetry
 	}
-	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatch(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
+	go followConfig(ctx, config, platform.ConfigKind, f.set.ConfigWatchTimeout(), entry.NewConfigView(host, platform.ConfigName, platform.DecodeTable))
 	go objects.Follow(ctx, targets, platform.TargetKind, f.set.WatchTimeout(), entry.NewTargetView(host, platform.DecodeTarget).WithHalvings(targets.Halvings))
 	go objects.Follow(ctx, slots, history.MapKind, history.MapWatchTimeout, f.historyClient)
 	sources := map[string]*relay.Source{platform.ConfigKind: config, platform.TargetKind: targets, history.MapKind: slots}
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -58,7 +58,7 @@
 // knows of no changes, including slots that have moved.
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
-		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatch(), ForwardConfirmations: set.MaxKeyRemovalDelay > 0},
+		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatchTimeout(), ForwardConfirmations: set.MaxKeyRemovalDelay > 0},
 		{Name: platform.TargetKind, WatchTimeout: set.WatchTimeout(), MinWatchInterval: minTargetWatchInterval, GroupOf: platform.DecodeTargetGroup},
 		{Name: platform.EvacuationKind, WatchTimeout: set.WatchTimeout()},
 		{Name: platform.RetirementKind, WatchTimeout: set.WatchTimeout()},
--- a/daemon/settings/role.go
+++ b/daemon/settings/role.go
@@ -120,19 +120,19 @@
 	return unknownKeyMaxWatches * r.WatchTimeout()
 }
 
-// RelayedConfigWatch returns how long one watch of the configuration by a relay may wait.
-func (r *Role) RelayedConfigWatch() time.Duration {
-	return r.configWatchTimeout(relayedWatchFraction)
+// RelayedConfigWatchTimeout returns how long one watch of the configuration by a relay may wait.
+func (r *Role) RelayedConfigWatchTimeout() time.Duration {
+	return r.boundedWatchTimeout(relayedWatchFraction)
 }
 
-// ConfigWatch returns how long one watch of the configuration by any other host may wait.
-func (r *Role) ConfigWatch() time.Duration {
-	return r.configWatchTimeout(configWatchFraction)
+// ConfigWatchTimeout returns how long one watch of the configuration by any other host may wait.
+func (r *Role) ConfigWatchTimeout() time.Duration {
+	return r.boundedWatchTimeout(configWatchFraction)
 }
 
-// configWatchTimeout returns a watch timeout short enough that confirmations without changes
+// boundedWatchTimeout returns a watch timeout short enough that confirmations without changes
 // arrive within their fraction of MaxKeyRemovalDelay.
-func (r *Role) configWatchTimeout(fraction float64) time.Duration {
+func (r *Role) boundedWatchTimeout(fraction float64) time.Duration {
 	if r.MaxKeyRemovalDelay == 0 {
 		return r.WatchTimeout()
 	}
--- a/daemon/settings/role_test.go
+++ b/daemon/settings/role_test.go
@@ -60,8 +60,8 @@
 	require.Equal(t, 2, r.ToleratedHostFaults)
 	require.Equal(t, 4*time.Second, r.KeyMaxAge())
 	require.Equal(t, 2*time.Second, r.UnknownKeyMaxAge())
-	require.Equal(t, 300*time.Millisecond, r.RelayedConfigWatch())
-	require.Equal(t, 600*time.Millisecond, r.ConfigWatch())
+	require.Equal(t, 300*time.Millisecond, r.RelayedConfigWatchTimeout())
+	require.Equal(t, 600*time.Millisecond, r.ConfigWatchTimeout())
 	require.Equal(t, 5*time.Second, r.QuotaWindow)
 	require.Equal(t, []float64{0.1, 20}, []float64{r.QuotaOverage, r.QuotaSlack})
 	require.Equal(t, 5*time.Second, r.MaxEvacuationDelay)
@@ -151,8 +151,8 @@
 		r, err := ParseRole([]byte(text))
 		require.NoError(t, err)
 		require.Zero(t, r.KeyMaxAge())
-		require.Equal(t, r.WatchTimeout(), r.ConfigWatch())
-		require.Equal(t, r.WatchTimeout(), r.RelayedConfigWatch())
+		require.Equal(t, r.WatchTimeout(), r.ConfigWatchTimeout())
+		require.Equal(t, r.WatchTimeout(), r.RelayedConfigWatchTimeout())
 		require.Zero(t, r.QuotaWindow)
 	}
 	for old, bad := range map[string]string{"removal_ms = 5000": "removal_ms =", "slack = 20": "slack = -1", "overage = 0.1": "overage = NaN"} {
