--- a/ctl/vnet/vnet.go
+++ b/ctl/vnet/vnet.go
@@ -1,5 +1,5 @@
-// Package vnet is an in-memory network for tests on virtual time: hosts with
-// addresses "IP:port", links that can be cut, places that freeze or crash.
+// Package vnet implements an in-memory network for tests on virtual time. Hosts, identified by
+// their IP addresses, can be partitioned from each other, frozen or crashed.
 package vnet
 
 import (
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Network is an in-memory network of hosts with addresses "IP:port", which can
-// be cut between places and frozen at one.
+// Network is an in-memory network of hosts that listen on addresses "IP:port". Its methods are safe
+// for concurrent use.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*Listener
-	conns     map[*conn]struct{}
-	blocked   map[[2]string]bool // pairs of places that are cut off from each other
-	frozen    map[string]bool    // places whose traffic stalls
-	changed   chan struct{}      // closed and replaced at each change
+	mu          sync.Mutex
+	listeners   map[string]*Listener
+	conns       map[*conn]struct{}
+	partitioned map[[2]string]bool // pairs of IP addresses without connectivity
+	frozen      map[string]bool    // IP addresses whose traffic stalls
+	changed     chan struct{}      // closed and replaced on each change
 }
 
-// New returns a network where everything reaches everything.
+// New returns a network in which all hosts reach each other.
 func New() *Network {
 	return &Network{
-		listeners: map[string]*Listener{}, conns: map[*conn]struct{}{}, blocked: map[[2]string]bool{},
+		listeners: map[string]*Listener{}, conns: map[*conn]struct{}{}, partitioned: map[[2]string]bool{},
 		frozen: map[string]bool{}, changed: make(chan struct{}),
 	}
 }
 
-// update changes the state of the network and wakes what stalls.
+// update changes the state of the network and wakes stalled connections.
 func (n *Network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -39,48 +39,48 @@
 	n.changed = make(chan struct{})
 }
 
-// SetPartitioned cuts two places off from each other, or joins them again.
-func (n *Network) SetPartitioned(a, b string, on bool) {
-	n.update(func() { n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = on, on })
+// SetPartitioned starts or ends a partition between two IP addresses. Traffic between them stalls
+// meanwhile; connections stay open.
+func (n *Network) SetPartitioned(a, b string, partitioned bool) {
+	n.update(func() { n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = partitioned, partitioned })
 }
 
-// Heal ends all cuts and freezes.
+// Heal ends all partitions and freezes.
 func (n *Network) Heal() {
 	n.update(func() {
-		clear(n.blocked)
+		clear(n.partitioned)
 		clear(n.frozen)
 	})
 }
 
-// SetFrozen stalls all traffic of a place, or lets it pass again.
-func (n *Network) SetFrozen(place string, on bool) { n.update(func() { n.frozen[place] = on }) }
+// SetFrozen stalls or resumes all traffic of an IP address.
+func (n *Network) SetFrozen(ip string, frozen bool) { n.update(func() { n.frozen[ip] = frozen }) }
 
-// Crash closes every connection of a place, as when its process
-// dies.
-func (n *Network) Crash(place string) {
+// Crash closes every connection of an IP address, as when its process dies.
+func (n *Network) Crash(ip string) {
 	n.mu.Lock()
-	var gone []*conn
+	var crashed []*conn
 	for c := range n.conns {
-		if c.from == place || c.to == place {
-			gone = append(gone, c)
+		if c.from == ip || c.to == ip {
+			crashed = append(crashed, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range gone {
+	for _, c := range crashed {
 		_ = c.Conn.Close()
 	}
 }
 
-// stalled reports whether traffic between two places does not pass now.
-func (n *Network) stalled(from, to string) bool {
-	return n.blocked[[2]string{from, to}] || n.frozen[from] || n.frozen[to]
+// isStalled reports whether traffic between two IP addresses stalls. The caller holds n.mu.
+func (n *Network) isStalled(from, to string) bool {
+	return n.partitioned[[2]string{from, to}] || n.frozen[from] || n.frozen[to]
 }
 
-// await waits until traffic passes, or done is closed.
-func (n *Network) await(from, to string, done <-chan struct{}) bool {
+// awaitPassage waits until traffic passes and returns true, or returns false once done is closed.
+func (n *Network) awaitPassage(from, to string, done <-chan struct{}) bool {
 	for {
 		n.mu.Lock()
-		stalled, changed := n.stalled(from, to), n.changed
+		stalled, changed := n.isStalled(from, to), n.changed
 		n.mu.Unlock()
 		if !stalled {
 			return true
@@ -93,26 +93,27 @@
 	}
 }
 
-// Dialer dials from one place.
+// Dialer dials from one IP address.
 type Dialer struct {
 	Net  *Network
 	From string
 }
 
-// DialContext connects to an address.
+// DialContext connects to an address "IP:port". It waits while traffic to the address stalls, and
+// fails with ECONNREFUSED if nothing listens there.
 func (d Dialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	d.Net.mu.Lock()
 	l := d.Net.listeners[address]
 	d.Net.mu.Unlock()
 	to, _, _ := net.SplitHostPort(address)
-	if !d.Net.await(d.From, to, ctx.Done()) {
+	if !d.Net.awaitPassage(d.From, to, ctx.Done()) {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
 	}
-	if l == nil || l.closed() {
+	if l == nil || l.isClosed() {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	a, b := d.Net.wrap(near, d.From, to), d.Net.wrap(far, to, d.From)
+	local, remote := net.Pipe()
+	a, b := d.Net.wrap(local, d.From, to), d.Net.wrap(remote, to, d.From)
 	select {
 	case l.accept <- b:
 		return a, nil
@@ -127,6 +128,7 @@
 	}
 }
 
+// wrap returns c as a connection of the network.
 func (n *Network) wrap(c net.Conn, from, to string) *conn {
 	w := &conn{Conn: c, n: n, from: from, to: to, done: make(chan struct{})}
 	n.mu.Lock()
@@ -135,44 +137,44 @@
 	return w
 }
 
-// conn stalls while its places are cut off from each other. What is written at one instant
-// arrives together, as through a socket's buffer: a stall between the head and the body of a
-// frame would leave yamux reading with a mutex held, for which others wait, and virtual time
-// stands still while anybody waits for a mutex.
+// conn is a connection that stalls while its hosts are partitioned or frozen. Data written at one
+// instant arrives together, as through a socket buffer: a stall between the head and the body of a
+// frame would block yamux in a read with a mutex held, and virtual time does not advance while a
+// goroutine waits for a mutex.
 type conn struct {
 	net.Conn
-	wrote, read atomic.Int64 // when the last call ended, in nanoseconds
-	n           *Network
-	from, to    string
-	once        sync.Once
-	done        chan struct{}
+	lastWrite, lastRead atomic.Int64 // end of the last call, in Unix nanoseconds
+	n                   *Network
+	from, to            string
+	once                sync.Once
+	done                chan struct{}
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	k, err := c.Conn.Read(b)
-	if !c.pass(&c.read) {
+	if !c.awaitUnstalled(&c.lastRead) {
 		return 0, net.ErrClosed
 	}
-	c.read.Store(time.Now().UnixNano())
+	c.lastRead.Store(time.Now().UnixNano())
 	return k, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	if !c.pass(&c.wrote) {
+	if !c.awaitUnstalled(&c.lastWrite) {
 		return 0, net.ErrClosed
 	}
 	k, err := c.Conn.Write(b)
-	c.wrote.Store(time.Now().UnixNano())
+	c.lastWrite.Store(time.Now().UnixNano())
 	return k, err
 }
 
-// pass waits until the places are not cut off, unless the last call ended at this instant;
-// it reports whether the connection is still open.
-func (c *conn) pass(last *atomic.Int64) bool {
+// awaitUnstalled waits while the connection stalls, unless the last call ended at this instant. It
+// reports whether the connection is still open.
+func (c *conn) awaitUnstalled(last *atomic.Int64) bool {
 	if last.Load() == time.Now().UnixNano() {
 		return true
 	}
-	return c.n.await(c.from, c.to, c.done)
+	return c.n.awaitPassage(c.from, c.to, c.done)
 }
 
 func (c *conn) Close() error {
@@ -185,12 +187,13 @@
 	return c.Conn.Close()
 }
 
+// address implements net.Addr.
 type address string
 
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-// RemoteAddr and LocalAddr replace the pipe's.
+// RemoteAddr and LocalAddr return addresses of the network instead of the pipe's.
 func (c *conn) RemoteAddr() net.Addr { return address(c.to + ":0") }
 func (c *conn) LocalAddr() net.Addr  { return address(c.from + ":0") }
 
@@ -203,7 +206,7 @@
 	done    chan struct{}
 }
 
-// Listen opens a listener at an address.
+// Listen opens a listener on an address "IP:port". It replaces an earlier listener there.
 func (n *Network) Listen(addr string) *Listener {
 	l := &Listener{n: n, address: addr, accept: make(chan net.Conn), done: make(chan struct{})}
 	n.mu.Lock()
@@ -222,7 +225,7 @@
 	}
 }
 
-func (l *Listener) closed() bool {
+func (l *Listener) isClosed() bool {
 	select {
 	case <-l.done:
 		return true
@@ -240,10 +243,10 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
-// IsListening reports whether the newest listener at an address is open.
+// IsListening reports whether the newest listener on an address is open.
 func (n *Network) IsListening(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.listeners[address]
-	return l != nil && !l.closed()
+	return l != nil && !l.isClosed()
 }
