--- a/ctl/simclock/clock.go
+++ b/ctl/simclock/clock.go
@@ -1,5 +1,4 @@
-// Package simclock is a queue of events on virtual time, for models that must play
-// the same way every time.
+// Package simclock implements an event queue on virtual time, for deterministic simulations.
 package simclock
 
 import (
@@ -7,12 +6,12 @@
 	"time"
 )
 
-// Clock runs events in order of time; events of one time run in the order in which
-// they were added. The zero value is ready. Not safe for concurrent use.
+// Clock runs events in order of time; events at the same time run in the order in which they were
+// added. The zero value is ready to use. It is not safe for concurrent use.
 type Clock struct {
 	now    time.Duration
 	events eventHeap
-	order  uint64
+	added  uint64
 }
 
 type event struct {
@@ -40,16 +39,16 @@
 	return e
 }
 
-// Now is the time of the event that runs.
+// Now returns the time of the current event, counted from the start of the simulation.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After runs f once d has passed.
+// After schedules f to run once d has passed. A negative d counts as zero.
 func (c *Clock) After(d time.Duration, f func()) {
-	c.order++
-	heap.Push(&c.events, event{at: c.now + max(0, d), order: c.order, run: f})
+	c.added++
+	heap.Push(&c.events, event{at: c.now + max(0, d), order: c.added, run: f})
 }
 
-// RunNext runs the next event; it reports false if there is none.
+// RunNext runs the next event. It returns false if there is none.
 func (c *Clock) RunNext() bool {
 	if len(c.events) == 0 {
 		return false
@@ -60,5 +59,5 @@
 	return true
 }
 
-// Milliseconds converts a number of milliseconds.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
