--- a/ctl/lineplot/lineplot.go
+++ b/ctl/lineplot/lineplot.go
@@ -1,4 +1,4 @@
-// Package lineplot draws lines over one axis and saves them as PNG.
+// Package lineplot draws line charts and saves them as PNG files.
 package lineplot
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// Size of a picture: half of a page.
+// Size of a chart: half a page.
 const (
 	width  = 18 * vg.Centimeter
 	height = 10 * vg.Centimeter
 )
 
-// Point is one point of a line, in the units that the axes' labels name.
+// Point is one point of a line, in the units stated in the axis labels.
 type Point struct{ X, Y float64 }
 
-// Line is one line and its name in the legend.
+// Line is one line of a chart, with its name in the legend.
 type Line struct {
 	Name   string
 	Points []Point
 }
 
-// Chart is what to draw. All y are shares between 0 and 1.
+// Chart is a line chart. All Y values are fractions between 0 and 1.
 type Chart struct {
 	Title, XLabel, YLabel string
 	Lines                 []Line
 }
 
-// Save draws the picture into a PNG file. The error is a Failure of kind Usage if the file
-// cannot be written.
+// Save draws the chart and writes it to a PNG file. The error is a Failure of kind Usage if the
+// file cannot be written.
 func (p Chart) Save(file string) error {
 	out := plot.New()
 	out.Title.Text, out.X.Label.Text, out.Y.Label.Text = p.Title, p.XLabel, p.YLabel
