--- a/ctl/store/store.go
+++ b/ctl/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps declarations at the platform: the one in force, and every
-// earlier one.
+// Package store keeps declarations in the platform's object store: the one in force and all earlier
+// ones.
 package store
 
 import (
@@ -18,23 +18,24 @@
 	"github.com/pistachioarch/pistachioarch/wire/platform"
 )
 
-// writeAttempts bounds how often a write of unknown outcome is settled by
-// reading back and writing again.
-const writeAttempts = 8
+// maxWriteAttempts is the maximum number of attempts of a write whose outcome is unknown; each one
+// reads the object back.
+const maxWriteAttempts = 8
 
 // Store reads and writes declarations.
 type Store struct{ client *platform.Client }
 
-// New returns a store at the platform.
+// New returns a store that uses a client of the platform.
 func New(c *platform.Client) *Store { return &Store{client: c} }
 
-// Current returns the declaration in force and the version of its object; both
-// are zero before the first.
+// Current returns the declaration in force and the version of its object; both are zero before the
+// first declaration.
 func (s *Store) Current(ctx context.Context) (host.ConfigObject, uint64, error) {
 	return s.read(ctx, host.ConfigKey)
 }
 
-// Version returns one declaration, in force or earlier.
+// Version returns the declaration with a version, whether in force or earlier. The error is of kind
+// InvalidDeclaration if there is none.
 func (s *Store) Version(ctx context.Context, version uint64) (host.ConfigObject, error) {
 	o, _, err := s.Current(ctx)
 	if err != nil || o.Version == version {
@@ -70,15 +71,15 @@
 	return all, nil
 }
 
-// Apply makes text the declaration in force if the one in force is still
-// version `from` of its object. The error is of kind Conflict when another
-// operator was faster; nothing is changed then.
-func (s *Store) Apply(ctx context.Context, text, author string, current host.ConfigObject, from uint64) (host.ConfigObject, error) {
+// Apply puts text in force if the object of the declaration in force still has version
+// objectVersion, and returns the new declaration. The error is of kind Conflict if another operator
+// was faster; then the declaration in force is unchanged.
+func (s *Store) Apply(ctx context.Context, text, author string, current host.ConfigObject, objectVersion uint64) (host.ConfigObject, error) {
 	next := host.ConfigObject{Version: current.Version + 1, Nonce: nonce(), Author: author, Text: text}
-	// The one in force goes into the history before it is replaced, so that the
-	// history has every earlier version even if this process dies.
+	// The declaration in force is archived before it is replaced, so that the history contains every
+	// earlier version even if this process dies.
 	if current.Version > 0 {
-		if err := s.keep(ctx, current); err != nil {
+		if err := s.archive(ctx, current); err != nil {
 			return next, err
 		}
 	}
@@ -89,17 +90,18 @@
 	if len(body) > platform.MaxObjectBytes {
 		return next, failure.New(failure.TooLarge, "a declaration takes at most %d bytes at the platform", platform.MaxObjectBytes)
 	}
-	return next, s.write(ctx, host.ConfigKey, from, body)
+	return next, s.write(ctx, host.ConfigKey, objectVersion, body)
 }
 
-func (s *Store) keep(ctx context.Context, o host.ConfigObject) error {
+// archive writes a declaration to the history.
+func (s *Store) archive(ctx context.Context, o host.ConfigObject) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "declaration")
 	}
 	err = s.write(ctx, historyKey(o.Version), 0, body)
 	if failure.Is(err, failure.Conflict) {
-		return nil // kept before
+		return nil // archived before
 	}
 	return err
 }
@@ -114,10 +116,11 @@
 	return hex.EncodeToString(b[:])
 }
 
-// write puts an object and settles a lost reply by reading back.
+// write puts an object if it has version ifVersion. It reads the object back to determine the
+// outcome after a lost reply.
 func (s *Store) write(ctx context.Context, key string, ifVersion uint64, body []byte) error {
-	pause := backoff.NewExponentialBackOff(backoff.WithInitialInterval(50 * time.Millisecond))
-	for range writeAttempts {
+	retryDelay := backoff.NewExponentialBackOff(backoff.WithInitialInterval(50 * time.Millisecond))
+	for range maxWriteAttempts {
 		r := s.client.Do(ctx, host.PlatformOp{Kind: host.OpPut, Key: key, IfVersion: ifVersion, Body: body})
 		if r.Status == host.OpOK {
 			return nil
@@ -128,11 +131,11 @@
 			case back.Status == host.OpOK && bytes.Equal(back.Body, body):
 				return nil
 			case back.Status == host.OpOK && back.Version > ifVersion:
-				return failure.New(failure.Conflict, "another change was accepted meanwhile")
+				return failure.New(failure.Conflict, "another change was accepted in the meantime")
 			}
 		}
 		select {
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		case <-ctx.Done():
 			return failure.Wrap(ctx.Err(), failure.PlatformUnavailable, "write")
 		}
@@ -156,6 +159,6 @@
 	return o, r.Version, nil
 }
 
-func unavailable(what string) error {
-	return failure.Retry(failure.PlatformUnavailable, time.Second, "the platform does not answer the %s", what)
+func unavailable(operation string) error {
+	return failure.Retry(failure.PlatformUnavailable, time.Second, "the platform does not answer the %s", operation)
 }
