--- a/ctl/command/apply.go
+++ b/ctl/command/apply.go
@@ -12,7 +12,7 @@
 
 type applyCommand struct {
 	app    *app
-	DryRun bool            `long:"dry-run" description:"show the difference, change nothing"`
+	DryRun bool            `long:"dry-run" description:"show the difference without applying it"`
 	Wait   bool            `long:"wait" description:"wait until each --host has the change in force"`
 	Author string          `long:"author" env:"USER" description:"who applies it"`
 	Args   declarationFile `positional-args:"true"`
@@ -27,15 +27,15 @@
 	return c.app.apply(text, c.Args.File, c.Author, c.DryRun, c.Wait)
 }
 
-// apply puts a text in force and, when asked, waits for the hosts.
+// apply puts a declaration in force and, if wait is set, waits until the hosts report it.
 func (a *app) apply(text, name, author string, dryRun, wait bool) error {
-	ctx, cancel := a.limited()
+	ctx, cancel := a.withTimeout()
 	defer cancel()
 	s, err := a.store()
 	if err != nil {
 		return err
 	}
-	current, from, err := s.Current(ctx)
+	current, objectVersion, err := s.Current(ctx)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 		fmt.Fprint(a.out, difference(current, text, name))
 		return nil
 	}
-	applied, err := s.Apply(ctx, text, author, current, from)
+	applied, err := s.Apply(ctx, text, author, current, objectVersion)
 	if failure.Is(err, failure.Conflict) {
 		if now, _, readErr := s.Current(ctx); readErr == nil {
 			fmt.Fprint(a.out, difference(now, text, name))
@@ -61,35 +61,36 @@
 	return a.print(map[string]uint64{"version": applied.Version}, "VERSION", []string{row(applied.Version)})
 }
 
-// waitEvery is the pause between two looks at the hosts.
-const waitEvery = 100 * time.Millisecond
+// statusPollInterval is the interval between status requests to the hosts.
+const statusPollInterval = 100 * time.Millisecond
 
+// waitForVersion waits until all hosts report a version of the declaration, or a later one.
 func (a *app) waitForVersion(ctx context.Context, version uint64) error {
-	hosts, err := a.operators()
+	hosts, err := a.operatorHosts()
 	if err != nil {
 		return err
 	}
 	defer a.endProgress()
 	for {
-		behind := ""
+		pendingHost := ""
 		ready := 0
 		for _, h := range hosts {
 			var st node.Status
-			err := a.operator(h).Operate(ctx, "GET", "v1/status", &st)
+			err := a.operatorClient(h).Operate(ctx, "GET", "v1/status", &st)
 			if err == nil && st.ConfigVersion >= version {
 				ready++
 				continue
 			}
-			behind = h
+			pendingHost = h
 		}
-		if behind == "" {
+		if pendingHost == "" {
 			return nil
 		}
 		a.progress("version %d in force on %d of %d hosts", version, ready, len(hosts))
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
-			return missed("version %d is accepted, but %s does not report it", version, behind)
+			return outcomeMissed("version %d is accepted, but %s does not report it yet", version, pendingHost)
 		}
 	}
 }
@@ -102,7 +103,7 @@
 
 // Execute implements flags.Commander.
 func (c *rollbackCommand) Execute([]string) error {
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	s, err := c.app.store()
 	if err != nil {
--- a/ctl/command/completion.go
+++ b/ctl/command/completion.go
@@ -4,8 +4,8 @@
 
 type completionCommand struct{ app *app }
 
-// completionScript asks the program itself, which go-flags answers when
-// GO_FLAGS_COMPLETION is set.
+// completionScript runs the program with GO_FLAGS_COMPLETION set, which makes go-flags print the
+// completions.
 const completionScript = `_pistachioctl() {
     local IFS=$'\n'
     COMPREPLY=($(GO_FLAGS_COMPLETION=1 "${COMP_WORDS[0]}" "${COMP_WORDS[@]:1:$COMP_CWORD}"))
--- a/ctl/command/diff.go
+++ b/ctl/command/diff.go
@@ -23,7 +23,7 @@
 	return c.app.apply(text, c.Args.File, "", true, false)
 }
 
-// difference is a unified diff from the declaration in force to text.
+// difference returns a unified diff from the declaration in force to text.
 func difference(current host.ConfigObject, text, name string) string {
 	d := difflib.UnifiedDiff{
 		A: difflib.SplitLines(current.Text), FromFile: fmt.Sprintf("version %d", current.Version),
@@ -41,7 +41,7 @@
 
 type historyCommand struct{ app *app }
 
-// version is one line of the history.
+// version is one entry of the history; Bytes is the length of the declaration.
 type version struct {
 	Version uint64 `json:"version"`
 	Author  string `json:"author"`
@@ -50,7 +50,7 @@
 
 // Execute implements flags.Commander.
 func (c *historyCommand) Execute([]string) error {
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	s, err := c.app.store()
 	if err != nil {
--- a/ctl/command/inspect.go
+++ b/ctl/command/inspect.go
@@ -12,17 +12,17 @@
 	"github.com/pistachioarch/pistachioarch/core/failure"
 )
 
-// inspectCommand shows what entry and history roles hold.
+// inspectCommand shows the state or metrics of entry and history roles.
 type inspectCommand struct {
 	app     *app
 	Metrics bool `long:"metrics" description:"print the metrics instead of the state"`
 }
 
-// maxStateBytes bounds one answer: 3,100 targets are about 1 MB.
+// maxStateBytes bounds one response: 3,100 targets take about 1 MB.
 const maxStateBytes = 16 << 20
 
-// roleState is what the states of both roles have in common with a table; the role
-// shows in which fields are there.
+// roleState holds the fields of both roles' states that the table shows. The role follows from the
+// fields that are present.
 type roleState struct {
 	Ready         *bool           `json:"ready"`
 	ConfigVersion *uint64         `json:"config_version"`
@@ -43,11 +43,11 @@
 
 // Execute implements flags.Commander.
 func (c *inspectCommand) Execute([]string) error {
-	hosts, err := c.app.operators()
+	hosts, err := c.app.operatorHosts()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	if c.Metrics {
 		return c.metrics(ctx, hosts)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// get reads one path of a role's metrics address.
+// get returns the response body for one path of a role's metrics address.
 func (c *inspectCommand) get(ctx context.Context, host, path string) ([]byte, error) {
 	req, err := sling.New().Base("http://" + host + "/").Get(path).Request()
 	if err != nil {
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.PeerUnavailable, "host %s", host)
 	}
-	defer func() { _ = resp.Body.Close() }() // read, or of no use
+	defer func() { _ = resp.Body.Close() }() // the body has been read or is not needed
 	if resp.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.PeerUnavailable, "host %s: %s", host, resp.Status)
 	}
@@ -97,7 +97,7 @@
 	return text, failure.Wrap(err, failure.PeerUnavailable, "host %s", host)
 }
 
-// stateRow is a line of the table.
+// stateRow returns a host's row of the table.
 func stateRow(host string, text []byte) (string, error) {
 	var s roleState
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -107,16 +107,16 @@
 		return row(host, "history", s.Epoch, fmt.Sprintf("%d slots, %d joining, %d programs", s.SlotsActive, s.SlotsJoining, s.Programs)), nil
 	}
 	if s.Ready == nil || s.ConfigVersion == nil || s.Active == nil {
-		return "", failure.New(failure.BadAnswer, "%s answers with no role's state", host)
+		return "", failure.New(failure.BadAnswer, "response of %s is no role's state", host)
 	}
-	var past historyState
-	if err := json.Unmarshal(s.History, &past); err != nil {
+	var history historyState
+	if err := json.Unmarshal(s.History, &history); err != nil {
 		return "", failure.Wrap(err, failure.BadAnswer, "state of %s", host)
 	}
 	ready := "ready"
 	if !*s.Ready {
 		ready = "not ready"
 	}
-	return row(host, "entry", past.Epoch, fmt.Sprintf("%s, configuration %d, %d requests, %d slots out of reach",
-		ready, *s.ConfigVersion, *s.Active, past.UnservableSlots)), nil
+	return row(host, "entry", history.Epoch, fmt.Sprintf("%s, configuration %d, %d requests, %d unservable slots",
+		ready, *s.ConfigVersion, *s.Active, history.UnservableSlots)), nil
 }
--- a/ctl/command/inspect_test.go
+++ b/ctl/command/inspect_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func roleAnswering(t *testing.T, answers map[string]string) string {
+// startRole serves fixed answers by path and returns the address.
+func startRole(t *testing.T, answers map[string]string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, ok := answers[r.URL.Path]
 		if !ok {
@@ -23,11 +24,11 @@
 }
 
 func TestInspectShowsBothRoles(t *testing.T) {
-	entry := roleAnswering(t, map[string]string{
+	entry := startRole(t, map[string]string{
 		"/state":   `{"ready":true,"requests_active":3,"config_version":12,"history":{"epoch":7,"unservable_slots":2}}`,
 		"/metrics": "ready 1\n",
 	})
-	history := roleAnswering(t, map[string]string{"/state": `{"member":"ab","epoch":8,"slots_active":60,"slots_joining":4,"programs":90}`})
+	history := startRole(t, map[string]string{"/state": `{"member":"ab","epoch":8,"slots_active":60,"slots_joining":4,"programs":90}`})
 	run := func(args ...string) (int, string, string) {
 		var out, errw bytes.Buffer
 		code := Main(args, &out, &errw)
@@ -35,7 +36,7 @@
 	}
 	code, out, errText := run("--host", entry, "--host", history, "inspect")
 	require.Equal(t, ExitOK, code, errText)
-	require.Contains(t, out, "ready, configuration 12, 3 requests, 2 slots out of reach")
+	require.Contains(t, out, "ready, configuration 12, 3 requests, 2 unservable slots")
 	require.Contains(t, out, "60 slots, 4 joining, 90 programs")
 
 	code, out, _ = run("--output", "json", "--host", history, "inspect")
@@ -49,7 +50,7 @@
 	code, _, errText = run("--host", history, "inspect", "--metrics")
 	require.Equal(t, ExitFailure, code)
 	require.Contains(t, errText, "404")
-	code, _, errText = run("--host", roleAnswering(t, map[string]string{"/state": "{}"}), "inspect")
+	code, _, errText = run("--host", startRole(t, map[string]string{"/state": "{}"}), "inspect")
 	require.Equal(t, ExitFailure, code)
 	require.Contains(t, errText, "no role's state")
 	code, _, _ = run("inspect")
@@ -58,7 +59,7 @@
 
 func TestQuotasAreSummedOverHosts(t *testing.T) {
 	host := func(tokens, refused string) string {
-		return roleAnswering(t, map[string]string{"/state": `{"member":"ab","quotas":[{"customer":"crew","config_version":5,"rate_per_s":40,"burst":41,"parts":2,"tokens":` +
+		return startRole(t, map[string]string{"/state": `{"member":"ab","quotas":[{"customer":"crew","config_version":5,"rate_per_s":40,"burst":41,"parts":2,"tokens":` +
 			tokens + `,"granted":7,"refused":` + refused + `}]}`})
 	}
 	a, b := host("1.5", "3"), host("2", "0")
--- a/ctl/command/load.go
+++ b/ctl/command/load.go
@@ -14,15 +14,15 @@
 
 type loadCommand struct {
 	app         *app
-	Name        string        `long:"name" default:"load" description:"word before the closing line"`
-	CallerHosts []string      `long:"caller-host" required:"true" value-name:"IP:PORT" description:"callers' address of an entry host; may stand several times"`
+	Name        string        `long:"name" default:"load" description:"name at the start of the summary line"`
+	CallerHosts []string      `long:"caller-host" required:"true" value-name:"IP:PORT" description:"callers' address of an entry host; may be given several times"`
 	Plan        string        `long:"plan" required:"true" value-name:"FILE.ini" description:"kinds of programs"`
-	Declaration string        `long:"declaration" value-name:"FILE.ini" description:"declaration whose stand-ins are checked afterwards"`
+	Declaration string        `long:"declaration" value-name:"FILE.ini" description:"declaration whose stand-ins are checked at the end"`
 	Programs    int           `long:"programs" default:"20" description:"programs to run"`
-	Parallel    int           `long:"parallel" default:"10" description:"programs at a time"`
+	Parallel    int           `long:"parallel" default:"10" description:"programs that run at the same time"`
 	Seed        uint64        `long:"seed" default:"1" description:"seed of all choices, and part of the program keys"`
-	Patience    time.Duration `long:"patience" default:"45s" description:"how long one call is tried again"`
-	Progress    string        `long:"progress-file" description:"file that gets a line for each program"`
+	Patience    time.Duration `long:"patience" default:"45s" description:"time limit for retries of one call"`
+	Progress    string        `long:"progress-file" description:"file to which a line is written for each program"`
 }
 
 // Execute implements flags.Commander.
@@ -35,14 +35,14 @@
 		Hosts: c.CallerHosts, Kinds: kinds, Programs: c.Programs, Parallel: c.Parallel, Seed: c.Seed, Patience: c.Patience,
 		Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Parallel}},
 	}
-	if err := c.standins(&plan); err != nil {
+	if err := c.addStandins(&plan); err != nil {
 		return err
 	}
 	progress, err := c.openProgress()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = progress.Close() }() // each line was checked
+	defer func() { _ = progress.Close() }() // nothing to handle: the file only reports progress
 	plan.Progress = func(done int, r load.ProgramResult) {
 		line := fmt.Sprintf("program %s kind=%s calls=%d answered=%d not_run=%d unknown=%d ms=%d",
 			r.Program, r.Kind, r.Calls, r.Answered, r.NotRun, r.Unknown, r.Took.Milliseconds())
@@ -57,8 +57,7 @@
 	return c.print(report)
 }
 
-// openProgress opens the progress file; without one the lines go to standard
-// output.
+// openProgress opens the progress file, or standard output if none is given.
 func (c *loadCommand) openProgress() (*os.File, error) {
 	if c.Progress == "" {
 		return os.NewFile(uintptr(1), "stdout"), nil
@@ -79,13 +78,13 @@
 		fmt.Fprintln(c.app.out, r.Line(c.Name))
 	}
 	if len(r.Violations) > 0 {
-		return missed("%d violations", len(r.Violations))
+		return outcomeMissed("%d violations", len(r.Violations))
 	}
 	return nil
 }
 
-// standins finds the URLs to check in the declaration.
-func (c *loadCommand) standins(plan *load.Plan) error {
+// addStandins adds the targets of the declaration to the stand-ins that the plan checks.
+func (c *loadCommand) addStandins(plan *load.Plan) error {
 	if c.Declaration == "" {
 		return nil
 	}
--- a/ctl/command/play.go
+++ b/ctl/command/play.go
@@ -9,16 +9,16 @@
 	"github.com/pistachioarch/pistachioarch/ctl/player"
 )
 
-// playOptions are the options of replay that play a load pattern.
+// playOptions are the options of replay for load patterns.
 type playOptions struct {
 	Pattern string  `long:"pattern" value-name:"FILE.ini" description:"load pattern to play, instead of a trace"`
 	Fleet   string  `long:"fleet" value-name:"FILE.ini" default:"traces/load/small.ini" description:"hosts, targets and callers of a pattern"`
-	Hosts   int     `long:"hosts" description:"entry hosts, instead of the fleet's"`
-	Seeds   uint64  `long:"seeds" default:"1" description:"play a pattern with so many seeds, from --seed on"`
-	Load    float64 `long:"load" default:"1" description:"times the load of a pattern's bursts"`
+	Hosts   int     `long:"hosts" description:"number of entry hosts, instead of the fleet's"`
+	Seeds   uint64  `long:"seeds" default:"1" description:"number of seeds to play a pattern with, starting at --seed"`
+	Load    float64 `long:"load" default:"1" description:"factor for the load of a pattern's bursts"`
 }
 
-// play plays a pattern under one policy or all.
+// play plays a pattern under one policy or all policies.
 func (c *replayCommand) play() error {
 	f, err := player.ReadFleet(c.Fleet)
 	if err != nil {
@@ -53,10 +53,10 @@
 			return err
 		}
 	}
-	return c.printPlayed(results)
+	return c.printPatternResults(results)
 }
 
-func (c *replayCommand) printPlayed(results []*player.Result) error {
+func (c *replayCommand) printPatternResults(results []*player.Result) error {
 	if c.app.globals.Output == "json" {
 		e := json.NewEncoder(c.app.out)
 		for _, r := range results {
@@ -69,17 +69,17 @@
 	var rows []string
 	for _, r := range results {
 		rows = append(rows, row(r.Pattern, r.Policy, r.Seed, r.Programs, r.InTime, r.Late, r.Failed, r.TurnedAway,
-			fmt.Sprintf("%.3f", r.Worth()), fmt.Sprintf("%.3f", r.Worst()), spread(r.Classes), spread(r.Centres), fmt.Sprintf("%.2f", r.LeastSubject()),
-			triple(r.First), triple(r.Stretch), r.ReadAgain, r.Connections, r.Recovery().Round(time.Second)))
+			fmt.Sprintf("%.3f", r.Worth()), fmt.Sprintf("%.3f", r.Worst()), formatScoreRange(r.Classes), formatScoreRange(r.Centres), fmt.Sprintf("%.2f", r.LeastSubject()),
+			formatQuantiles(r.First), formatQuantiles(r.Stretch), r.ReadAgain, r.Connections, r.Recovery().Round(time.Second)))
 	}
 	return c.app.print(results, "PATTERN\tPOLICY\tSEED\tPROGRAMS\tIN TIME\tLATE\tFAILED\tTURNED AWAY\tWORTH\tWORST 2 S\tCLASS\tCENTRE\tSUBJECT\tFIRST MS\tTIME/AIM %\tREAD AGAIN\tCONNECTIONS\tWELL AGAIN AFTER", rows)
 }
 
-// triple prints the three quantiles.
-func triple(q player.Quantiles) string { return fmt.Sprintf("%d/%d/%d", q.P50, q.P95, q.P99) }
+// formatQuantiles formats the 50th, 95th and 99th percentile.
+func formatQuantiles(q player.Quantiles) string { return fmt.Sprintf("%d/%d/%d", q.P50, q.P95, q.P99) }
 
-// spread prints the lowest and the highest worth of some groups.
-func spread(groups map[string]*player.Window) string {
+// formatScoreRange formats the lowest and the highest score of the groups.
+func formatScoreRange(groups map[string]*player.Window) string {
 	low, high := 1.0, 0.0
 	for _, x := range groups {
 		low, high = min(low, x.Worth()), max(high, x.Worth())
--- a/ctl/command/quotas.go
+++ b/ctl/command/quotas.go
@@ -9,7 +9,7 @@
 	"github.com/pistachioarch/pistachioarch/core/quota"
 )
 
-// quotasCommand shows what history hosts hold of customers' quotas.
+// quotasCommand shows the parts of customers' quotas that history hosts hold.
 type quotasCommand struct {
 	app      *app
 	Customer string `long:"customer" value-name:"NAME" description:"only this customer, with the part of each host"`
@@ -28,11 +28,11 @@
 		return err
 	}
 	if c.Customer == "" {
-		return c.app.print(parts, "CUSTOMER\tRATE\tBURST\tTOKENS\tGRANTED\tREFUSED\tHOSTS", sums(parts))
+		return c.app.print(parts, "CUSTOMER\tRATE\tBURST\tTOKENS\tGRANTED\tREFUSED\tHOSTS", sumRows(parts))
 	}
 	var rows []string
 	for _, p := range parts[c.Customer] {
-		rows = append(rows, row(p.Host, p.Version, p.Rate, p.Burst, p.Parts, round(p.Tokens), p.Granted, p.Refused))
+		rows = append(rows, row(p.Host, p.Version, p.Rate, p.Burst, p.Parts, roundToTenth(p.Tokens), p.Granted, p.Refused))
 	}
 	if len(rows) == 0 {
 		return failure.New(failure.NotFound, "no host has been asked for tokens of %s", c.Customer)
@@ -40,13 +40,13 @@
 	return c.app.print(parts[c.Customer], "HOST\tCONFIGURATION\tRATE\tBURST\tPARTS\tTOKENS\tGRANTED\tREFUSED", rows)
 }
 
-// read asks all hosts for their parts, by customer.
+// read returns the parts of all hosts, by customer.
 func (c *quotasCommand) read() (map[string][]partState, error) {
-	hosts, err := c.app.operators()
+	hosts, err := c.app.operatorHosts()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	inspect := inspectCommand{app: c.app}
 	parts := map[string][]partState{}
@@ -68,8 +68,9 @@
 	return parts, nil
 }
 
-// sums is a line for each customer over all hosts.
-func sums(parts map[string][]partState) []string {
+// sumRows returns a row for each customer with sums over all hosts. Rate and burst are those of the
+// host with the newest configuration.
+func sumRows(parts map[string][]partState) []string {
 	var rows []string
 	for _, customer := range slices.Sorted(maps.Keys(parts)) {
 		var tokens float64
@@ -80,10 +81,10 @@
 			refused += p.Refused
 		}
 		newest := slices.MaxFunc(parts[customer], func(a, b partState) int { return int(a.Version) - int(b.Version) })
-		rows = append(rows, row(customer, newest.Rate, newest.Burst, round(tokens), granted, refused, len(parts[customer])))
+		rows = append(rows, row(customer, newest.Rate, newest.Burst, roundToTenth(tokens), granted, refused, len(parts[customer])))
 	}
 	return rows
 }
 
-// round keeps one digit behind the point.
-func round(x float64) float64 { return float64(int64(x*10+0.5)) / 10 }
+// roundToTenth rounds a non-negative number to one decimal.
+func roundToTenth(x float64) float64 { return float64(int64(x*10+0.5)) / 10 }
--- a/ctl/command/replay.go
+++ b/ctl/command/replay.go
@@ -15,11 +15,11 @@
 type replayCommand struct {
 	playOptions
 	app      *app
-	Trace    string `long:"trace" value-name:"FILE.jsonl" description:"trace to replay; FILE.want.json beside it states the outcome"`
+	Trace    string `long:"trace" value-name:"FILE.jsonl" description:"trace to replay; FILE.want.json next to it states the expected outcome"`
 	Policy   string `long:"policy" default:"default" description:"default, round_robin, least_loaded, sticky_fcfs, or all"`
 	Seed     uint64 `long:"seed" default:"1" description:"seed of the random choices"`
 	Plot     string `long:"plot" value-name:"FILE.png" description:"plot the results"`
-	Generate string `long:"generate" value-name:"DIR" description:"write the users' traces to a folder and stop"`
+	Generate string `long:"generate" value-name:"DIR" description:"write the users' traces to a directory and exit"`
 }
 
 // Execute implements flags.Commander.
@@ -60,8 +60,8 @@
 	return c.print(results, want)
 }
 
-// print writes one JSON object for each policy, or a table, and checks the
-// product's policy against the wanted outcome; the baselines are only shown.
+// print writes one JSON object per policy, or a table. It checks the result of the default policy
+// against the expected outcome; if several policies ran, the others are baselines and not checked.
 func (c *replayCommand) print(results []*replay.Result, want *replay.Want) error {
 	if c.app.globals.Output == "json" {
 		e := json.NewEncoder(c.app.out)
@@ -70,7 +70,7 @@
 				return failure.Wrap(err, failure.Internal, "output")
 			}
 		}
-	} else if err := c.table(results); err != nil {
+	} else if err := c.printTable(results); err != nil {
 		return err
 	}
 	if want == nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (c *replayCommand) table(results []*replay.Result) error {
+func (c *replayCommand) printTable(results []*replay.Result) error {
 	var rows []string
 	for _, r := range results {
 		rows = append(rows, row(r.Trace, r.Policy, fmt.Sprintf("%.0f", r.Latency.P50), fmt.Sprintf("%.0f", r.Latency.P95),
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, nil, failure.Wrap(err, failure.Usage, "trace")
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	t, err := replay.Read(f)
 	if err != nil {
 		return nil, nil, err
@@ -114,7 +114,7 @@
 	if err == nil {
 		err = json.Unmarshal(body, want)
 	}
-	return t, want, failure.Wrap(err, failure.Usage, "wanted outcome")
+	return t, want, failure.Wrap(err, failure.Usage, "expected outcome")
 }
 
 func (c *replayCommand) generate() error {
--- a/ctl/command/standin.go
+++ b/ctl/command/standin.go
@@ -15,7 +15,7 @@
 
 // addStandins adds "standin platform|engine|service".
 func (a *app) addStandins(p *flags.Parser) error {
-	c, err := p.AddCommand("standin", "Run a stand-in", "Runs a stand-in of something that pistachioarch meets, until it is interrupted. Faults are switched while it runs: GET and PUT /faults; PUT /faults/die ends it at once.\n\nExample: pistachioctl standin engine --listen 127.0.0.1:9001", &struct{}{})
+	c, err := p.AddCommand("standin", "Run a stand-in", "Runs a stand-in of a system that pistachioarch depends on, until it is interrupted. GET and PUT /faults read and set its faults while it runs; PUT /faults/die terminates it at once.\n\nExample: pistachioctl standin engine --listen 127.0.0.1:9001", &struct{}{})
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "command line")
 	}
@@ -36,19 +36,19 @@
 	Listen string `long:"listen" default:"127.0.0.1:0" value-name:"IP:PORT" description:"address; port 0 lets the kernel choose"`
 }
 
-// serve runs a handler and prints its address as one JSON line.
+// serve serves a handler until it is interrupted, and prints its address as one JSON line.
 func (s *standinListen) serve(h http.Handler) error {
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return failure.Wrap(err, failure.Usage, "listen")
 	}
-	line, _ := json.Marshal(map[string]string{"listening": l.Addr().String()}) // strings
+	line, _ := json.Marshal(map[string]string{"listening": l.Addr().String()}) // strings always encode
 	fmt.Fprintln(s.app.out, string(line))
 	mux := http.NewServeMux()
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	mux.Handle("/", h)
 	mux.HandleFunc("PUT /faults/die", func(http.ResponseWriter, *http.Request) {
-		_ = server.Close() // every connection breaks, and the process ends
+		_ = server.Close() // closes every connection and ends the process
 	})
 	go func() {
 		<-s.app.ctx.Done()
@@ -67,7 +67,7 @@
 
 type standinEngine struct {
 	standinListen
-	Batch     int           `long:"batch" default:"8" description:"calls run at once"`
+	Batch     int           `long:"batch" default:"8" description:"number of calls that run at the same time"`
 	Cache     int64         `long:"cache-tokens" default:"120000" description:"size of the prefix cache"`
 	Prefill   time.Duration `long:"prefill" default:"50us" description:"time per prompt token"`
 	Decode    time.Duration `long:"decode" default:"8ms" description:"time per output token"`
--- a/ctl/command/status.go
+++ b/ctl/command/status.go
@@ -10,7 +10,7 @@
 
 type statusCommand struct{ app *app }
 
-// hostStatus is the state of one host, or why it is not known.
+// hostStatus is the status of one host, or the error of the request for it.
 type hostStatus struct {
 	Host   string      `json:"host"`
 	Status node.Status `json:"status"`
@@ -19,20 +19,20 @@
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	hosts, err := c.app.operators()
+	hosts, err := c.app.operatorHosts()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	var all []hostStatus
 	var rows []string
-	down := 0
+	unreachable := 0
 	for _, h := range hosts {
 		s := hostStatus{Host: h}
-		if err := c.app.operator(h).Operate(ctx, "GET", "v1/status", &s.Status); err != nil {
+		if err := c.app.operatorClient(h).Operate(ctx, "GET", "v1/status", &s.Status); err != nil {
 			s.Error = failure.From(err).Error()
-			down++
+			unreachable++
 		}
 		all = append(all, s)
 		rows = append(rows, row(h, s.Status.Member, s.Status.DataCentre, s.Status.MayServe, s.Status.PlatformOK,
@@ -41,8 +41,8 @@
 	if err := c.app.print(all, "HOST\tMEMBER\tDATA CENTRE\tSERVES\tPLATFORM\tCONFIG\tSLOTS\tPROGRAMS\tERROR", rows); err != nil {
 		return err
 	}
-	if down > 0 {
-		return failure.New(failure.PeerUnavailable, "%d hosts do not answer", down)
+	if unreachable > 0 {
+		return failure.New(failure.PeerUnavailable, "%d hosts do not answer", unreachable)
 	}
 	return nil
 }
@@ -51,16 +51,16 @@
 
 // Execute implements flags.Commander.
 func (c *dumpCommand) Execute([]string) error {
-	hosts, err := c.app.operators()
+	hosts, err := c.app.operatorHosts()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	dumps := map[string]json.RawMessage{}
 	for _, h := range hosts {
 		var d json.RawMessage
-		if err := c.app.operator(h).Operate(ctx, "GET", "v1/dump", &d); err != nil {
+		if err := c.app.operatorClient(h).Operate(ctx, "GET", "v1/dump", &d); err != nil {
 			return err
 		}
 		dumps[h] = d
@@ -74,7 +74,7 @@
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	hosts, err := c.app.operators()
+	hosts, err := c.app.operatorHosts()
 	if err != nil {
 		return err
 	}
@@ -86,24 +86,24 @@
 	return nil
 }
 
-// drain tells one host to stop and waits until it does not answer any more.
+// drain tells one host to drain and waits until it no longer answers.
 func (c *drainCommand) drain(host string) error {
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	var st node.Status
-	if err := c.app.operator(host).Operate(ctx, "POST", "v1/drain", &st); err != nil {
+	if err := c.app.operatorClient(host).Operate(ctx, "POST", "v1/drain", &st); err != nil {
 		return err
 	}
 	defer c.app.endProgress()
 	for {
-		if c.app.operator(host).Operate(ctx, "GET", "v1/status", &st) != nil && ctx.Err() == nil {
+		if c.app.operatorClient(host).Operate(ctx, "GET", "v1/status", &st) != nil && ctx.Err() == nil {
 			return c.app.print(map[string]string{"stopped": host}, "STOPPED", []string{host})
 		}
 		c.app.progress("%s: %d slots, %d programs left", host, st.Slots, st.Programs)
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
-			return missed("%s still has %d slots; it goes on stopping", host, st.Slots)
+			return outcomeMissed("%s still has %d slots; it continues to drain", host, st.Slots)
 		}
 	}
 }
--- a/ctl/command/validate.go
+++ b/ctl/command/validate.go
@@ -29,7 +29,7 @@
 	}, "SERVICES\tTARGETS\tCALLERS\tRULES", []string{row(len(set.Services), len(set.Targets), len(set.Callers), len(set.Rules))})
 }
 
-// readDeclaration reads and checks a file; its faults are printed one a line.
+// readDeclaration reads and checks a declaration file and prints its errors, one per line.
 func (a *app) readDeclaration(file string) (string, *decl.Set, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -41,7 +41,7 @@
 		for _, f := range faults {
 			fmt.Fprintln(a.errw, f)
 		}
-		return "", nil, missed("%d faults", len(faults))
+		return "", nil, outcomeMissed("declaration has %d errors", len(faults))
 	}
 	return string(text), set, err
 }
