--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -1,5 +1,5 @@
-// Package bench measures what a host adds to a call, on the loopback, against
-// the same engine stand-in called directly in the same run.
+// Package bench measures the latency that a host adds to a call over the loopback interface,
+// compared with direct calls to the same engine stand-in in the same run.
 package bench
 
 import (
@@ -32,23 +32,23 @@
 
 const secretDigest = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b" // sha256("secret")
 
-// bed is two hosts of one data centre over real sockets.
-type bed struct {
+// testbed runs two hosts of one data centre on real sockets.
+type testbed struct {
 	engine string
-	hosts  []string // callers' addresses
+	hosts  []string // addresses for callers
 	client *http.Client
 	nodes  []*node.Node
 }
 
-func newBed(b *testing.B) *bed {
+func newTestbed(b *testing.B) *testbed {
 	engine := standin.NewEngine(standin.EngineConfig{Batch: 4096, CacheTokens: 1 << 40, OutputTokens: 1, Prefill: 1, Decode: 1})
 	plat := httptest.NewServer(standin.NewPlatform().Handler())
 	eng := httptest.NewServer(engine.Handler())
 	b.Cleanup(plat.Close)
 	b.Cleanup(eng.Close)
-	x := &bed{engine: eng.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
+	x := &testbed{engine: eng.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 	for i := range 2 {
-		x.start(b, fmt.Sprintf("h%d", i+1), plat.URL)
+		x.startHost(b, fmt.Sprintf("h%d", i+1), plat.URL)
 	}
 	s := store.New(platform.New(x.client, plat.URL, ""))
 	text := fmt.Sprintf("[service \"llm\"]\nqueue_limit = 100000\nrepeat_limit = 0\nturn_limit = 1000000\nhistory_tokens = 1000000000\n[target \"e\"]\nservice = llm\ndata_centre = a\nurl = %s\nbatch = 4096\ncache_tokens = 1000000000\n[caller \"c\"]\ntoken_sha256 = %s\nbudget = 1000000000000\n", eng.URL, secretDigest)
@@ -65,7 +65,7 @@
 	return x
 }
 
-func (x *bed) start(b *testing.B, name, platformURL string) {
+func (x *testbed) startHost(b *testing.B, name, platformURL string) {
 	set, err := settings.Parse(fmt.Appendf(nil, "[host]\nname = %s\ndata_centre = a\n[platform]\nurl = %s\n[operators]\ntoken_sha256 = %s\n", name, platformURL, secretDigest))
 	require.NoError(b, err)
 	var l [3]net.Listener
@@ -81,10 +81,10 @@
 	x.hosts = append(x.hosts, l[0].Addr().String())
 }
 
-var question = []byte(`[{"role":"user","content":"where do we dig"}]`)
+var messages = []byte(`[{"role":"user","content":"where do we dig"}]`)
 
-// direct calls the engine as a host would.
-func (x *bed) direct(b *testing.B) {
+// callEngine calls the engine as a host would.
+func (x *testbed) callEngine(b *testing.B) {
 	body, _ := json.Marshal(target.Completion{Messages: []api.Message{{Role: "user", Content: "where do we dig"}}, MaxTokens: 1, Stream: true, Program: "a-1-x"})
 	req, _ := http.NewRequest(http.MethodPost, x.engine+"/v1/chat/completions", bytes.NewReader(body))
 	req.Header.Set(target.CallHeader, "a-1-x/0/1")
@@ -96,59 +96,61 @@
 	require.True(b, strings.Contains(string(out), target.DoneMarker))
 }
 
-// call makes the first call of a program, so that no history grows.
-func (x *bed) call(b *testing.B, at int, program string) {
-	c := api.NewClient(x.client, "http://"+x.hosts[at], "secret")
-	_, err := c.Call(context.Background(), program, api.Call{MaxTokens: 1, Messages: question})
+// callHost makes the first call of a program, so that no history accumulates.
+func (x *testbed) callHost(b *testing.B, hostIndex int, program string) {
+	c := api.NewClient(x.client, "http://"+x.hosts[hostIndex], "secret")
+	_, err := c.Call(context.Background(), program, api.Call{MaxTokens: 1, Messages: messages})
 	require.NoError(b, err)
 }
 
-func (x *bed) program(b *testing.B, at int) string {
-	p, err := api.NewClient(x.client, "http://"+x.hosts[at], "secret").Create(context.Background(), api.CreateProgram{Service: "llm"})
+func (x *testbed) createProgram(b *testing.B, hostIndex int) string {
+	p, err := api.NewClient(x.client, "http://"+x.hosts[hostIndex], "secret").Create(context.Background(), api.CreateProgram{Service: "llm"})
 	require.NoError(b, err)
 	return p.Program
 }
 
-func percentiles(b *testing.B, name string, took []time.Duration) {
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), name+"-p50-us")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), name+"-p99-us")
+// reportPercentiles reports the 50th and 99th percentile in microseconds.
+func reportPercentiles(b *testing.B, name string, durations []time.Duration) {
+	slices.Sort(durations)
+	b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), name+"-p50-us")
+	b.ReportMetric(float64(durations[len(durations)*99/100].Microseconds()), name+"-p99-us")
 }
 
-// BenchmarkAddedTime times calls made directly, at the owner, and through
-// another host, in turn.
-func BenchmarkAddedTime(b *testing.B) {
-	x := newBed(b)
+// BenchmarkAddedLatency measures direct calls, calls at the owner, and calls forwarded by another
+// host, in turn.
+func BenchmarkAddedLatency(b *testing.B) {
+	x := newTestbed(b)
 	var direct, owned, forwarded []time.Duration
-	timed := func(into *[]time.Duration, f func()) {
-		begun := time.Now()
+	measure := func(into *[]time.Duration, f func()) {
+		start := time.Now()
 		f()
-		*into = append(*into, time.Since(begun))
+		*into = append(*into, time.Since(start))
 	}
-	for range 50 { // warm the connections
-		x.direct(b)
-		x.call(b, 1, x.program(b, 0))
+	for range 50 { // warm up the connections
+		x.callEngine(b)
+		x.callHost(b, 1, x.createProgram(b, 0))
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		p, q := x.program(b, 0), x.program(b, 0)
-		timed(&direct, func() { x.direct(b) })
-		timed(&owned, func() { x.call(b, 0, p) })
-		timed(&forwarded, func() { x.call(b, 1, q) })
+		p, q := x.createProgram(b, 0), x.createProgram(b, 0)
+		measure(&direct, func() { x.callEngine(b) })
+		measure(&owned, func() { x.callHost(b, 0, p) })
+		measure(&forwarded, func() { x.callHost(b, 1, q) })
 	}
-	percentiles(b, "direct", direct)
-	percentiles(b, "owned", owned)
-	percentiles(b, "forwarded", forwarded)
+	reportPercentiles(b, "direct", direct)
+	reportPercentiles(b, "owned", owned)
+	reportPercentiles(b, "forwarded", forwarded)
 	b.ReportMetric(float64((owned[len(owned)/2] - direct[len(direct)/2]).Microseconds()), "added-owned-us")
 	b.ReportMetric(float64((forwarded[len(forwarded)/2] - direct[len(direct)/2]).Microseconds()), "added-forwarded-us")
 }
 
-// BenchmarkCallsPerSecond keeps 64 callers busy at one host.
+// BenchmarkCallsPerSecond measures the throughput of one host with 8 parallel callers per CPU: 64
+// on 8 CPUs.
 func BenchmarkCallsPerSecond(b *testing.B) {
-	x := newBed(b)
-	var sequence atomic.Int64
+	x := newTestbed(b)
+	var calls atomic.Int64
 	b.ResetTimer()
-	begun := time.Now()
+	start := time.Now()
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
 		p := ""
@@ -156,15 +158,15 @@
 		c := api.NewClient(x.client, "http://"+x.hosts[0], "secret")
 		for pb.Next() {
 			if p == "" || n == 8 {
-				p, n = x.program(b, 0), 0
+				p, n = x.createProgram(b, 0), 0
 			}
-			if _, err := c.Call(context.Background(), p, api.Call{Sequence: n, MaxTokens: 1, Messages: question}); err != nil {
+			if _, err := c.Call(context.Background(), p, api.Call{Sequence: n, MaxTokens: 1, Messages: messages}); err != nil {
 				b.Error(err)
 				return
 			}
 			n++
-			sequence.Add(1)
+			calls.Add(1)
 		}
 	})
-	b.ReportMetric(float64(sequence.Load())/time.Since(begun).Seconds(), "calls/s")
+	b.ReportMetric(float64(calls.Load())/time.Since(start).Seconds(), "calls/s")
 }
