--- a/ctl/system/api_test.go
+++ b/ctl/system/api_test.go
@@ -1,5 +1,5 @@
-// Package system tests whole hosts over real sockets and, where it must be,
-// real processes. Verdicts depend on outcomes, not on time.
+// Package system tests whole hosts over real sockets and, where needed, as real processes. Results
+// depend on outcomes, not on timing.
 package system
 
 import (
@@ -29,15 +29,15 @@
 	"github.com/pistachioarch/pistachioarch/wire/platform"
 )
 
-// sha256 of "crew-3-secret" and of "desk-1-secret".
+// SHA-256 digests of "crew-3-secret" and "desk-1-secret".
 const (
 	crewDigest = "21cc4407a1db4b5c43e05290a4ca89d210f9c7aa79876c9441c2c0d23930b515"
 	deskDigest = "143120b01b279ac7898289942868c04df870491a92cb0fb9375298baa8db8f40"
 )
 
-// settled bounds how long a host may take to get ready; a slow machine only
-// makes the test slower.
-const settled = time.Minute
+// readyTimeout is the time for a host to become ready. It is long, so that a slow machine only
+// slows the test down.
+const readyTimeout = time.Minute
 
 type fixture struct {
 	t         *testing.T
@@ -103,21 +103,21 @@
 	require.Eventually(x.t, func() bool {
 		st := x.node.Status()
 		return st.ConfigVersion > 0 && st.Slots == 64 && st.MayServe
-	}, settled, 10*time.Millisecond)
+	}, readyTimeout, 10*time.Millisecond)
 }
 
 func (x *fixture) client(token string) *api.Client {
 	return api.NewClient(http.DefaultClient, "http://"+x.callers, token)
 }
 
-// post sends a raw body and returns the typed error, if any.
+// post sends a raw body and returns the status and the typed error, if any.
 func (x *fixture) post(token, path, body string) (int, api.Error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+x.callers+path, strings.NewReader(body))
 	require.NoError(x.t, err)
 	req.Header.Set("Authorization", "Bearer "+token)
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(x.t, err)
-	defer func() { _ = resp.Body.Close() }() // read below
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	var e api.Error
 	if resp.StatusCode >= http.StatusBadRequest {
 		require.NoError(x.t, json.NewDecoder(resp.Body).Decode(&e))
@@ -125,7 +125,7 @@
 	return resp.StatusCode, e
 }
 
-const hello = `{"sequence":0,"messages":[{"role":"user","content":"hello"}]}`
+const helloCall = `{"sequence":0,"messages":[{"role":"user","content":"hello"}]}`
 
 func TestBadInput(t *testing.T) {
 	x := newFixture(t)
@@ -147,13 +147,13 @@
 		{"budget of zero", "crew-3-secret", "/v1/programs", `{"service":"llm","budget":0}`, 402, failure.BudgetExhausted},
 		{"negative deadline", "crew-3-secret", "/v1/programs", `{"service":"llm","deadline_ms":-1}`, 400, failure.BadRequest},
 		{"unknown parent", "crew-3-secret", "/v1/programs", `{"service":"llm","parent":"a-1-x"}`, 404, failure.UnknownProgram},
-		{"malformed program", "crew-3-secret", "/v1/programs/x/calls", hello, 404, failure.UnknownProgram},
-		{"unknown program", "crew-3-secret", "/v1/programs/a-1-x/calls", hello, 404, failure.UnknownProgram},
-		{"slot that is not there", "crew-3-secret", "/v1/programs/a-9999-x/calls", hello, 404, failure.UnknownProgram},
-		{"another caller's program", "desk-1-secret", calls, hello, 404, failure.UnknownProgram},
-		{"sequence gap", "crew-3-secret", calls, strings.Replace(hello, `"sequence":0`, `"sequence":5`, 1), 409, failure.SequenceGap},
+		{"malformed program", "crew-3-secret", "/v1/programs/x/calls", helloCall, 404, failure.UnknownProgram},
+		{"unknown program", "crew-3-secret", "/v1/programs/a-1-x/calls", helloCall, 404, failure.UnknownProgram},
+		{"unknown slot", "crew-3-secret", "/v1/programs/a-9999-x/calls", helloCall, 404, failure.UnknownProgram},
+		{"another caller's program", "desk-1-secret", calls, helloCall, 404, failure.UnknownProgram},
+		{"sequence gap", "crew-3-secret", calls, strings.Replace(helloCall, `"sequence":0`, `"sequence":5`, 1), 409, failure.SequenceGap},
 		{"no messages", "crew-3-secret", calls, `{"sequence":0}`, 400, failure.BadRequest},
-		{"messages of another shape", "crew-3-secret", calls, `{"sequence":0,"messages":{"a":1}}`, 400, failure.BadRequest},
+		{"messages not an array", "crew-3-secret", calls, `{"sequence":0,"messages":{"a":1}}`, 400, failure.BadRequest},
 		{"messages and body", "crew-3-secret", calls, `{"sequence":0,"messages":[{"role":"user","content":"x"}],"body":{}}`, 400, failure.BadRequest},
 		{"oversize body", "crew-3-secret", calls, `{"messages":"` + strings.Repeat("x", 30000) + `"}`, 413, failure.TooLarge},
 		{"over-long history", "crew-3-secret", calls, `{"sequence":0,"messages":[{"role":"user","content":"` + long + `"}]}`, 422, failure.HistoryTooLong},
@@ -163,13 +163,13 @@
 		assert.Equal(t, c.kind, e.Type, c.name)
 		assert.Equal(t, failure.RanNo, e.Ran, c.name)
 	}
-	// Nothing was lost: the program goes on.
+	// The rejected requests must not have affected the program.
 	a, err := x.client("crew-3-secret").Call(context.Background(), p.Program, api.Call{Messages: []byte(`[{"role":"user","content":"hello"}]`)})
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(a.Answer, "digest="))
 }
 
-func TestSameCallIsAnsweredOnceExecuted(t *testing.T) {
+func TestRepeatedCallIsExecutedOnce(t *testing.T) {
 	x := newFixture(t)
 	ctx := context.Background()
 	c := x.client("crew-3-secret")
@@ -177,7 +177,7 @@
 	require.NoError(t, err)
 	again, err := c.Create(ctx, api.CreateProgram{Service: "llm", Key: "k"})
 	require.NoError(t, err)
-	assert.Equal(t, p, again, "one key, one program")
+	assert.Equal(t, p, again, "same key, same program")
 	no := false
 	order := api.Call{Service: "orders", Idempotent: &no, Body: []byte(`{"order":"1"}`)}
 	first, err := c.Call(ctx, p.Program, order)
@@ -196,7 +196,7 @@
 	assert.True(t, failure.Is(err, failure.UnknownCall))
 }
 
-func TestRulesLoopsAndTurns(t *testing.T) {
+func TestRulesLoopDetectionAndTurnLimit(t *testing.T) {
 	x := newFixture(t)
 	ctx := context.Background()
 	desk := x.client("desk-1-secret")
@@ -219,10 +219,10 @@
 		require.NoError(t, ask(desk, q.Program, n, fmt.Sprint("turn ", n), 20))
 	}
 	assert.True(t, failure.Is(ask(desk, q.Program, 6, "one more", 20), failure.TurnLimit))
-	assert.Eventually(t, func() bool { return len(x.engine.Cached()) == 0 }, settled, 10*time.Millisecond, "ended programs hold no cache")
+	assert.Eventually(t, func() bool { return len(x.engine.Cached()) == 0 }, readyTimeout, 10*time.Millisecond, "cache of an ended program not released")
 }
 
-func TestBudgetIsKeptWithSubAgents(t *testing.T) {
+func TestBudgetIncludesSubAgents(t *testing.T) {
 	x := newFixture(t)
 	ctx := context.Background()
 	c := x.client("crew-3-secret")
@@ -238,7 +238,7 @@
 		if exhausted = failure.Is(err, failure.BudgetExhausted); exhausted {
 			break
 		}
-		if n == 2 && program == child.Program { // the parent draws on the same budget
+		if n == 2 && program == child.Program { // continue with the parent, which shares the budget
 			program, n = parent.Program, 0
 			continue
 		}
@@ -254,11 +254,11 @@
 	}
 }
 
-func TestOperatorsNeedTheirToken(t *testing.T) {
+func TestOperatorRequestsRequireOperatorToken(t *testing.T) {
 	x := newFixture(t)
 	var st node.Status
-	stranger := api.NewClient(http.DefaultClient, "http://"+x.operators, "crew-3-secret")
-	assert.True(t, failure.Is(stranger.Operate(context.Background(), "GET", "v1/dump", nil), failure.Unauthorized))
+	caller := api.NewClient(http.DefaultClient, "http://"+x.operators, "crew-3-secret")
+	assert.True(t, failure.Is(caller.Operate(context.Background(), "GET", "v1/dump", nil), failure.Unauthorized))
 	operator := api.NewClient(http.DefaultClient, "http://"+x.operators, "desk-1-secret")
 	require.NoError(t, operator.Operate(context.Background(), "GET", "v1/status", &st))
 	assert.Equal(t, 64, st.Slots)
@@ -267,7 +267,7 @@
 	assert.NotEmpty(t, metrics)
 }
 
-func TestBadBytesBetweenHosts(t *testing.T) {
+func TestMalformedPeerDataIsTolerated(t *testing.T) {
 	x := newFixture(t)
 	for _, bytes := range [][]byte{{0xff, 0xff, 0xff, 0xff}, []byte("GET / HTTP/1.1\r\n\r\n"), {frame.StreamFrames, 0xff, 0xff, 0xff, 0xff}} {
 		conn, err := net.Dial("tcp", x.peers)
@@ -277,22 +277,22 @@
 		require.NoError(t, conn.Close())
 	}
 	_, err := x.client("crew-3-secret").Create(context.Background(), api.CreateProgram{Service: "llm"})
-	assert.NoError(t, err, "the host goes on")
+	assert.NoError(t, err, "host fails after malformed peer data")
 }
 
-func TestHalfClosedStream(t *testing.T) {
+func TestAnswerOfDisconnectedCallerCanBeFetched(t *testing.T) {
 	x := newFixture(t)
 	ctx := context.Background()
 	c := x.client("crew-3-secret")
 	p, err := c.Create(ctx, api.CreateProgram{Service: "llm"})
 	require.NoError(t, err)
 	x.engine.SetFaults(standin.EngineFaults{SlowMS: 50})
-	broken, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	call := api.Call{MaxTokens: 20, Messages: []byte(`[{"role":"user","content":"hello"}]`)}
-	_, err = c.Stream(broken, p.Program, call, func(string, string) { cancel() })
+	_, err = c.Stream(streamCtx, p.Program, call, func(string, string) { cancel() })
 	require.Error(t, err)
 	a, err := c.Fetch(ctx, p.Program, 0)
-	require.NoError(t, err, "the answer of a caller that went away can be fetched")
+	require.NoError(t, err, "answer of a disconnected caller cannot be fetched")
 	assert.True(t, strings.HasPrefix(a.Answer, "digest="))
-	assert.Len(t, x.engine.Calls(), 1, "it ran once")
+	assert.Len(t, x.engine.Calls(), 1, "call not executed exactly once")
 }
--- a/ctl/system/process_test.go
+++ b/ctl/system/process_test.go
@@ -24,22 +24,22 @@
 	"github.com/pistachioarch/pistachioarch/wire/platform"
 )
 
-// process is one running binary of the project.
+// process is a running binary of the project.
 type process struct {
 	cmd  *exec.Cmd
-	line map[string]any // the first JSON line that has the key looked for
+	line map[string]any // first JSON line that has the expected key
 }
 
-// build compiles both binaries once for the test.
-func build(t *testing.T) string {
+// buildBinaries compiles both binaries and returns their directory.
+func buildBinaries(t *testing.T) string {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+"/", "github.com/pistachioarch/pistachioarch/daemon/cmd/pistachiod", "github.com/pistachioarch/pistachioarch/ctl/cmd/pistachioctl").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	return dir
 }
 
-// start runs a binary and waits for the JSON line with the key on the stream.
-func start(t *testing.T, stderr bool, key, path string, args ...string) *process {
+// startProcess runs a binary and waits for a JSON line with the key on its standard error or output.
+func startProcess(t *testing.T, stderr bool, key, path string, args ...string) *process {
 	p := &process{cmd: exec.Command(path, args...)}
 	var pipe io.Reader
 	var err error
@@ -51,9 +51,9 @@
 	require.NoError(t, err)
 	require.NoError(t, p.cmd.Start())
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // if stopped
-		_ = p.cmd.Process.Kill()                  // if alive
-		_ = p.cmd.Wait()                          // killed
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // if suspended
+		_ = p.cmd.Process.Kill()                  // if running
+		_ = p.cmd.Wait()                          // its exit status does not matter
 	})
 	scan := bufio.NewScanner(pipe)
 	for scan.Scan() {
@@ -64,23 +64,24 @@
 		}
 	}
 	require.NotNil(t, p.line, "%s printed no %q", path, key)
-	go func() { _, _ = io.Copy(io.Discard, pipe) }() // so that it never blocks
+	go func() { _, _ = io.Copy(io.Discard, pipe) }() // so that the process does not block on output
 	return p
 }
 
 func (p *process) text(key string) string { return fmt.Sprint(p.line[key]) }
 
-// TestProcessesKilledAndStopped runs four hosts as processes under load, kills
-// one with SIGKILL and stops another past its lease with SIGSTOP.
-func TestProcessesKilledAndStopped(t *testing.T) {
-	bin := build(t)
+// TestProcessesKilledAndSuspended runs four host processes under load, kills one with SIGKILL and
+// suspends another with SIGSTOP until its lease is revoked. Each call must be answered or end with
+// an unknown outcome, without violations.
+func TestProcessesKilledAndSuspended(t *testing.T) {
+	bin := buildBinaries(t)
 	ctl, daemon := filepath.Join(bin, "pistachioctl"), filepath.Join(bin, "pistachiod")
-	plat := start(t, false, "listening", ctl, "standin", "platform").text("listening")
+	plat := startProcess(t, false, "listening", ctl, "standin", "platform").text("listening")
 	var engines []string
 	for range 3 {
-		engines = append(engines, "http://"+start(t, false, "listening", ctl, "standin", "engine", "--decode", "2ms").text("listening"))
+		engines = append(engines, "http://"+startProcess(t, false, "listening", ctl, "standin", "engine", "--decode", "2ms").text("listening"))
 	}
-	orders := "http://" + start(t, false, "listening", ctl, "standin", "service").text("listening")
+	orders := "http://" + startProcess(t, false, "listening", ctl, "standin", "service").text("listening")
 	var hosts []*process
 	plan := load.Plan{Programs: 60, Parallel: 10, Seed: 1, Patience: 2 * time.Minute, Engines: engines, Orders: []string{orders}, Client: &http.Client{}}
 	seeds := ""
@@ -89,7 +90,7 @@
 		text := fmt.Sprintf("[host]\nname = h%d\ndata_centre = %s\n[platform]\nurl = http://%s\n[operators]\ntoken_sha256 = %s\n[peers]\nseeds = %s\n[timing]\nlease = 2s\nrenew = 500ms\nheartbeat = 100ms\nsuspect = 500ms\n",
 			i+1, string(rune('a'+i/2)), plat, deskDigest, strings.TrimPrefix(seeds, ","))
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		h := start(t, true, "callers", daemon, "--settings", file)
+		h := startProcess(t, true, "callers", daemon, "--settings", file)
 		seeds += "," + h.text("peers")
 		hosts = append(hosts, h)
 		plan.Hosts = append(plan.Hosts, h.text("callers"))
@@ -105,7 +106,7 @@
 	ordering, streaming := kind, kind
 	ordering.Order, streaming.Stream, streaming.SubAgent = "orders", true, 2
 	plan.Kinds = []load.Kind{kind, ordering, streaming}
-	stopped := make(chan struct{})
+	resumed := make(chan struct{})
 	plan.Progress = func(done int, _ load.ProgramResult) {
 		switch done {
 		case 10:
@@ -113,23 +114,23 @@
 		case 20:
 			assert.NoError(t, hosts[2].cmd.Process.Signal(syscall.SIGSTOP))
 			go func() {
-				defer close(stopped)
-				awaitTakeover(t, plat, "b/h3.")
+				defer close(resumed)
+				awaitLeaseRevocation(t, plat, "b/h3.")
 				assert.NoError(t, hosts[2].cmd.Process.Signal(syscall.SIGCONT))
 			}()
 		}
 	}
 	r, err := load.Run(context.Background(), plan)
 	require.NoError(t, err)
-	<-stopped
+	<-resumed
 	assert.Empty(t, r.Violations)
 	assert.Zero(t, r.NotRun, "%v", r.Failures)
 	assert.Equal(t, r.Calls, r.Answered+r.Unknown)
 	t.Log(r.Line("processes"))
 }
 
-// awaitTakeover waits until the lease of the stopped host is revoked.
-func awaitTakeover(t *testing.T, plat, member string) {
+// awaitLeaseRevocation waits until the lease of the suspended host is revoked.
+func awaitLeaseRevocation(t *testing.T, plat, member string) {
 	client := platform.New(http.DefaultClient, "http://"+plat, "")
 	for range 3000 {
 		r := client.Do(context.Background(), host.PlatformOp{Kind: host.OpList, Key: host.LeasePrefix + member})
@@ -141,5 +142,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("the lease of the stopped host was never revoked")
+	t.Error("lease of the suspended host not revoked within 60 s")
 }
--- a/ctl/system/tls_test.go
+++ b/ctl/system/tls_test.go
@@ -34,19 +34,20 @@
 	return a
 }
 
-func issue(t *testing.T, by *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
+// issue returns a certificate signed by issuer; a self-signed authority if issuer is nil.
+func issue(t *testing.T, issuer *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: "pistachioarch"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, BasicConstraintsValid: true, IsCA: by == nil,
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, BasicConstraintsValid: true, IsCA: issuer == nil,
 		KeyUsage:    x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	parent, signer := template, key
-	if by != nil {
-		parent, signer = by.cert, by.key
+	if issuer != nil {
+		parent, signer = issuer.cert, issuer.key
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	require.NoError(t, err)
@@ -55,7 +56,8 @@
 	return cert, key
 }
 
-func (a *authority) config(t *testing.T) *tls.Config {
+// tlsConfig returns a mutual TLS configuration with a new certificate.
+func (a *authority) tlsConfig(t *testing.T) *tls.Config {
 	cert, key := issue(t, a)
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
@@ -65,13 +67,13 @@
 	}
 }
 
-// TestPeersNeedACertificate starts two hosts of one authority and a stranger of
-// another: the two hear each other, the stranger nobody.
-func TestPeersNeedACertificate(t *testing.T) {
+// TestPeersRequireCertificateOfTheirAuthority starts two hosts with certificates of one authority
+// and a third host with a certificate of another one. Only the first two may connect.
+func TestPeersRequireCertificateOfTheirAuthority(t *testing.T) {
 	x := newFixture(t)
-	ours, theirs := newAuthority(t), newAuthority(t)
+	ourAuthority, otherAuthority := newAuthority(t), newAuthority(t)
 	var nodes []*node.Node
-	for i, cfg := range []*tls.Config{ours.config(t), ours.config(t), theirs.config(t)} {
+	for i, cfg := range []*tls.Config{ourAuthority.tlsConfig(t), ourAuthority.tlsConfig(t), otherAuthority.tlsConfig(t)} {
 		set, err := settings.Parse(fmt.Appendf(nil, "[host]\nname = t%d\ndata_centre = b\n[platform]\nurl = %s\n[operators]\ntoken_sha256 = %s\n", i, x.platform, deskDigest))
 		require.NoError(t, err)
 		var l [3]net.Listener
@@ -85,7 +87,7 @@
 		t.Cleanup(n.Kill)
 		nodes = append(nodes, n)
 	}
-	heard := func(n *node.Node) (count int) {
+	countHeardPeers := func(n *node.Node) (count int) {
 		for _, p := range n.Dump().Peers {
 			if p.Heard {
 				count++
@@ -93,6 +95,6 @@
 		}
 		return count
 	}
-	require.Eventually(t, func() bool { return heard(nodes[0]) == 1 && heard(nodes[1]) == 1 }, settled, 10*time.Millisecond)
-	assert.Zero(t, heard(nodes[2]))
+	require.Eventually(t, func() bool { return countHeardPeers(nodes[0]) == 1 && countHeardPeers(nodes[1]) == 1 }, readyTimeout, 10*time.Millisecond)
+	assert.Zero(t, countHeardPeers(nodes[2]))
 }
