--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The targets of the README; everything needs only Go and make.
+# The targets are described in the README. All but generate need only Go and make.
 GO ?= go
 MODULES := core wire platform daemon ctl
 
@@ -12,16 +12,16 @@
 demo: build
 	@scripts/demo.sh
 
-# SKIP is a pattern of tests to pass over: .ci/run gives those of KNOWN-RED.txt.
+# SKIP is a pattern of tests to skip; .ci/run passes the tests listed in KNOWN-RED.txt.
 SKIP ?=
 test:
 	$(GO) test $(if $(SKIP),-skip '$(SKIP)') -race -count=1 -timeout 45m $(addsuffix /...,$(addprefix ./,$(MODULES)))
 
-# Needs protoc and protoc-gen-go; the generated code is committed.
+# Requires protoc and protoc-gen-go; the generated code is committed.
 generate:
 	cd core && protoc --go_out=. --go_opt=paths=source_relative peerpb/peer.proto historypb/history.proto
 
-# All traces and load patterns under all policies: a table, and a plot for each in build/.
+# Replays all traces and load patterns under all policies; prints tables and writes plots to build/.
 replay: build
 	@for t in traces/*.jsonl; do \
 	  build/pistachioctl replay --trace $$t --policy all --plot build/$$(basename $$t .jsonl).png || exit 1; done
@@ -29,7 +29,7 @@
 	@for p in traces/load/*.pattern.ini; do \
 	  build/pistachioctl replay --pattern $$p --policy all --plot build/$$(basename $$p .pattern.ini).png || exit 1; done
 
-# More random fault schedules: make soak SEEDS=5000
+# Runs more random fault schedules: make soak SEEDS=5000
 SEEDS ?= 1000
 soak:
 	cd ctl && $(GO) test ./replay -run TestRandomFaults -rapid.checks=$(SEEDS) -timeout 60m
@@ -39,7 +39,7 @@
 	cd ctl && $(GO) test -run '^$$' -bench . -benchtime 3s ./bench
 	cd daemon && $(GO) test -run '^$$' -bench . -benchmem ./wal ./logsink
 
-# The slopes of docs/CAPACITY.md.
+# Measures the slopes listed in docs/CAPACITY.md.
 capacity:
 	cd ctl && $(GO) test -run '^$$' -bench . -benchtime 200ms ./capacity
 
--- a/scripts/check-core.sh
+++ b/scripts/check-core.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks that the decisions stay pure: no package below core imports the network,
-# the operating system or a clock, starts a goroutine or uses a global random
-# source. Test files are free to.
+# Checks that the packages of module core are pure: none imports network or
+# operating system packages, reads a clock, starts a goroutine or uses a global
+# random source. Test files and the generated package peerpb are exempt.
 set -u
 cd "$(dirname "$0")/../core"
 status=0
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The main job of pistachioarch on one machine, in separate processes: the
-# platform stand-in, four engines and a plain service in two data centres, four
-# entry hosts. One host is restarted gracefully and one killed while programs of
-# both users run. Exits 0 only when every stated outcome held; all processes it
-# started are stopped. Ports come from the kernel, so two runs do not meet.
+# Demonstrates pistachioarch on one machine with separate processes: a platform
+# stand-in, four engines and a plain service in two data centres, and four entry
+# hosts. One host is restarted gracefully and one is killed while programs of both
+# users run. Exits with 0 only if all expected outcomes hold. Stops all processes
+# that it started. The kernel assigns the ports, so parallel runs do not conflict.
 set -u
 cd "$(dirname "$0")/.."
 bin=$PWD/build
@@ -19,10 +19,10 @@
 }
 trap stop_all EXIT
 
-# field FILE KEY prints a value of the first JSON line that has the key.
+# field FILE KEY: prints the value from the first JSON line that has the key.
 field() { sed -n "s/.*\"$2\":\"\([^\"]*\)\".*/\1/p" "$1" | head -n 1; }
 
-await() { # await FILE KEY: waits for the line, prints the value
+await() { # await FILE KEY: waits up to 10 s for the value and prints it
   for _ in $(seq 100); do
     value=$(field "$1" "$2")
     [ -n "$value" ] && { printf '%s' "$value"; return 0; }
@@ -31,14 +31,14 @@
   return 1
 }
 
-standin() { # standin NAME KIND ARGS...
+standin() { # standin NAME KIND ARGS...: starts a stand-in
   local name=$1 kind=$2; shift 2
   "$bin/pistachioctl" standin "$kind" "$@" >"$work/$name.out" 2>"$work/$name.err" &
   pid[$name]=$!
   address[$name]=$(await "$work/$name.out" listening) || fail "$name did not start"
 }
 
-host() { # host NAME DATA_CENTRE RUN
+host() { # host NAME DATA_CENTRE RUN: starts a host; RUN numbers its starts
   cat >"$work/$1.ini" <<INI
 [host]
 name = $1
@@ -64,7 +64,7 @@
 }
 
 finished() { wc -l <"$work/progress" 2>/dev/null || echo 0; }
-until_finished() { # until_finished N: waits until so many programs are done
+until_finished() { # until_finished N: waits until N programs have finished or the load has ended
   while [ "$(finished)" -lt "$1" ] && kill -0 "$load" 2>/dev/null; do sleep 0.05; done
 }
 
@@ -80,7 +80,7 @@
 ops="--host ${address[h1.op]} --host ${address[h2.op]} --host ${address[h3.op]} --host ${address[h4.op]}"
 ctl() { "$bin/pistachioctl" --platform "http://${address[platform]}" --token operator-secret "$@"; }
 ctl $ops apply --wait "$work/both.ini" || fail "apply"
-sleep 2 # the hosts share out the slots
+sleep 2 # until the hosts have distributed the slots
 ctl $ops status
 
 say "running programs"
@@ -107,7 +107,7 @@
 for name in h1 h2 h4; do wait "${pid[$name]}" || fail "$name did not stop with exit code 0"; unset "pid[$name]"; done
 
 line=$(tail -n 1 "$work/load.out")
-# An order under way at the killed host may end as "unknown"; nothing else may.
+# Only an order in flight at the killed host may have the outcome "unknown".
 unknown=$(printf '%s' "$line" | sed -n 's/.*unknown=\([0-9]*\).*/\1/p')
 not_run=$(printf '%s' "$line" | sed -n 's/.*not_run=\([0-9]*\).*/\1/p')
 [ "${unknown:-99}" -le 3 ] || fail "more than 3 calls with an unknown outcome"
