--- a/ctl/cmd/pistachioctl/main.go
+++ b/ctl/cmd/pistachioctl/main.go
@@ -1,4 +1,4 @@
-// Command pistachioctl operates pistachioarch; package command has the details.
+// Command pistachioctl operates pistachioarch; package command documents it.
 package main
 
 import (
--- a/ctl/vnet/vnet.go
+++ b/ctl/vnet/vnet.go
@@ -99,7 +99,7 @@
 	From string
 }
 
-// DialContext connects to an address "IP:port". It waits while traffic to the address stalls, and
+// DialContext connects to an address "IP:port". It waits while traffic to the host stalls, and
 // fails with ECONNREFUSED if nothing listens there.
 func (d Dialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	d.Net.mu.Lock()
--- a/daemon/cmd/pistachiod/observe.go
+++ b/daemon/cmd/pistachiod/observe.go
@@ -68,7 +68,7 @@
 	mux.Handle("GET "+metricsPath, o.meter)
 	mux.HandleFunc("GET "+statePath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(o.dump()) // the client has disconnected
+		_, _ = w.Write(o.dump()) // fails only if the client has disconnected
 	})
 	return mux
 }
--- a/daemon/meter/meter.go
+++ b/daemon/meter/meter.go
@@ -125,5 +125,5 @@
 // ServeHTTP implements http.Handler.
 func (m *Meter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_ = m.Write(w) // the client has disconnected
+	_ = m.Write(w) // fails only if the client has disconnected
 }
