--- a/ctl/player/plot.go
+++ b/ctl/player/plot.go
@@ -5,7 +5,7 @@
 // Plot draws the score by the start time of programs, a line for each run, and saves it as a
 // PNG file.
 func Plot(results []*Result, file string) error {
-	p := lineplot.Picture{XLabel: "start of programs (s)", YLabel: "share in time, late programs count half"}
+	p := lineplot.Chart{XLabel: "start of programs (s)", YLabel: "share in time, late programs count half"}
 	for _, r := range results {
 		p.Title = r.Pattern
 		line := lineplot.Line{Name: r.Policy}
--- a/ctl/player/simulation.go
+++ b/ctl/player/simulation.go
@@ -211,7 +211,7 @@
 	sim := newSimulation(fleet, pattern, policy, seed)
 	newCallers(sim, seed)
 	end := seconds(pattern.ArrivalSeconds) + completionWindow
-	for sim.Now() < end && sim.Step() {
+	for sim.Now() < end && sim.RunNext() {
 	}
 	sim.result.computeQuantiles()
 	return sim.result
--- a/ctl/player/uneven_fleet_test.go
+++ b/ctl/player/uneven_fleet_test.go
@@ -160,7 +160,7 @@
 		sim.After(seconds(0.1), sample)
 	}
 	sample()
-	for observed < rounds*len(sim.targetIDs) && sim.Step() {
+	for observed < rounds*len(sim.targetIDs) && sim.RunNext() {
 		continue
 	}
 	require.InDelta(t, fleet.NoiseShare, float64(slow)/float64(observed), 0.02)
--- a/ctl/replay/plot.go
+++ b/ctl/replay/plot.go
@@ -9,7 +9,7 @@
 // Plot draws the cumulative distribution of program latency under each policy, with the
 // wasted cache tokens in the legend, and saves it as a PNG file.
 func Plot(results []*Result, file string) error {
-	picture := lineplot.Picture{XLabel: "program latency (s)", YLabel: "share of programs"}
+	picture := lineplot.Chart{XLabel: "program latency (s)", YLabel: "share of programs"}
 	for _, r := range results {
 		picture.Title = r.Trace
 		line := lineplot.Line{Name: legend(r)}
--- a/ctl/replay/recovery_test.go
+++ b/ctl/replay/recovery_test.go
@@ -79,7 +79,7 @@
 	sim, err := newSimulation(recoveryTrace(t, 8, 20, 200, ""), sched.PolicyDefault, 1, host.Config{})
 	require.NoError(t, err)
 	for sim.Now() < startupTime+2*time.Second {
-		require.True(t, sim.Step())
+		require.True(t, sim.RunNext())
 	}
 	damaged := 0
 	for key, o := range sim.platform.byKey {
@@ -91,7 +91,7 @@
 	}
 	require.Positive(t, damaged)
 	sim.killHost(sim.hostsByName["h2"])
-	for sim.callers.unfinished > 0 && sim.Now() < maxReplayTime && sim.Step() {
+	for sim.callers.unfinished > 0 && sim.Now() < maxReplayTime && sim.RunNext() {
 	}
 	require.Zero(t, sim.result.Violations, "%v", sim.result.ViolationTexts)
 	require.Positive(t, sim.audit.noteCounts[host.NoteCorrupt], "corruption is not reported")
--- a/ctl/replay/run.go
+++ b/ctl/replay/run.go
@@ -62,12 +62,12 @@
 	if err != nil {
 		return nil, err
 	}
-	for sim.callers.unfinished > 0 && sim.Now() < maxReplayTime && sim.Step() {
+	for sim.callers.unfinished > 0 && sim.Now() < maxReplayTime && sim.RunNext() {
 	}
 	if sim.callers.unfinished > 0 {
 		return nil, failure.New(failure.OutcomeMissed, "%d programs had not ended after %s", sim.callers.unfinished, maxReplayTime)
 	}
-	for end := sim.Now() + settleTime; sim.Now() < end && sim.Step(); {
+	for end := sim.Now() + settleTime; sim.Now() < end && sim.RunNext(); {
 	}
 	sim.audit.checkCaches()
 	return sim.finish(), nil
--- a/ctl/roles/cluster_test.go
+++ b/ctl/roles/cluster_test.go
@@ -191,7 +191,7 @@
 	outside := []string{"10.2.0.2", "10.1.0.1", "10.1.0.2", "10.1.0.3", "10.3.7.1", "10.3.6.1", "10.3.7.2", "10.3.6.2"}
 	for _, a := range inside {
 		for _, b := range outside {
-			c.net.Cut(a, b, partitioned)
+			c.net.SetPartitioned(a, b, partitioned)
 		}
 		c.store.SetPartitioned(a, partitioned)
 	}
@@ -385,7 +385,7 @@
 		c.killEntryHost(i)
 	}
 	for i := range c.historyHosts {
-		if c.historyHosts[i].listener != nil && c.net.Listening(c.historyHosts[i].ip+":1") {
+		if c.historyHosts[i].listener != nil && c.net.IsListening(c.historyHosts[i].ip+":1") {
 			c.killHistoryHost(i)
 		}
 	}
