--- a/ctl/always/cluster_test.go
+++ b/ctl/always/cluster_test.go
@@ -139,7 +139,7 @@
 	}
 	n, err := node.New(opt)
 	require.NoError(c.t, err)
-	n.Run()
+	n.Start()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.node = n
--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -75,7 +75,7 @@
 	}
 	n, err := node.New(node.Options{Settings: set, Log: log.New(io.Discard), Dialer: &net.Dialer{}, Callers: l[0], Operators: l[1], Peers: l[2]})
 	require.NoError(b, err)
-	n.Run()
+	n.Start()
 	b.Cleanup(n.Kill)
 	x.nodes = append(x.nodes, n)
 	x.hosts = append(x.hosts, l[0].Addr().String())
--- a/ctl/command/status.go
+++ b/ctl/command/status.go
@@ -35,7 +35,7 @@
 			down++
 		}
 		all = append(all, s)
-		rows = append(rows, row(h, s.Status.Member, s.Status.DataCentre, s.Status.MayServe, s.Status.PlatformOK,
+		rows = append(rows, row(h, s.Status.Member, s.Status.DataCentre, s.Status.MayServe, s.Status.PlatformReachable,
 			s.Status.ConfigVersion, s.Status.Slots, s.Status.Programs, s.Error))
 	}
 	if err := c.app.print(all, "HOST\tMEMBER\tDATA CENTRE\tSERVES\tPLATFORM\tCONFIG\tSLOTS\tPROGRAMS\tERROR", rows); err != nil {
--- a/ctl/system/api_test.go
+++ b/ctl/system/api_test.go
@@ -98,7 +98,7 @@
 	x.callers, x.operators, x.peers = l[0].Addr().String(), l[1].Addr().String(), l[2].Addr().String()
 	x.node, err = node.New(node.Options{Settings: set, Log: log.New(io.Discard), Dialer: &net.Dialer{}, Callers: l[0], Operators: l[1], Peers: l[2]})
 	require.NoError(x.t, err)
-	x.node.Run()
+	x.node.Start()
 	x.t.Cleanup(x.node.Kill)
 	require.Eventually(x.t, func() bool {
 		st := x.node.Status()
--- a/ctl/system/tls_test.go
+++ b/ctl/system/tls_test.go
@@ -81,7 +81,7 @@
 		}
 		n, err := node.New(node.Options{Settings: set, Log: log.New(io.Discard), Dialer: &net.Dialer{}, Callers: l[0], Operators: l[1], Peers: l[2], PeerTLS: cfg})
 		require.NoError(t, err)
-		n.Run()
+		n.Start()
 		t.Cleanup(n.Kill)
 		nodes = append(nodes, n)
 	}
--- a/daemon/cmd/pistachiod/main.go
+++ b/daemon/cmd/pistachiod/main.go
@@ -106,7 +106,7 @@
 	}
 	stop := make(chan os.Signal, 4)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
-	n.Run()
+	n.Start()
 	ended := make(chan error, 1)
 	draining := false
 	drain := func() {
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Run starts the host. It returns at once; Drain or Kill ends it.
-func (n *Node) Run() {
+// Start starts the host. It returns at once; Drain or Kill ends it.
+func (n *Node) Start() {
 	n.goDo(n.servePeers)
 	n.serveHTTP(n.opt.Callers, n.callerHandler())
 	n.serveHTTP(n.opt.Operators, n.operatorHandler())
--- a/daemon/node/operators.go
+++ b/daemon/node/operators.go
@@ -37,25 +37,25 @@
 
 // Status is the short form of a Dump.
 type Status struct {
-	Member        string `json:"member"`
-	DataCentre    string `json:"data_centre"`
-	MayServe      bool   `json:"may_serve"`
-	Draining      bool   `json:"draining"`
-	PlatformOK    bool   `json:"platform_reachable"`
-	ConfigVersion uint64 `json:"config_version"`
-	ConfigRefused uint64 `json:"config_refused,omitempty"`
-	Slots         int    `json:"slots"`
-	Programs      int    `json:"programs"`
-	Answered      uint64 `json:"answered"`
-	NotRun        uint64 `json:"not_run"`
-	Unknown       uint64 `json:"unknown"`
+	Member            string `json:"member"`
+	DataCentre        string `json:"data_centre"`
+	MayServe          bool   `json:"may_serve"`
+	Draining          bool   `json:"draining"`
+	PlatformReachable bool   `json:"platform_reachable"`
+	ConfigVersion     uint64 `json:"config_version"`
+	ConfigRefused     uint64 `json:"config_refused,omitempty"`
+	Slots             int    `json:"slots"`
+	Programs          int    `json:"programs"`
+	Answered          uint64 `json:"answered"`
+	NotRun            uint64 `json:"not_run"`
+	Unknown           uint64 `json:"unknown"`
 }
 
 // Status returns the short state of the host.
 func (n *Node) Status() Status {
 	d := n.Dump()
 	return Status{
-		Member: d.Member, DataCentre: d.DataCentre, MayServe: d.MayServe, Draining: d.Draining, PlatformOK: d.PlatformOK,
+		Member: d.Member, DataCentre: d.DataCentre, MayServe: d.MayServe, Draining: d.Draining, PlatformReachable: d.PlatformOK,
 		ConfigVersion: d.ConfigVersion, ConfigRefused: d.ConfigRefused, Slots: len(d.Slots), Programs: len(d.Programs),
 		Answered: d.Stats.Answered, NotRun: d.Stats.NotRun, Unknown: d.Stats.Unknown,
 	}
