--- a/daemon/node/callers.go
+++ b/daemon/node/callers.go
@@ -26,35 +26,36 @@
 	readBodyTimeout   = 30 * time.Second
 	maxHeaderBytes    = 64 << 10
 	defaultMaxTokens  = 1024
-	maxKeyBytes       = 256
+	maxCreateKeyBytes = 256
 )
 
-// serveHTTP serves a listener until the host ends.
+// serveHTTP serves a listener until the host stops.
 func (n *Node) serveHTTP(l net.Listener, h http.Handler) {
 	s := &http.Server{
-		Handler: n.connections.lastAnswers(h), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: n.connections.closeAfterResponse(h), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return n.ctx },
-		ConnState:   n.connections.state,
+		ConnState:   n.connections.onStateChange,
 	}
 	n.servers = append(n.servers, s)
-	n.goDo(func() { _ = s.Serve(l) }) // ends with the listener
-	n.goDo(func() {
+	n.spawn(func() { _ = s.Serve(l) }) // returns when the listener is closed
+	n.spawn(func() {
 		<-n.ctx.Done()
-		_ = s.Close() // the host has answered what it would
+		_ = s.Close() // Drain has waited for requests in flight; Kill abandons them
 	})
 }
 
 func (n *Node) callerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/programs", n.counted(n.createProgram))
-	mux.HandleFunc("POST /v1/programs/{id}/calls", n.counted(n.call))
-	mux.HandleFunc("GET /v1/programs/{id}/calls/{n}", n.counted(n.fetch))
-	mux.HandleFunc("DELETE /v1/programs/{id}", n.counted(n.end))
-	mux.HandleFunc("GET /healthz", n.health)
+	mux.HandleFunc("POST /v1/programs", n.authenticateCaller(n.handleCreate))
+	mux.HandleFunc("POST /v1/programs/{id}/calls", n.authenticateCaller(n.handleCall))
+	mux.HandleFunc("GET /v1/programs/{id}/calls/{n}", n.authenticateCaller(n.handleFetch))
+	mux.HandleFunc("DELETE /v1/programs/{id}", n.authenticateCaller(n.handleEnd))
+	mux.HandleFunc("GET /healthz", n.handleHealth)
 	return mux
 }
 
-// callerRequest is an authenticated request.
+// callerRequest is an authenticated request with its caller and the token budget of
+// the caller's programs.
 type callerRequest struct {
 	w      http.ResponseWriter
 	r      *http.Request
@@ -62,24 +63,25 @@
 	budget int64
 }
 
-// counted authenticates a caller and counts the request as under way.
-func (n *Node) counted(serve func(*callerRequest) *failure.Failure) http.HandlerFunc {
+// authenticateCaller authenticates the caller, counts the request as in flight,
+// records its duration and writes its failure, if any.
+func (n *Node) authenticateCaller(serve func(*callerRequest) *failure.Failure) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		n.requests.add(1)
-		defer n.requests.add(-1)
-		begun := time.Now()
+		n.requestsInFlight.add(1)
+		defer n.requestsInFlight.add(-1)
+		startedAt := time.Now()
 		n.mu.Lock()
 		caller, budget, ok := n.host.Caller(bearerDigest(r))
-		declared := n.host.ConfigVersion() > 0
+		configured := n.host.ConfigVersion() > 0
 		n.mu.Unlock()
-		f := failure.New(failure.Unauthorized, "no caller has this token")
-		if !declared {
-			f = failure.Retry(failure.PlatformUnavailable, healthRetry, "this host knows no declaration yet")
+		f := failure.New(failure.Unauthorized, "unknown caller token")
+		if !configured {
+			f = failure.Retry(failure.PlatformUnavailable, healthRetryDelay, "the host has not received a declaration yet")
 		}
 		if ok {
 			f = serve(&callerRequest{w: w, r: r, caller: caller, budget: budget})
 		}
-		n.observe("requests_us", begun)
+		n.recordDuration("requests_us", startedAt)
 		if f != nil {
 			n.counter("requests.failed." + string(f.Kind)).Inc(1)
 			writeFailure(w, f)
@@ -107,35 +109,36 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone away
+	_ = json.NewEncoder(w).Encode(v) // fails only if the caller has disconnected
 }
 
-// readBody decodes a JSON body of bounded size.
-func (n *Node) readBody(c *callerRequest, v any) *failure.Failure {
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(readBodyTimeout)) // not every writer has one
-	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, n.set.MaxBodyBytes))
+// decodeBody decodes a body of at most MaxBodyBytes that holds one JSON value
+// without unknown fields.
+func (n *Node) decodeBody(c *callerRequest, v any) *failure.Failure {
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(readBodyTimeout)) // not supported by every writer
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, n.settings.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return failure.New(failure.TooLarge, "a body has at most %d bytes", tooLarge.Limit)
+		return failure.New(failure.TooLarge, "body exceeds %d bytes", tooLarge.Limit)
 	case err != nil:
 		return failure.New(failure.BadRequest, "body: %v", err)
 	}
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{}) // as above
-	d := json.NewDecoder(strings.NewReader(string(body)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+	decoder := json.NewDecoder(strings.NewReader(string(body)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		return failure.New(failure.BadRequest, "body: %v", err)
 	}
-	if d.More() {
+	if decoder.More() {
 		return failure.New(failure.BadRequest, "body: more than one JSON value")
 	}
 	return nil
 }
 
-func (n *Node) createProgram(c *callerRequest) *failure.Failure {
+func (n *Node) handleCreate(c *callerRequest) *failure.Failure {
 	var body api.CreateProgram
-	if f := n.readBody(c, &body); f != nil {
+	if f := n.decodeBody(c, &body); f != nil {
 		return f
 	}
 	budget := c.budget
@@ -145,12 +148,12 @@
 	switch {
 	case body.DeadlineMS < 0:
 		return failure.New(failure.BadRequest, "deadline_ms is negative")
-	case len(body.Key) > maxKeyBytes:
-		return failure.New(failure.TooLarge, "a key has at most %d bytes", maxKeyBytes)
+	case len(body.Key) > maxCreateKeyBytes:
+		return failure.New(failure.TooLarge, "key exceeds %d bytes", maxCreateKeyBytes)
 	}
 	out := n.route(c.r.Context(), &request{
 		program: ident.Program(body.Parent),
-		forward: &peerpb.Forward{Body: &peerpb.Forward_Create{Create: &peerpb.CreateRequest{
+		message: &peerpb.Forward{Body: &peerpb.Forward_Create{Create: &peerpb.CreateRequest{
 			Caller: c.caller, Service: body.Service, Parent: body.Parent, BudgetTokens: budget, DeadlineMs: body.DeadlineMS, Key: body.Key,
 		}}},
 	})
@@ -161,27 +164,28 @@
 	return nil
 }
 
-func (n *Node) call(c *callerRequest) *failure.Failure {
+func (n *Node) handleCall(c *callerRequest) *failure.Failure {
 	var body api.Call
-	if f := n.readBody(c, &body); f != nil {
+	if f := n.decodeBody(c, &body); f != nil {
 		return f
 	}
-	m, f := callRequest(c, &body)
+	m, f := newCallRequest(c, &body)
 	if f != nil {
 		return f
 	}
 	rq := &request{
 		program: ident.Program(m.Program), stream: body.Stream,
-		forward: &peerpb.Forward{Body: &peerpb.Forward_Call{Call: m}},
+		message: &peerpb.Forward{Body: &peerpb.Forward_Call{Call: m}},
 	}
 	if body.Stream {
 		return n.streamCall(c, rq, body.Sequence)
 	}
-	return n.answer(c, n.route(c.r.Context(), rq), body.Sequence)
+	return n.writeAnswer(c, n.route(c.r.Context(), rq), body.Sequence)
 }
 
-// callRequest checks a call's body.
-func callRequest(c *callerRequest, body *api.Call) (*peerpb.CallRequest, *failure.Failure) {
+// newCallRequest validates the body of a call and converts it to a request to the
+// owner of the program.
+func newCallRequest(c *callerRequest, body *api.Call) (*peerpb.CallRequest, *failure.Failure) {
 	m := &peerpb.CallRequest{
 		Caller: c.caller, Program: c.r.PathValue("id"), Sequence: body.Sequence, Service: body.Service,
 		Idempotent: body.Idempotent == nil || *body.Idempotent, Stream: body.Stream,
@@ -191,7 +195,7 @@
 	case body.DeadlineMS < 0 || body.MaxTokens < 0:
 		return nil, failure.New(failure.BadRequest, "deadline_ms and max_tokens must not be negative")
 	case (len(body.Messages) == 0) == (len(body.Body) == 0):
-		return nil, failure.New(failure.BadRequest, "a call has either messages, for an engine, or a body, for a plain service")
+		return nil, failure.New(failure.BadRequest, "a call must have either messages (for an engine) or a body (for a plain service)")
 	case len(body.Body) > 0:
 		m.Prompt = body.Body
 		return m, nil
@@ -203,29 +207,29 @@
 	if m.MaxTokens == 0 {
 		m.MaxTokens = defaultMaxTokens
 	}
-	// A token is at least one byte, so the bytes bound the tokens.
+	// A token has at least one byte, so the number of bytes bounds that of tokens.
 	m.PromptTokens = int64(len(body.Messages))
 	return m, nil
 }
 
-func (n *Node) fetch(c *callerRequest) *failure.Failure {
+func (n *Node) handleFetch(c *callerRequest) *failure.Failure {
 	seq, err := strconv.ParseUint(c.r.PathValue("n"), 10, 32)
 	if err != nil {
 		return failure.New(failure.BadRequest, "%q is not a sequence number", c.r.PathValue("n"))
 	}
 	out := n.route(c.r.Context(), &request{
 		program: ident.Program(c.r.PathValue("id")),
-		forward: &peerpb.Forward{Body: &peerpb.Forward_Fetch{Fetch: &peerpb.FetchRequest{
+		message: &peerpb.Forward{Body: &peerpb.Forward_Fetch{Fetch: &peerpb.FetchRequest{
 			Caller: c.caller, Program: c.r.PathValue("id"), Sequence: uint32(seq),
 		}}},
 	})
-	return n.answer(c, out, uint32(seq))
+	return n.writeAnswer(c, out, uint32(seq))
 }
 
-func (n *Node) end(c *callerRequest) *failure.Failure {
+func (n *Node) handleEnd(c *callerRequest) *failure.Failure {
 	out := n.route(c.r.Context(), &request{
 		program: ident.Program(c.r.PathValue("id")),
-		forward: &peerpb.Forward{Body: &peerpb.Forward_End{End: &peerpb.EndRequest{Caller: c.caller, Program: c.r.PathValue("id")}}},
+		message: &peerpb.Forward{Body: &peerpb.Forward_End{End: &peerpb.EndRequest{Caller: c.caller, Program: c.r.PathValue("id")}}},
 	})
 	if out.Failure != nil {
 		return out.Failure
@@ -234,30 +238,30 @@
 	return nil
 }
 
-func answerOf(out host.Outcome, sequence uint32) api.Answer {
+func apiAnswer(out host.Outcome, sequence uint32) api.Answer {
 	return api.Answer{
 		Program: string(out.Program), Sequence: sequence, Answer: string(out.Answer), Target: out.Target,
 		Usage: api.Usage{PromptTokens: out.Usage.Prompt, OutputTokens: out.Usage.Output, CachedTokens: out.Usage.Cached},
 	}
 }
 
-func (n *Node) answer(c *callerRequest, out host.Outcome, sequence uint32) *failure.Failure {
+func (n *Node) writeAnswer(c *callerRequest, out host.Outcome, sequence uint32) *failure.Failure {
 	if out.Failure != nil {
 		return out.Failure
 	}
-	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(n.set.ClientWriteTimeout)) // not every writer has one
-	writeJSON(c.w, http.StatusOK, answerOf(out, sequence))
+	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(n.settings.ClientWriteTimeout)) // not supported by every writer
+	writeJSON(c.w, http.StatusOK, apiAnswer(out, sequence))
 	return nil
 }
 
-// streamCall answers with server-sent events. Pieces are provisional: only the
-// final event is durable.
+// streamCall answers a call with server-sent events. Chunks are provisional: only
+// the final event is durable.
 func (n *Node) streamCall(c *callerRequest, rq *request, sequence uint32) *failure.Failure {
 	ctx, cancel := context.WithCancel(c.r.Context())
 	defer cancel()
-	s := &eventStream{w: c.w, control: http.NewResponseController(c.w), timeout: n.set.ClientWriteTimeout, broken: cancel}
+	s := &eventStream{w: c.w, control: http.NewResponseController(c.w), timeout: n.settings.ClientWriteTimeout, cancel: cancel}
 	rq.onEvent = func(ev streamEvent) {
-		if ev.restart {
+		if ev.discardEarlier {
 			s.write(api.EventRestart, struct{}{})
 			return
 		}
@@ -265,45 +269,45 @@
 	}
 	out := n.route(ctx, rq)
 	switch {
-	case out.Failure != nil && !s.begun:
+	case out.Failure != nil && !s.headSent:
 		return out.Failure
 	case out.Failure != nil:
 		s.write(api.EventError, api.ErrorOf(out.Failure))
 	default:
-		s.write(api.EventAnswer, answerOf(out, sequence))
+		s.write(api.EventAnswer, apiAnswer(out, sequence))
 	}
 	return nil
 }
 
-// eventStream writes server-sent events to one caller. A caller that does not
-// read is given up after timeout.
+// eventStream writes server-sent events to one caller. A write that a caller does
+// not read within timeout fails and cancels the request.
 type eventStream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	timeout time.Duration
-	begun   bool
-	failed  bool
-	broken  func()
+	w        http.ResponseWriter
+	control  *http.ResponseController
+	timeout  time.Duration
+	headSent bool
+	failed   bool
+	cancel   func()
 }
 
 func (s *eventStream) write(event string, v any) {
 	if s.failed {
 		return
 	}
-	if !s.begun {
-		s.begun = true
+	if !s.headSent {
+		s.headSent = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-store")
 		s.w.WriteHeader(http.StatusOK)
 	}
-	data, _ := json.Marshal(v)                                // plain structs
-	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // not every writer has one
+	data, _ := json.Marshal(v)                                // never fails for these structs
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // not supported by every writer
 	_, err := io.WriteString(s.w, "event: "+event+"\ndata: "+string(data)+"\n\n")
 	if err == nil {
 		err = s.control.Flush()
 	}
 	if err != nil {
 		s.failed = true
-		s.broken()
+		s.cancel()
 	}
 }
--- a/daemon/node/connections.go
+++ b/daemon/node/connections.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// lingerMost is how long a host that stops leaves idle connections to their callers.
-	// A connection that the host closes may have a request on its way, which is then lost.
-	lingerMost = 1500 * time.Millisecond
-	// lingerPoll is how often it looks whether any is left.
-	lingerPoll = 20 * time.Millisecond
+	// callerCloseTimeout bounds the wait of a stopping host for callers to close their idle
+	// connections. If the host closes one itself, a request in transit on it is lost.
+	callerCloseTimeout = 1500 * time.Millisecond
+	// callerClosePollInterval is the interval between checks for open connections.
+	callerClosePollInterval = 20 * time.Millisecond
 )
 
-// connections counts the connections of callers and ends them in good order: once the
-// host stops, each answer is the last one on its connection, and those that are not used
-// are left to their callers for a while.
-type connections struct {
-	open    atomic.Int64
-	closing atomic.Bool
+// connectionTracker counts the open connections of callers and operators and lets a
+// stopping host end them without losing requests: each answer is then the last on its
+// connection, and idle connections stay open up to callerCloseTimeout, so that callers
+// can close them.
+type connectionTracker struct {
+	open     atomic.Int64
+	stopping atomic.Bool
 }
 
-// state is an http.Server's ConnState.
-func (c *connections) state(_ net.Conn, s http.ConnState) {
+// onStateChange is the ConnState hook of an http.Server.
+func (c *connectionTracker) onStateChange(_ net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
 		c.open.Add(1)
@@ -34,24 +35,25 @@
 	}
 }
 
-// lastAnswers wraps a handler so that answers close their connection once the host stops.
-func (c *connections) lastAnswers(h http.Handler) http.Handler {
+// closeAfterResponse wraps a handler; while the host stops, each response asks the client to
+// close the connection.
+func (c *connectionTracker) closeAfterResponse(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.closing.Load() {
+		if c.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// linger waits until callers have closed all connections, for lingerMost at most.
-func (c *connections) linger(ctx context.Context) {
-	end := time.Now().Add(lingerMost)
-	tick := time.NewTicker(lingerPoll)
-	defer tick.Stop()
-	for c.open.Load() > 0 && time.Now().Before(end) {
+// awaitClosed waits until all connections are closed, at most callerCloseTimeout.
+func (c *connectionTracker) awaitClosed(ctx context.Context) {
+	deadline := time.Now().Add(callerCloseTimeout)
+	ticker := time.NewTicker(callerClosePollInterval)
+	defer ticker.Stop()
+	for c.open.Load() > 0 && time.Now().Before(deadline) {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
--- a/daemon/node/doc.go
+++ b/daemon/node/doc.go
@@ -1,9 +1,9 @@
-// Package node runs one entry host: it drives a host.Host and does its I/O.
+// Package node runs one entry host: it drives the state machine, a host.Host, and performs its I/O.
 //
-// All events go through Node.step, one at a time, under one mutex; effects are
+// All events pass through Node.step, one at a time, under one mutex. Effects are
 // started under the same mutex, so that messages to a peer keep their order, and
-// carried out by goroutines that end in another event.
+// performed by goroutines that end with another event.
 //
-// Everything outside is reached through Options: the network, the platform, the
-// targets. Tests give in-memory ones and run whole hosts on virtual time.
+// The network, and through it the platform and the targets, is reached through
+// Options. Tests pass in-memory implementations and run whole hosts on virtual time.
 package node
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -21,63 +21,64 @@
 	"github.com/pistachioarch/pistachioarch/wire/target"
 )
 
-// Dialer opens connections; net.Dialer is one.
+// Dialer opens connections; net.Dialer implements it.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Options is what a Node reaches the world through.
+// Options holds the configuration of a Node and its access to the network.
 type Options struct {
 	Settings *settings.Settings
-	// Callers, Operators and Peers are the listeners of the host.
+	// Callers, Operators and Peers are the listeners for callers, operators and other hosts.
 	Callers, Operators, Peers net.Listener
 	Dialer                    Dialer
 	Log                       *log.Logger
-	// PeerTLS secures connections between hosts; nil is plain TCP.
+	// PeerTLS secures connections between hosts; nil means plain TCP.
 	PeerTLS *tls.Config
-	// Seed starts the random source; 0 takes one from the system.
+	// Seed seeds the host's random source; 0 derives a seed from the current time.
 	Seed uint64
 }
 
 // Node is one running entry host.
 type Node struct {
-	opt     Options
-	set     *settings.Settings
-	log     *log.Logger
-	start   time.Time
-	client  *http.Client
-	servers []*http.Server
-	// connections are those of callers and operators.
-	connections connections
+	options   Options
+	settings  *settings.Settings
+	log       *log.Logger
+	startedAt time.Time
+	client    *http.Client
+	servers   []*http.Server
+	// connections tracks the connections of callers and operators.
+	connections connectionTracker
 	platform    *platform.Client
 	targets     *target.Client
 	metrics     metrics.Registry
-	ctx         context.Context // ends when the host stops at once
+	ctx         context.Context // cancelled by Kill, and by Drain at its end
 	cancel      context.CancelFunc
-	work        sync.WaitGroup
+	goroutines  sync.WaitGroup
 
-	mu       sync.Mutex // guards all below
-	host     *host.Host
-	inc      int // incarnations of this process
-	waiters  map[uint64]*waiter
-	nextID   uint64
-	streams  map[callKey][]*waiter
-	attempts map[host.CallID]context.CancelFunc
-	outboxes map[string]*outbox
-	drained  chan struct{}
-	stopped  bool
-	config   []byte // last accepted declaration, for a new incarnation
+	mu             sync.Mutex // guards the fields below, up to requestsInFlight
+	host           *host.Host
+	incarnations   int // started in this process so far
+	waiters        map[uint64]*waiter
+	nextID         uint64
+	streamWaiters  map[callKey][]*waiter
+	attempts       map[host.CallID]context.CancelFunc
+	outboxes       map[string]*outbox
+	drained        chan struct{}
+	stopped        bool
+	acceptedConfig []byte // last accepted declaration; a new incarnation starts with it
 
-	requests requestCount
+	requestsInFlight requestCounter
 }
 
-// cacheFile holds the last accepted declaration in the data folder.
-const cacheFile = "config.json"
+// configFile is the file of the data directory that holds the last accepted declaration.
+const configFile = "config.json"
 
-// maxConnsPerTarget bounds the connections to one target or the platform.
+// maxConnsPerTarget bounds the connections to one target, and those to the platform.
 const maxConnsPerTarget = 512
 
-// New returns a Node that has not begun.
+// New returns a Node that has not been started. It fails if the settings of the
+// host are invalid.
 func New(opt Options) (*Node, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{
@@ -85,34 +86,34 @@
 		IdleConnTimeout: 90 * time.Second, DisableCompression: true,
 	}}
 	n := &Node{
-		opt: opt, set: opt.Settings, log: opt.Log, start: time.Now(), client: client,
+		options: opt, settings: opt.Settings, log: opt.Log, startedAt: time.Now(), client: client,
 		platform: platform.New(client, opt.Settings.PlatformURL, opt.Settings.PlatformToken),
 		targets:  target.New(client),
 		metrics:  metrics.NewRegistry(),
 		ctx:      ctx, cancel: cancel,
-		waiters: map[uint64]*waiter{}, streams: map[callKey][]*waiter{}, attempts: map[host.CallID]context.CancelFunc{},
+		waiters: map[uint64]*waiter{}, streamWaiters: map[callKey][]*waiter{}, attempts: map[host.CallID]context.CancelFunc{},
 		outboxes: map[string]*outbox{}, drained: make(chan struct{}),
 	}
-	if err := n.newMember(); err != nil {
+	if err := n.newIncarnation(); err != nil {
 		cancel()
 		return nil, err
 	}
 	return n, nil
 }
 
-// newMember makes the decision machine of a new incarnation.
-func (n *Node) newMember() error {
-	cfg := n.set.Host
-	cfg.Address = n.set.PeerAdvertise
+// newIncarnation replaces the state machine by one with a new incarnation ID.
+func (n *Node) newIncarnation() error {
+	cfg := n.settings.Host
+	cfg.Address = n.settings.PeerAdvertise
 	if cfg.Address == "" {
-		cfg.Address = n.opt.Peers.Addr().String()
+		cfg.Address = n.options.Peers.Addr().String()
 	}
-	n.inc++
-	var id [6]byte
-	_, _ = rand.Read(id[:]) // never fails
-	cfg.Incarnation = hex.EncodeToString(id[:])
-	cfg.Seed = n.opt.Seed + uint64(n.inc)
-	if n.opt.Seed == 0 {
+	n.incarnations++
+	var incarnation [6]byte
+	_, _ = rand.Read(incarnation[:]) // never fails
+	cfg.Incarnation = hex.EncodeToString(incarnation[:])
+	cfg.Seed = n.options.Seed + uint64(n.incarnations)
+	if n.options.Seed == 0 {
 		cfg.Seed = uint64(time.Now().UnixNano())
 	}
 	h, err := host.New(cfg)
@@ -123,22 +124,22 @@
 	return nil
 }
 
-// Start starts the host. It returns at once; Drain or Kill ends it.
+// Start starts the host and returns immediately; Drain or Kill stops it.
 func (n *Node) Start() {
-	n.goDo(n.servePeers)
-	n.serveHTTP(n.opt.Callers, n.callerHandler())
-	n.serveHTTP(n.opt.Operators, n.operatorHandler())
+	n.spawn(n.servePeers)
+	n.serveHTTP(n.options.Callers, n.callerHandler())
+	n.serveHTTP(n.options.Operators, n.operatorHandler())
 	n.step(n.startEvent())
-	n.goDo(n.tick)
-	n.goDo(n.pollTargets)
-	n.log.Info("ready", "host", n.set.Host.Host, "callers", n.opt.Callers.Addr().String(),
-		"operators", n.opt.Operators.Addr().String(), "peers", n.opt.Peers.Addr().String())
+	n.spawn(n.tick)
+	n.spawn(n.pollTargets)
+	n.log.Info("ready", "host", n.settings.Host.Host, "callers", n.options.Callers.Addr().String(),
+		"operators", n.options.Operators.Addr().String(), "peers", n.options.Peers.Addr().String())
 }
 
 func (n *Node) startEvent() *host.Start {
-	ev := &host.Start{Seeds: n.set.Seeds, CachedConfig: n.config}
-	if n.config == nil && n.set.DataFolder != "" {
-		cached, err := os.ReadFile(filepath.Join(n.set.DataFolder, cacheFile))
+	ev := &host.Start{Seeds: n.settings.Seeds, CachedConfig: n.acceptedConfig}
+	if n.acceptedConfig == nil && n.settings.DataFolder != "" {
+		cached, err := os.ReadFile(filepath.Join(n.settings.DataFolder, configFile))
 		if err == nil {
 			ev.CachedConfig = cached
 		}
@@ -146,31 +147,31 @@
 	return ev
 }
 
-// goDo runs f until the host stops.
-func (n *Node) goDo(f func()) {
-	n.work.Add(1)
+// spawn runs f in a goroutine that Kill waits for.
+func (n *Node) spawn(f func()) {
+	n.goroutines.Add(1)
 	go func() {
-		defer n.work.Done()
+		defer n.goroutines.Done()
 		f()
 	}()
 }
 
 func (n *Node) tick() {
-	t := time.NewTicker(host.TickEvery)
-	defer t.Stop()
+	ticker := time.NewTicker(host.TickEvery)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 			n.step(&host.Tick{})
 		}
 	}
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.start) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// step gives the machine one event and starts what it asks for.
+// step passes one event to the state machine and starts the resulting effects.
 func (n *Node) step(ev host.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -182,21 +183,21 @@
 		return
 	}
 	n.host.Step(n.now(), ev)
-	rd := n.host.Ready()
-	n.carryOut(rd)
-	if rd.Lost {
-		n.replaceMember()
+	ready := n.host.Ready()
+	n.startEffects(ready)
+	if ready.Lost {
+		n.replaceIncarnation()
 	}
 }
 
-// replaceMember starts again under a new incarnation after another member took
+// replaceIncarnation continues as a new incarnation after another member has taken
 // over this one's slots.
-func (n *Node) replaceMember() {
+func (n *Node) replaceIncarnation() {
 	for id, cancel := range n.attempts {
 		cancel()
 		delete(n.attempts, id)
 	}
-	if err := n.newMember(); err != nil {
+	if err := n.newIncarnation(); err != nil {
 		n.log.Error("cannot start a new incarnation", "error", err)
 		return
 	}
@@ -204,35 +205,35 @@
 	n.stepLocked(n.startEvent())
 }
 
-// carryOut starts the effects of one step.
-func (n *Node) carryOut(rd *host.Ready) {
-	for _, note := range rd.Notes {
-		n.record(note)
+// startEffects starts the effects that the state machine requested in one step.
+func (n *Node) startEffects(ready *host.Ready) {
+	for _, note := range ready.Notes {
+		n.recordNote(note)
 	}
-	for _, op := range rd.Ops {
-		n.goDo(func() { n.step(n.platform.Do(n.ctx, op)) })
+	for _, op := range ready.Ops {
+		n.spawn(func() { n.step(n.platform.Do(n.ctx, op)) })
 	}
-	for _, m := range rd.Messages {
-		n.outbox(m.Address).put(m.Frame)
+	for _, m := range ready.Messages {
+		n.outbox(m.Address).enqueue(m.Frame)
 	}
-	for _, id := range rd.Cancels {
+	for _, id := range ready.Cancels {
 		if cancel := n.attempts[id]; cancel != nil {
 			cancel()
 		}
 	}
-	for _, s := range rd.Sends {
-		n.attempt(s)
+	for _, s := range ready.Sends {
+		n.startAttempt(s)
 	}
-	for _, r := range rd.Releases {
-		n.goDo(func() { n.release(r) })
+	for _, r := range ready.Releases {
+		n.spawn(func() { n.releaseCache(r) })
 	}
-	for _, r := range rd.Replies {
-		n.reply(r)
+	for _, r := range ready.Replies {
+		n.deliverOutcome(r)
 	}
-	if rd.SaveConfig != nil {
-		n.saveConfig(rd.SaveConfig)
+	if ready.SaveConfig != nil {
+		n.saveConfig(ready.SaveConfig)
 	}
-	if rd.Drained {
+	if ready.Drained {
 		select {
 		case <-n.drained:
 		default:
@@ -241,51 +242,52 @@
 	}
 }
 
-// attempt sends one call to its target.
-func (n *Node) attempt(s host.Send) {
+// startAttempt sends one attempt of a call to its target, unless its latest send
+// time has passed.
+func (n *Node) startAttempt(s host.Send) {
 	ctx, cancel := context.WithTimeout(n.ctx, s.Timeout)
 	n.attempts[s.Call] = cancel
-	n.goDo(func() {
+	n.spawn(func() {
 		defer cancel()
-		begun := time.Now()
-		done := &host.TargetDone{Call: s.Call, Target: s.Target.Name, Outcome: host.TargetRefused, Detail: "too late to send"}
+		startedAt := time.Now()
+		result := &host.TargetDone{Call: s.Call, Target: s.Target.Name, Outcome: host.TargetRefused, Detail: "latest send time has passed"}
 		if n.now() < s.NotAfter {
-			done = n.targets.Call(ctx, &s, func(text string) { n.chunk(s.Call, text) })
+			result = n.targets.Call(ctx, &s, func(text string) { n.deliverChunk(s.Call, text) })
 		}
-		n.observe("target.call_us", begun)
+		n.recordDuration("target.call_us", startedAt)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.attempts, s.Call)
-		n.stepLocked(done)
+		n.stepLocked(result)
 	})
 }
 
-// releaseTimeout bounds one order to drop cache.
-const releaseTimeout = 5 * time.Second
+// targetRequestTimeout bounds one request to release cache and one poll of a target.
+const targetRequestTimeout = 5 * time.Second
 
-func (n *Node) release(r host.Release) {
-	ctx, cancel := context.WithTimeout(n.ctx, releaseTimeout)
+func (n *Node) releaseCache(r host.Release) {
+	ctx, cancel := context.WithTimeout(n.ctx, targetRequestTimeout)
 	defer cancel()
 	n.step(n.targets.Release(ctx, &r))
 }
 
 func (n *Node) saveConfig(body []byte) {
-	n.config = body
-	if n.set.DataFolder == "" {
+	n.acceptedConfig = body
+	if n.settings.DataFolder == "" {
 		return
 	}
-	path := filepath.Join(n.set.DataFolder, cacheFile)
+	path := filepath.Join(n.settings.DataFolder, configFile)
 	if err := os.WriteFile(path+".new", body, 0o600); err != nil {
-		n.log.Warn("cannot keep the declaration", "error", err)
+		n.log.Warn("cannot save the declaration", "error", err)
 		return
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		n.log.Warn("cannot keep the declaration", "error", err)
+		n.log.Warn("cannot save the declaration", "error", err)
 	}
 }
 
-// record writes a note of the machine as a log line and a counter.
-func (n *Node) record(note host.Note) {
+// recordNote logs a note of the state machine and counts it by kind.
+func (n *Node) recordNote(note host.Note) {
 	n.counter("note." + string(note.Kind)).Inc(1)
 	fields := []any{"member", n.host.Member()}
 	add := func(key, value string) {
@@ -317,17 +319,17 @@
 	return metrics.GetOrRegisterCounter(name, n.metrics)
 }
 
-// sampleSize is how many durations a histogram keeps.
-const sampleSize = 1028
+// histogramSampleSize is the number of durations that a histogram samples.
+const histogramSampleSize = 1028
 
-// observe adds a duration, in microseconds, to a histogram. A metrics.Timer
-// would do, but starts a goroutine that nothing ends.
-func (n *Node) observe(name string, begun time.Time) {
-	h := metrics.GetOrRegisterHistogram(name, n.metrics, metrics.NewUniformSample(sampleSize))
-	h.Update(time.Since(begun).Microseconds())
+// recordDuration adds the time since startedAt, in microseconds, to a histogram.
+// It avoids metrics.Timer, which starts a goroutine that is never stopped.
+func (n *Node) recordDuration(name string, startedAt time.Time) {
+	h := metrics.GetOrRegisterHistogram(name, n.metrics, metrics.NewUniformSample(histogramSampleSize))
+	h.Update(time.Since(startedAt).Microseconds())
 }
 
-// Dump returns the state of the host.
+// Dump returns the complete state of the host.
 func (n *Node) Dump() *host.Dump {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/daemon/node/operators.go
+++ b/daemon/node/operators.go
@@ -10,32 +10,33 @@
 	"github.com/pistachioarch/pistachioarch/core/host"
 )
 
-// operatorHandler serves the operators; every path but the health check needs
-// the operators' token.
+// operatorHandler returns the handler of the operators' API. Every path except the
+// health check requires the operator token.
 func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", n.health)
-	mux.HandleFunc("GET /v1/dump", n.operator(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /healthz", n.handleHealth)
+	mux.HandleFunc("GET /v1/dump", n.authenticateOperator(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, n.Dump())
 	}))
-	mux.HandleFunc("GET /v1/status", n.operator(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /v1/status", n.authenticateOperator(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, n.Status())
 	}))
-	mux.HandleFunc("GET /v1/metrics", n.operator(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /v1/metrics", n.authenticateOperator(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		metrics.WriteJSONOnce(n.metrics, w)
 	}))
-	mux.HandleFunc("POST /v1/drain", n.operator(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("POST /v1/drain", n.authenticateOperator(func(w http.ResponseWriter, _ *http.Request) {
 		n.step(&host.Drain{})
 		writeJSON(w, http.StatusAccepted, n.Status())
 	}))
 	return mux
 }
 
-// healthRetry is when a balancer should look again.
-const healthRetry = time.Second
+// healthRetryDelay is the delay after which a load balancer should repeat a failed
+// health check, and a caller a request to a host without a declaration.
+const healthRetryDelay = time.Second
 
-// Status is the short form of a Dump.
+// Status is a summary of the state of a host; Dump returns the complete state.
 type Status struct {
 	Member            string `json:"member"`
 	DataCentre        string `json:"data_centre"`
@@ -51,7 +52,7 @@
 	Unknown           uint64 `json:"unknown"`
 }
 
-// Status returns the short state of the host.
+// Status returns a summary of the state of the host.
 func (n *Node) Status() Status {
 	d := n.Dump()
 	return Status{
@@ -61,23 +62,23 @@
 	}
 }
 
-func (n *Node) operator(serve http.HandlerFunc) http.HandlerFunc {
+func (n *Node) authenticateOperator(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if bearerDigest(r) != n.set.OperatorTokenSHA256 {
-			writeFailure(w, failure.New(failure.Unauthorized, "not an operator's token"))
+		if bearerDigest(r) != n.settings.OperatorTokenSHA256 {
+			writeFailure(w, failure.New(failure.Unauthorized, "invalid operator token"))
 			return
 		}
 		serve(w, r)
 	}
 }
 
-// health tells the balancer whether to send requests here.
-func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
+// handleHealth tells the load balancer whether this host accepts requests.
+func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	ready := n.host.Healthy()
 	n.mu.Unlock()
 	if !ready {
-		writeFailure(w, failure.Retry(failure.Suspended, healthRetry, "the host takes no requests now"))
+		writeFailure(w, failure.Retry(failure.Suspended, healthRetryDelay, "the host does not accept requests at present"))
 		return
 	}
 	w.WriteHeader(http.StatusOK)
--- a/daemon/node/peers.go
+++ b/daemon/node/peers.go
@@ -19,52 +19,53 @@
 )
 
 const (
-	outboxFrames   = 1024
-	dialTimeout    = time.Second
-	reconnectAfter = 100 * time.Millisecond
-	peerWrite      = 2 * time.Second
-	peerKeepAlive  = 2 * time.Second
+	maxQueuedFrames       = 1024
+	dialTimeout           = time.Second
+	reconnectDelay        = 100 * time.Millisecond
+	peerWriteTimeout      = 2 * time.Second
+	peerKeepAliveInterval = 2 * time.Second
 )
 
 func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.KeepAliveInterval = peerKeepAlive
-	c.ConnectionWriteTimeout = peerWrite
+	c.KeepAliveInterval = peerKeepAliveInterval
+	c.ConnectionWriteTimeout = peerWriteTimeout
 	c.StreamOpenTimeout = 5 * time.Second
 	c.LogOutput = io.Discard
 	return c
 }
 
-// outbox carries the frames to one peer in order, over one yamux session that
-// requests share. While the peer cannot be reached frames are dropped; the
-// machine repeats what matters.
+// outbox sends frames to one peer in order. Frames and requests to the peer share
+// one yamux session. While the peer is unreachable, frames are dropped; the state
+// machine resends those that it needs.
 type outbox struct {
-	n       *Node
+	node    *Node
 	address string
 	frames  chan *peerpb.Frame
 
-	// turn is held by the one that looks at or replaces session. It is a
-	// channel, so that waiting for a slow dial can be given up.
-	turn    chan struct{}
-	session *yamux.Session
+	// sessionLock guards session. It is a channel, so that the wait for a slow dial
+	// of another goroutine can be abandoned.
+	sessionLock chan struct{}
+	session     *yamux.Session
 }
 
-// outbox returns the outbox of an address. Called under the node's mutex.
+// outbox returns the outbox of an address and creates it on first use. The caller
+// holds n.mu.
 func (n *Node) outbox(address string) *outbox {
 	o := n.outboxes[address]
 	if o == nil {
-		o = &outbox{n: n, address: address, frames: make(chan *peerpb.Frame, outboxFrames), turn: make(chan struct{}, 1)}
+		o = &outbox{node: n, address: address, frames: make(chan *peerpb.Frame, maxQueuedFrames), sessionLock: make(chan struct{}, 1)}
 		n.outboxes[address] = o
-		n.goDo(o.run)
+		n.spawn(o.run)
 	}
 	return o
 }
 
-func (o *outbox) put(f *peerpb.Frame) {
+func (o *outbox) enqueue(f *peerpb.Frame) {
 	select {
 	case o.frames <- f:
 	default:
-		o.n.counter("peer.frames_dropped").Inc(1)
+		o.node.counter("peer.frames_dropped").Inc(1)
 	}
 }
 
@@ -73,14 +74,14 @@
 	defer func() { o.close() }()
 	for {
 		select {
-		case <-o.n.ctx.Done():
+		case <-o.node.ctx.Done():
 			return
 		case f := <-o.frames:
 			if stream == nil {
-				stream = o.open(frame.StreamFrames)
+				stream = o.openStream(frame.StreamFrames)
 			}
 			if stream == nil {
-				o.discard()
+				o.dropQueuedFrames()
 				continue
 			}
 			if err := frame.Write(stream, f); err != nil {
@@ -91,24 +92,25 @@
 	}
 }
 
-// discard drops what waits for a peer out of reach, and waits a little.
-func (o *outbox) discard() {
+// dropQueuedFrames waits for reconnectDelay, then drops the frames queued for an
+// unreachable peer.
+func (o *outbox) dropQueuedFrames() {
 	select {
-	case <-o.n.ctx.Done():
-	case <-time.After(reconnectAfter):
+	case <-o.node.ctx.Done():
+	case <-time.After(reconnectDelay):
 	}
 	for len(o.frames) > 0 {
 		<-o.frames
 	}
 }
 
-// open opens a stream of the kind, dialling if need be; nil when the peer
-// cannot be reached.
-func (o *outbox) open(kind byte) net.Conn {
+// openStream opens a stream of a kind and connects to the peer if there is no
+// session. It returns nil if the peer is unreachable.
+func (o *outbox) openStream(kind byte) net.Conn {
 	session, err := o.connect()
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			o.n.step(&host.PeerRefused{Address: o.address})
+			o.node.step(&host.PeerRefused{Address: o.address})
 		}
 		return nil
 	}
@@ -125,28 +127,28 @@
 }
 
 func (o *outbox) connect() (*yamux.Session, error) {
-	ctx, cancel := context.WithTimeout(o.n.ctx, dialTimeout)
+	ctx, cancel := context.WithTimeout(o.node.ctx, dialTimeout)
 	defer cancel()
 	select {
-	case o.turn <- struct{}{}:
-		defer func() { <-o.turn }()
+	case o.sessionLock <- struct{}{}:
+		defer func() { <-o.sessionLock }()
 	case <-ctx.Done():
 		return nil, failure.Wrap(ctx.Err(), failure.PeerUnavailable, "dial %s", o.address)
 	}
 	if o.session != nil && !o.session.IsClosed() {
 		return o.session, nil
 	}
-	conn, err := o.n.opt.Dialer.DialContext(ctx, "tcp", o.address)
+	conn, err := o.node.options.Dialer.DialContext(ctx, "tcp", o.address)
 	if err != nil {
 		return nil, err
 	}
-	if cfg := o.n.opt.PeerTLS; cfg != nil {
-		secure := tls.Client(conn, clientTLS(cfg, o.address))
-		if err := secure.HandshakeContext(ctx); err != nil {
+	if cfg := o.node.options.PeerTLS; cfg != nil {
+		tlsConn := tls.Client(conn, clientTLSConfig(cfg, o.address))
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = conn.Close() // not a peer
 			return nil, failure.Wrap(err, failure.PeerUnavailable, "TLS with %s", o.address)
 		}
-		conn = secure
+		conn = tlsConn
 	}
 	session, err := yamux.Client(conn, yamuxConfig())
 	if err != nil {
@@ -157,31 +159,31 @@
 	return session, nil
 }
 
-func clientTLS(cfg *tls.Config, address string) *tls.Config {
+func clientTLSConfig(cfg *tls.Config, address string) *tls.Config {
 	c := cfg.Clone()
 	c.ServerName, _, _ = strings.Cut(address, ":")
 	return c
 }
 
 func (o *outbox) close() {
-	o.turn <- struct{}{} // a dial under way ends with the host
-	defer func() { <-o.turn }()
+	o.sessionLock <- struct{}{} // a dial in progress is cancelled when the host stops
+	defer func() { <-o.sessionLock }()
 	if o.session != nil {
-		_ = o.session.Close() // at the end of the host
+		_ = o.session.Close() // the host stops
 	}
 }
 
-// flushOutboxes gives the last frames of a stopping host a moment to leave.
+// flushOutboxes waits up to 1 s until a stopping host has sent its queued frames.
 func (n *Node) flushOutboxes(ctx context.Context) {
 	n.mu.Lock()
-	boxes := make([]*outbox, 0, len(n.outboxes))
+	outboxes := make([]*outbox, 0, len(n.outboxes))
 	for _, o := range n.outboxes {
-		boxes = append(boxes, o)
+		outboxes = append(outboxes, o)
 	}
 	n.mu.Unlock()
-	limit := time.Now().Add(time.Second)
-	for _, o := range boxes {
-		for len(o.frames) > 0 && time.Now().Before(limit) && ctx.Err() == nil {
+	deadline := time.Now().Add(time.Second)
+	for _, o := range outboxes {
+		for len(o.frames) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -190,17 +192,17 @@
 // servePeers accepts the sessions of other hosts.
 func (n *Node) servePeers() {
 	for {
-		conn, err := n.opt.Peers.Accept()
+		conn, err := n.options.Peers.Accept()
 		if err != nil {
-			return // closed
+			return // listener closed
 		}
-		n.goDo(func() { n.servePeer(conn) })
+		n.spawn(func() { n.servePeer(conn) })
 	}
 }
 
 func (n *Node) servePeer(conn net.Conn) {
-	if n.opt.PeerTLS != nil {
-		conn = tls.Server(conn, n.opt.PeerTLS)
+	if n.options.PeerTLS != nil {
+		conn = tls.Server(conn, n.options.PeerTLS)
 	}
 	session, err := yamux.Server(conn, yamuxConfig())
 	if err != nil {
@@ -209,18 +211,18 @@
 	}
 	stop := context.AfterFunc(n.ctx, func() { _ = session.Close() })
 	defer stop()
-	defer func() { _ = session.Close() }() // broken, or the host ends
+	defer func() { _ = session.Close() }() // session broken, or the host stops
 	for {
 		stream, err := session.Accept()
 		if err != nil {
 			return
 		}
-		n.goDo(func() { n.serveStream(stream) })
+		n.spawn(func() { n.serveStream(stream) })
 	}
 }
 
 func (n *Node) serveStream(stream net.Conn) {
-	defer func() { _ = stream.Close() }() // read to its end or broken
+	defer func() { _ = stream.Close() }() // at its end or broken
 	var kind [1]byte
 	if _, err := io.ReadFull(stream, kind[:]); err != nil {
 		return
@@ -241,7 +243,7 @@
 		if err := frame.Read(stream, f); err != nil {
 			if !errors.Is(err, io.EOF) && n.ctx.Err() == nil && !failure.Is(err, failure.PeerUnavailable) {
 				n.counter("peer.bad_frames").Inc(1)
-				n.log.Warn("bad frame", "peer", stream.RemoteAddr().String(), "error", err.Error())
+				n.log.Warn("invalid frame", "peer", stream.RemoteAddr().String(), "error", err.Error())
 			}
 			return
 		}
--- a/daemon/node/poll.go
+++ b/daemon/node/poll.go
@@ -9,23 +9,24 @@
 	"github.com/pistachioarch/pistachioarch/wire/target"
 )
 
-// pollTargets reads the load of every target, and now and then what it keeps.
+// pollTargets reads the load of every engine once per report interval, and the
+// programs in its cache once per sweep interval.
 func (n *Node) pollTargets() {
-	report := time.NewTicker(n.set.ReportEvery)
-	defer report.Stop()
-	sweepAt := time.Now().Add(n.set.SweepEvery)
+	reportTicker := time.NewTicker(n.settings.ReportEvery)
+	defer reportTicker.Stop()
+	nextSweepAt := time.Now().Add(n.settings.SweepEvery)
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-report.C:
+		case <-reportTicker.C:
 		}
-		sweep := time.Now().After(sweepAt)
+		sweep := time.Now().After(nextSweepAt)
 		if sweep {
-			sweepAt = time.Now().Add(n.set.SweepEvery)
+			nextSweepAt = time.Now().Add(n.settings.SweepEvery)
 		}
 		for _, t := range n.engines() {
-			n.goDo(func() { n.pollTarget(t, sweep) })
+			n.spawn(func() { n.pollTarget(t, sweep) })
 		}
 	}
 }
@@ -37,7 +38,7 @@
 }
 
 func (n *Node) pollTarget(t *decl.Target, sweep bool) {
-	ctx, cancel := context.WithTimeout(n.ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, targetRequestTimeout)
 	defer cancel()
 	var load target.Load
 	if n.targets.Get(ctx, t, "v1/load", &load) != nil {
--- a/daemon/node/requests.go
+++ b/daemon/node/requests.go
@@ -10,27 +10,28 @@
 	"github.com/pistachioarch/pistachioarch/core/ident"
 )
 
-// callKey names a call whatever its attempt.
+// callKey identifies a call, independent of its attempts.
 type callKey struct {
 	program  ident.Program
 	sequence uint32
 }
 
-// streamEvent is a piece of an answer, or the news that what came is void.
+// streamEvent is a chunk of a streamed answer or, with discardEarlier, tells the
+// receiver to discard the chunks received so far.
 type streamEvent struct {
-	text    string
-	restart bool
+	text           string
+	discardEarlier bool
 }
 
-// streamBuffer bounds the pieces that a slow client may leave waiting. A client
-// that falls behind gets no more pieces, only the whole answer.
-const streamBuffer = 256
+// maxBufferedEvents bounds the events buffered for a slow client. When the buffer is
+// full, the client gets no more chunks, only the complete answer.
+const maxBufferedEvents = 256
 
-// waiter is one request that waits for its outcome.
+// waiter is a request that waits for its outcome.
 type waiter struct {
-	done   chan host.Outcome // gets exactly one
-	events chan streamEvent  // nil when the request is not streamed
-	// Guarded by the node's mutex.
+	done   chan host.Outcome // receives exactly one outcome
+	events chan streamEvent  // nil if the request is not streamed
+	// Guarded by Node.mu.
 	key     callKey
 	attempt uint32
 	lagging bool
@@ -39,13 +40,14 @@
 func newWaiter(stream bool) *waiter {
 	w := &waiter{done: make(chan host.Outcome, 1)}
 	if stream {
-		w.events = make(chan streamEvent, streamBuffer)
+		w.events = make(chan streamEvent, maxBufferedEvents)
 	}
 	return w
 }
 
-// submit gives the machine a request; make gets the waiter's number.
-func (n *Node) submit(w *waiter, key callKey, make func(id uint64) host.Event) {
+// submit registers a waiter and passes its request to the state machine. newEvent
+// makes the event of the request from the waiter's ID.
+func (n *Node) submit(w *waiter, key callKey, newEvent func(id uint64) host.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.stopped {
@@ -56,56 +58,58 @@
 	n.waiters[n.nextID] = w
 	if w.events != nil {
 		w.key = key
-		n.streams[key] = append(n.streams[key], w)
+		n.streamWaiters[key] = append(n.streamWaiters[key], w)
 	}
-	n.stepLocked(make(n.nextID))
+	n.stepLocked(newEvent(n.nextID))
 }
 
-// reply hands a waiter its outcome. Called under the mutex.
-func (n *Node) reply(r host.Reply) {
+// deliverOutcome passes an outcome to its waiter. The caller holds n.mu.
+func (n *Node) deliverOutcome(r host.Reply) {
 	w := n.waiters[r.Waiter]
 	if w == nil {
 		return
 	}
 	delete(n.waiters, r.Waiter)
 	if w.events != nil {
-		n.dropStream(w)
+		n.removeStreamWaiter(w)
 	}
 	w.done <- r.Outcome
 }
 
-func (n *Node) dropStream(w *waiter) {
-	rest := n.streams[w.key]
-	for i, x := range rest {
+func (n *Node) removeStreamWaiter(w *waiter) {
+	waiters := n.streamWaiters[w.key]
+	for i, x := range waiters {
 		if x == w {
-			rest = append(rest[:i], rest[i+1:]...)
+			waiters = append(waiters[:i], waiters[i+1:]...)
 			break
 		}
 	}
-	if len(rest) == 0 {
-		delete(n.streams, w.key)
+	if len(waiters) == 0 {
+		delete(n.streamWaiters, w.key)
 		return
 	}
-	n.streams[w.key] = rest
+	n.streamWaiters[w.key] = waiters
 }
 
-// chunk passes a piece of an answer to those who follow the call.
-func (n *Node) chunk(call host.CallID, text string) {
+// deliverChunk passes a chunk of an answer to the waiters that stream the call. Chunks
+// of an attempt older than the waiter's newest one are ignored; the first chunk of a
+// newer attempt discards the earlier ones.
+func (n *Node) deliverChunk(call host.CallID, text string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range n.streams[callKey{call.Program, call.Sequence}] {
+	for _, w := range n.streamWaiters[callKey{call.Program, call.Sequence}] {
 		if call.Attempt < w.attempt || w.lagging {
 			continue
 		}
 		if w.attempt != 0 && call.Attempt > w.attempt {
-			w.push(streamEvent{restart: true})
+			w.enqueue(streamEvent{discardEarlier: true})
 		}
 		w.attempt = call.Attempt
-		w.push(streamEvent{text: text})
+		w.enqueue(streamEvent{text: text})
 	}
 }
 
-func (w *waiter) push(ev streamEvent) {
+func (w *waiter) enqueue(ev streamEvent) {
 	select {
 	case w.events <- ev:
 	default:
@@ -113,26 +117,26 @@
 	}
 }
 
-// requestCount counts the requests under way, for a graceful stop.
-type requestCount struct {
-	mu   sync.Mutex
-	n    int
-	idle chan struct{} // closed when n becomes 0; nil when nobody waits
+// requestCounter counts requests in flight, for a graceful stop.
+type requestCounter struct {
+	mu       sync.Mutex
+	inFlight int
+	idle     chan struct{} // closed when inFlight becomes 0; nil without a wait in progress
 }
 
-func (c *requestCount) add(d int) {
+func (c *requestCounter) add(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.n += d
-	if c.n == 0 && c.idle != nil {
+	c.inFlight += delta
+	if c.inFlight == 0 && c.idle != nil {
 		close(c.idle)
 		c.idle = nil
 	}
 }
 
-func (c *requestCount) wait(ctx context.Context) error {
+func (c *requestCounter) awaitIdle(ctx context.Context) error {
 	c.mu.Lock()
-	if c.n == 0 {
+	if c.inFlight == 0 {
 		c.mu.Unlock()
 		return nil
 	}
@@ -145,7 +149,7 @@
 	case <-idle:
 		return nil
 	case <-ctx.Done():
-		return failure.Wrap(ctx.Err(), failure.Draining, "requests are under way")
+		return failure.Wrap(ctx.Err(), failure.Draining, "requests still in flight")
 	}
 }
 
--- a/daemon/node/route.go
+++ b/daemon/node/route.go
@@ -16,81 +16,82 @@
 	"github.com/pistachioarch/pistachioarch/wire/frame"
 )
 
-// request is one request of a caller, on its way to the owner of its slot.
+// request is a caller's request that is routed to the owner of its slot.
 type request struct {
-	forward *peerpb.Forward
-	// program decides the owner; empty for a new program without a parent.
+	message *peerpb.Forward
+	// program determines the owner; empty for a new program without a parent.
 	program ident.Program
 	stream  bool
-	// onEvent gets the pieces of a streamed answer.
+	// onEvent receives the events of a streamed answer; nil if it is not streamed.
 	onEvent func(streamEvent)
 
-	streamed bool // something was passed on
-	again    bool // by an earlier attempt
+	eventsSent bool // events of the answer have been passed on
+	retrying   bool // an earlier attempt failed and the current one has passed on no event yet
 }
 
-// Pauses between attempts to reach the owner of a slot.
+// Bounds of the backoff between attempts to reach the owner of a slot.
 const (
-	routeFirstPause = 10 * time.Millisecond
-	routeMaxPause   = 250 * time.Millisecond
+	minRouteRetryDelay = 10 * time.Millisecond
+	maxRouteRetryDelay = 250 * time.Millisecond
 )
 
-// route brings a request to the owner of its slot and returns the outcome. The
-// owner may change on the way: the request is then sent again, which is safe,
-// since an owner recognises it by program and sequence. Once ForwardPatience is
-// over the request is given up.
+// route sends a request to the owner of its slot and returns the outcome. If the
+// owner changes meanwhile, the request is sent again. This is safe, since an owner
+// recognises a repeated request by its program and sequence. Retries end when the
+// forwarding time of the settings has passed.
 func (n *Node) route(ctx context.Context, rq *request) host.Outcome {
-	pause := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(routeFirstPause), backoff.WithMaxInterval(routeMaxPause), backoff.WithMaxElapsedTime(n.set.ForwardPatience))
-	maybe := false // an owner may have taken the request
-	rq.follow()
+	retryBackoff := backoff.NewExponentialBackOff(
+		backoff.WithInitialInterval(minRouteRetryDelay), backoff.WithMaxInterval(maxRouteRetryDelay), backoff.WithMaxElapsedTime(n.settings.ForwardPatience))
+	mayHaveRun := false // an owner may have accepted the request
+	rq.discardOnRetry()
 	for {
-		out, taken := n.tryOwner(ctx, rq)
-		maybe = maybe || taken
-		if out.Failure == nil || !elsewhere(out.Failure.Kind) {
-			rq.settle()
+		out, mayHaveRunHere := n.attemptAtOwner(ctx, rq)
+		mayHaveRun = mayHaveRun || mayHaveRunHere
+		if out.Failure == nil || !isRetryable(out.Failure.Kind) {
+			rq.discardUnlessStreamed()
 			return out
 		}
-		rq.again = true
-		wait := pause.NextBackOff()
-		if wait == backoff.Stop {
-			return giveUp(out, maybe)
+		rq.retrying = true
+		delay := retryBackoff.NextBackOff()
+		if delay == backoff.Stop {
+			return abandonedOutcome(out, mayHaveRun)
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-ctx.Done():
-			return giveUp(out, maybe)
+			return abandonedOutcome(out, mayHaveRun)
 		}
 	}
 }
 
-// follow makes what was streamed void before another owner streams the answer
-// from its beginning.
-func (rq *request) follow() {
+// discardOnRetry wraps onEvent: before the first event of a later attempt, which
+// streams the answer from its beginning, the receiver is told to discard the events
+// of earlier attempts.
+func (rq *request) discardOnRetry() {
 	if rq.onEvent == nil {
 		return
 	}
-	pass := rq.onEvent
+	forwardEvent := rq.onEvent
 	rq.onEvent = func(ev streamEvent) {
-		if rq.again && rq.streamed && !ev.restart {
-			pass(streamEvent{restart: true})
+		if rq.retrying && rq.eventsSent && !ev.discardEarlier {
+			forwardEvent(streamEvent{discardEarlier: true})
 		}
-		rq.again = false
-		rq.streamed = true
-		pass(ev)
+		rq.retrying = false
+		rq.eventsSent = true
+		forwardEvent(ev)
 	}
 }
 
-// settle makes pieces of an earlier attempt void when the final one, whose
-// answer may differ, streamed none.
-func (rq *request) settle() {
-	if rq.onEvent != nil && rq.again && rq.streamed {
-		rq.onEvent(streamEvent{restart: true})
+// discardUnlessStreamed tells the receiver to discard the events of earlier attempts
+// if the final attempt, whose answer may differ, streamed none.
+func (rq *request) discardUnlessStreamed() {
+	if rq.onEvent != nil && rq.retrying && rq.eventsSent {
+		rq.onEvent(streamEvent{discardEarlier: true})
 	}
 }
 
-// elsewhere reports whether another attempt may find the owner.
-func elsewhere(k failure.Kind) bool {
+// isRetryable reports whether another attempt may reach the owner.
+func isRetryable(k failure.Kind) bool {
 	switch k {
 	case failure.NotOwner, failure.Moving, failure.PeerUnavailable:
 		return true
@@ -98,26 +99,27 @@
 	return false
 }
 
-func giveUp(out host.Outcome, maybe bool) host.Outcome {
+func abandonedOutcome(out host.Outcome, mayHaveRun bool) host.Outcome {
 	f := *out.Failure
 	f.RetryAfter = max(f.RetryAfter, time.Second)
-	if maybe {
+	if mayHaveRun {
 		f.Ran = failure.RanUnknown
 	}
 	return host.Outcome{Failure: &f}
 }
 
-// tryOwner makes one attempt. taken says that an owner may have the request
-// although the outcome is a failure.
-func (n *Node) tryOwner(ctx context.Context, rq *request) (out host.Outcome, taken bool) {
+// attemptAtOwner makes one attempt to have the request served by its owner.
+// mayHaveRun reports that the owner may have accepted it although the outcome is a
+// failure.
+func (n *Node) attemptAtOwner(ctx context.Context, rq *request) (out host.Outcome, mayHaveRun bool) {
 	address, self, f := n.owner(rq)
 	switch {
 	case f != nil:
 		return host.Outcome{Failure: f}, false
 	case self:
-		out = n.local(ctx, rq)
+		out = n.submitAndAwait(ctx, rq)
 	default:
-		out = n.remote(ctx, address, rq)
+		out = n.forwardTo(ctx, address, rq)
 	}
 	return out, out.Failure != nil && out.Failure.Ran != failure.RanNo
 }
@@ -140,49 +142,50 @@
 	case !known:
 		return "", false, failure.New(failure.UnknownProgram, "no program %s", rq.program)
 	case !found:
-		return "", false, failure.Retry(failure.NotOwner, time.Second, "slot %s has no owner now", slot)
+		return "", false, failure.Retry(failure.NotOwner, time.Second, "slot %s has no owner", slot)
 	}
 	return address, self, nil
 }
 
-// local gives the request to this host's own machine.
-func (n *Node) local(ctx context.Context, rq *request) host.Outcome {
+// submitAndAwait passes the request to this host's state machine and waits for the
+// outcome.
+func (n *Node) submitAndAwait(ctx context.Context, rq *request) host.Outcome {
 	w := newWaiter(rq.stream)
-	n.submit(w, keyOf(rq.forward), func(id uint64) host.Event { return eventOf(id, rq.forward) })
-	return n.await(ctx, w, rq.onEvent)
+	n.submit(w, callKeyOf(rq.message), func(id uint64) host.Event { return newRequestEvent(id, rq.message) })
+	return n.awaitOutcome(ctx, w, rq.onEvent)
 }
 
-// await passes on events until the outcome. A caller that has gone away leaves
-// its call running: the answer can be fetched.
-func (n *Node) await(ctx context.Context, w *waiter, onEvent func(streamEvent)) host.Outcome {
+// awaitOutcome passes on events until the outcome arrives. The call of a caller that
+// has disconnected goes on; its answer can be fetched later.
+func (n *Node) awaitOutcome(ctx context.Context, w *waiter, onEvent func(streamEvent)) host.Outcome {
 	for {
 		select {
 		case ev := <-w.events:
 			onEvent(ev)
 		case out := <-w.done:
-			n.rest(w, onEvent)
+			n.deliverBufferedEvents(w, onEvent)
 			return out
 		case <-ctx.Done():
-			return host.Outcome{Failure: failure.Unknown(failure.DeadlineExceeded, "the caller has gone away")}
+			return host.Outcome{Failure: failure.Unknown(failure.DeadlineExceeded, "the caller has disconnected")}
 		case <-n.ctx.Done():
-			return host.Outcome{Failure: failure.Unknown(failure.OwnerLost, "the host ends")}
+			return host.Outcome{Failure: failure.Unknown(failure.OwnerLost, "the host has stopped")}
 		}
 	}
 }
 
-// rest passes on the events that came before the outcome.
-func (n *Node) rest(w *waiter, onEvent func(streamEvent)) {
+// deliverBufferedEvents passes on the events that arrived before the outcome.
+func (n *Node) deliverBufferedEvents(w *waiter, onEvent func(streamEvent)) {
 	for len(w.events) > 0 {
 		onEvent(<-w.events)
 	}
 }
 
-func keyOf(f *peerpb.Forward) callKey {
+func callKeyOf(f *peerpb.Forward) callKey {
 	c := f.GetCall()
 	return callKey{ident.Program(c.GetProgram()), c.GetSequence()}
 }
 
-func eventOf(waiter uint64, f *peerpb.Forward) host.Event {
+func newRequestEvent(waiter uint64, f *peerpb.Forward) host.Event {
 	switch m := f.Body.(type) {
 	case *peerpb.Forward_Create:
 		c := m.Create
@@ -206,21 +209,21 @@
 	return &host.Tick{}
 }
 
-// remote sends the request to another host.
-func (n *Node) remote(ctx context.Context, address string, rq *request) host.Outcome {
+// forwardTo sends the request to the host at address and waits for the outcome.
+func (n *Node) forwardTo(ctx context.Context, address string, rq *request) host.Outcome {
 	n.mu.Lock()
-	box := n.outbox(address)
+	peer := n.outbox(address)
 	n.mu.Unlock()
-	stream := box.open(frame.StreamRequest)
+	stream := peer.openStream(frame.StreamRequest)
 	if stream == nil {
 		return host.Outcome{Failure: failure.Retry(failure.PeerUnavailable, time.Second, "the owner at %s cannot be reached", address)}
 	}
-	defer func() { _ = stream.Close() }() // read to its end or broken
+	defer func() { _ = stream.Close() }() // at its end or broken
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
 	defer stop()
 	n.counter("requests.forwarded").Inc(1)
-	if err := frame.Write(stream, rq.forward); err != nil {
-		return host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "the owner at %s was cut off", address)}
+	if err := frame.Write(stream, rq.message); err != nil {
+		return host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "connection to the owner at %s broke", address)}
 	}
 	return n.readReplies(stream, address, rq)
 }
@@ -229,20 +232,20 @@
 	for {
 		m := &peerpb.ForwardReply{}
 		if err := frame.Read(stream, m); err != nil {
-			return host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "the owner at %s was cut off", address)}
+			return host.Outcome{Failure: failure.Unknown(failure.PeerUnavailable, "connection to the owner at %s broke", address)}
 		}
-		switch b := m.Body.(type) {
+		switch body := m.Body.(type) {
 		case *peerpb.ForwardReply_Outcome:
-			return outcomeFromWire(b.Outcome)
+			return outcomeFromWire(body.Outcome)
 		case *peerpb.ForwardReply_Chunk:
-			rq.onEvent(streamEvent{text: string(b.Chunk)})
+			rq.onEvent(streamEvent{text: string(body.Chunk)})
 		case *peerpb.ForwardReply_Restart:
-			rq.onEvent(streamEvent{restart: true})
+			rq.onEvent(streamEvent{discardEarlier: true})
 		}
 	}
 }
 
-// serveForward answers the request of another host from this host's machine.
+// serveForward serves a request that another host has forwarded to this one.
 func (n *Node) serveForward(stream net.Conn) {
 	f := &peerpb.Forward{}
 	if err := frame.Read(stream, f); err != nil {
@@ -251,20 +254,20 @@
 		}
 		return
 	}
-	n.requests.add(1)
-	defer n.requests.add(-1)
-	rq := &request{forward: f, stream: f.GetCall().GetStream(), onEvent: func(ev streamEvent) {
+	n.requestsInFlight.add(1)
+	defer n.requestsInFlight.add(-1)
+	rq := &request{message: f, stream: f.GetCall().GetStream(), onEvent: func(ev streamEvent) {
 		m := &peerpb.ForwardReply{Body: &peerpb.ForwardReply_Chunk{Chunk: []byte(ev.text)}}
-		if ev.restart {
+		if ev.discardEarlier {
 			m.Body = &peerpb.ForwardReply_Restart{Restart: true}
 		}
-		_ = frame.Write(stream, m) // a broken stream shows at the outcome
+		_ = frame.Write(stream, m) // a broken stream is detected when the outcome is written or read
 	}}
-	out := n.local(n.ctx, rq)
+	out := n.submitAndAwait(n.ctx, rq)
 	if n.ctx.Err() != nil {
-		return // as a host that died: the asker looks for the new owner
+		return // no outcome, as from a crashed host: the sender looks for the new owner
 	}
-	_ = frame.Write(stream, &peerpb.ForwardReply{Body: &peerpb.ForwardReply_Outcome{Outcome: outcomeToWire(out)}}) // the asker, if alive, asks again
+	_ = frame.Write(stream, &peerpb.ForwardReply{Body: &peerpb.ForwardReply_Outcome{Outcome: outcomeToWire(out)}}) // on failure the sender, if alive, retries
 }
 
 func outcomeToWire(o host.Outcome) *peerpb.Outcome {
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -8,47 +8,48 @@
 	"github.com/pistachioarch/pistachioarch/core/host"
 )
 
-// Drained is closed once nothing is owned any more after a graceful stop that an
-// operator asked for; Drain then ends the host.
+// Drained returns a channel that is closed once a draining host owns no slots any more,
+// also after a drain that an operator requested; Drain then stops the host.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Drain stops the host in good order: it hands its programs over and answers
-// every request it has taken. It returns when that is done, or with a Failure
-// when ctx ends first; the host then goes on stopping.
+// Drain stops the host gracefully: it hands over its programs and answers every
+// request that it has accepted. It returns nil when the host has stopped, or a
+// Failure if ctx ends first; the host then goes on draining.
 func (n *Node) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(n.ctx, cancel)() // killed meanwhile
+	defer context.AfterFunc(n.ctx, cancel)() // Kill ends the wait
 	n.log.Info("draining")
-	n.connections.closing.Store(true)
+	n.connections.stopping.Store(true)
 	n.step(&host.Drain{})
 	select {
 	case <-n.drained:
 	case <-ctx.Done():
 		return failure.Wrap(ctx.Err(), failure.Draining, "drain")
 	}
-	n.connections.linger(ctx)
-	if err := n.requests.wait(ctx); err != nil {
+	n.connections.awaitClosed(ctx)
+	if err := n.requestsInFlight.awaitIdle(ctx); err != nil {
 		return err
 	}
 	n.flushOutboxes(ctx)
 	for _, s := range n.servers {
-		_ = s.Shutdown(ctx) // idle connections end; requests were waited for
+		_ = s.Shutdown(ctx) // closes idle connections; no request is in flight
 	}
 	n.Kill()
 	n.log.Info("stopped")
 	return nil
 }
 
-// Kill ends the host at once, as when its process dies.
+// Kill stops the host immediately, like a crash of its process, and waits for its
+// goroutines to end.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	n.stopped = true
 	n.mu.Unlock()
 	n.cancel()
-	for _, l := range []net.Listener{n.opt.Callers, n.opt.Operators, n.opt.Peers} {
-		_ = l.Close() // nothing more is accepted either way
+	for _, l := range []net.Listener{n.options.Callers, n.options.Operators, n.options.Peers} {
+		_ = l.Close() // an error changes nothing: no more connections are accepted
 	}
 	n.client.CloseIdleConnections()
-	n.work.Wait()
+	n.goroutines.Wait()
 }
