--- a/wire/target/target.go
+++ b/wire/target/target.go
@@ -104,7 +104,7 @@
 
 // Call makes one attempt at a call and returns its outcome. The text of an engine's answer is
 // passed to onChunk as it arrives. If the context ends after the target was dialled, the
-// outcome is TargetBroken.
+// outcome is TargetLost.
 func (c *Client) Call(ctx context.Context, s *host.Send, onChunk func(string)) *host.TargetDone {
 	done := &host.TargetDone{Call: s.Call, Target: s.Target.Name}
 	req, err := newRequest(s)
@@ -185,7 +185,7 @@
 }
 
 // outcomeOfError returns TargetRefused for a request that cannot have reached the target, and
-// TargetBroken for one that may have run.
+// TargetLost for one that may have run.
 func outcomeOfError(err error) host.TargetOutcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
