--- a/core/loads/board.go
+++ b/core/loads/board.go
@@ -63,7 +63,7 @@
 	changedBy                   uint64
 }
 
-// noReporter is the id of no reporter: ids are never zero.
+// noReporter is the ID of no reporter: IDs are never zero.
 const noReporter = 0
 
 // revisionFor returns the revision of the last change that was not made by the reporter.
@@ -74,13 +74,13 @@
 	return t.lastRevision
 }
 
-// NewBoard returns an empty board. The id identifies this board instance and must be drawn at
+// NewBoard returns an empty board. The ID identifies this board instance and must be drawn at
 // random for each.
 func NewBoard(id uint64) *Board {
 	return &Board{id: id, reporters: map[uint64]*reporterState{}, targets: map[Key]*target{}, byLastChange: list.New()}
 }
 
-// ID returns the id of the board instance.
+// ID returns the ID of the board instance.
 func (b *Board) ID() uint64 { return b.id }
 
 // ReporterCount returns the number of hosts that reported within ReporterTimeout.
--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -32,6 +32,6 @@
 //   - a target is identified by its incarnation: nothing known of one incarnation is
 //     attributed to the next.
 //
-// Targets are identified by a hash of their id and start time, so that hosts and boards need
+// Targets are identified by a hash of their ID and start time, so that hosts and boards need
 // not agree on names for them. Hosts leave out targets whose hashes collide.
 package loads
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -160,7 +160,7 @@
 	require.Equal(t, b.ID(), x.reporter.BoardID())
 }
 
-// A target that restarts under its id is a new incarnation: nothing known of the previous one
+// A target that restarts under its ID is a new incarnation: nothing known of the previous one
 // is attributed to it.
 func TestNewIncarnationOfTargetStartsEmpty(t *testing.T) {
 	b := NewBoard(1)
--- a/core/loads/message.go
+++ b/core/loads/message.go
@@ -11,7 +11,7 @@
 // Key identifies one incarnation of a target.
 type Key uint32
 
-// KeyOf returns the key of a target with an id and a start time in milliseconds since the
+// KeyOf returns the key of a target with an ID and a start time in milliseconds since the
 // Unix epoch by the target's clock.
 func KeyOf(id string, startedAtMs int64) Key {
 	hash := fnv.New64a()
--- a/core/loads/reporter.go
+++ b/core/loads/reporter.go
@@ -43,13 +43,13 @@
 	removed bool
 }
 
-// NewReporter returns the reporter of a host. The id must be drawn at random for each start of
+// NewReporter returns the reporter of a host. The ID must be drawn at random for each start of
 // the host.
 func NewReporter(id uint64) *Reporter {
 	return &Reporter{id: id, session: 1, targets: map[Key]*localTarget{}, received: map[Key]outcomeCounts{}}
 }
 
-// BoardID returns the id of the board instance that the host reports to, 0 if there is none
+// BoardID returns the ID of the board instance that the host reports to, 0 if there is none
 // yet.
 func (r *Reporter) BoardID() uint64 { return r.boardID }
 
--- a/core/loads/schedule_test.go
+++ b/core/loads/schedule_test.go
@@ -17,11 +17,11 @@
 	now   time.Duration
 	board *Board
 	hosts []*host
-	// lastHostID and lastBoardID are the last ids given out, one for each start.
+	// lastHostID and lastBoardID are the last IDs given out, one for each start.
 	lastHostID  uint64
 	lastBoardID uint64
 	startedAtMs [4]int64
-	// lastReportAt holds when the board last received a report, by host id.
+	// lastReportAt holds when the board last received a report, by host ID.
 	lastReportAt map[uint64]time.Duration
 	// delayed holds deliveries of messages that may still arrive.
 	delayed []func()
--- a/daemon/entry/capacity_wait.go
+++ b/daemon/entry/capacity_wait.go
@@ -23,7 +23,7 @@
 // caller retries a refused call once and then ends its program, and during a network partition
 // the few targets that can be reached are full for a short time.
 type capacityWait struct {
-	// fullTargets are the ids of the targets that refused the call because they are full.
+	// fullTargets are the IDs of the targets that refused the call because they are full.
 	fullTargets map[string]bool
 	waited      time.Duration
 }
--- a/daemon/entry/datacentre_check.go
+++ b/daemon/entry/datacentre_check.go
@@ -20,7 +20,7 @@
 // found unreachable.
 type dataCentreCheck struct {
 	startedAt time.Time
-	// pending holds the ids of the targets probed first whose first probe has not ended.
+	// pending holds the IDs of the targets probed first whose first probe has not ended.
 	pending                 map[string]bool
 	firstCount, failedCount int
 	// remaining holds the other targets, which are probed once more than half of the first
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -44,7 +44,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// draw returns a hash of the request's id as a number in [0, 1). Requests are spread evenly over
+// draw returns a hash of the request's ID as a number in [0, 1). Requests are spread evenly over
 // weighted choices without a random source, and all attempts of a request get the same number.
 func (x *exchange) draw() float64 {
 	f := fnv.New32a()
--- a/daemon/entry/handle.go
+++ b/daemon/entry/handle.go
@@ -34,7 +34,7 @@
 	uploadTimedOut bool
 	// service is chosen once; retries go to the same service.
 	service string
-	// tried are the ids of the targets that were chosen. sendCount is the number of sends,
+	// tried are the IDs of the targets that were chosen. sendCount is the number of sends,
 	// without those that failed before the target could run the request. Both are reset
 	// after a capacity wait.
 	tried        map[string]bool
--- a/daemon/entry/harness_test.go
+++ b/daemon/entry/harness_test.go
@@ -116,7 +116,7 @@
 	return "HTTP/1.1 503 Busy\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.NotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 }
 
-// okStream is a complete chunked stream of events with ids from first.
+// okStream is a complete chunked stream of events with IDs from first.
 func okStream(id string, first int, data ...string) string {
 	return streamHead(id) + eventChunks(first, data...) + "0\r\n\r\n"
 }
@@ -126,7 +126,7 @@
 	return "HTTP/1.1 200 OK\r\n" + ownheaders.ID + ": " + id + "\r\n" + ownheaders.Signature + ": s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// eventChunks is one chunk for each event, with ids from first, without the end of the stream.
+// eventChunks is one chunk for each event, with IDs from first, without the end of the stream.
 func eventChunks(first int, data ...string) string {
 	var b strings.Builder
 	for i, d := range data {
--- a/daemon/entry/host.go
+++ b/daemon/entry/host.go
@@ -34,7 +34,7 @@
 	Answer(status int, h http.Header) request.Answer
 	// RetryAfter sets the header that tells a caller to retry after d.
 	RetryAfter(h http.Header, d time.Duration)
-	// Echo sets the request id in an answer that the host generates itself.
+	// Echo sets the request ID in an answer that the host generates itself.
 	Echo(h http.Header, id string)
 }
 
--- a/daemon/entry/load_exchange_test.go
+++ b/daemon/entry/load_exchange_test.go
@@ -84,7 +84,7 @@
 // host.
 func (f *fleet) othersInFlight(host int) int { return f.hosts[host].State().Targets[0].OthersInFlight }
 
-// boardMember returns the id of the member that the hosts report to.
+// boardMember returns the ID of the member that the hosts report to.
 func (f *fleet) boardMember() string {
 	board, ok := f.hosts[0].History.Board()
 	require.True(f.t, ok)
--- a/daemon/entry/memory.go
+++ b/daemon/entry/memory.go
@@ -79,7 +79,7 @@
 	m.parent.freed.notify()
 }
 
-// setRequestID sets the id of the request for logs.
+// setRequestID sets the ID of the request for logs.
 func (m *requestMemory) setRequestID(id string) {
 	m.parent.mu.Lock()
 	defer m.parent.mu.Unlock()
--- a/daemon/entry/prefix_cache.go
+++ b/daemon/entry/prefix_cache.go
@@ -16,7 +16,7 @@
 // with one of the last parts.
 const maxLookupParts = 4
 
-// programPartIDs returns the ids of the last parts of the prompt, without the first part, which
+// programPartIDs returns the IDs of the last parts of the prompt, without the first part, which
 // programs share.
 func (x *exchange) programPartIDs() []string {
 	prefix := x.call.Prefix
--- a/daemon/entry/prefix_cache_test.go
+++ b/daemon/entry/prefix_cache_test.go
@@ -22,7 +22,7 @@
 	return &turn{x: x}
 }
 
-// pickTarget returns the id of the target to which the turn would be sent.
+// pickTarget returns the ID of the target to which the turn would be sent.
 func (t *turn) pickTarget() string {
 	h := t.x.host
 	h.mu.Lock()
--- a/daemon/entry/reachability.go
+++ b/daemon/entry/reachability.go
@@ -31,7 +31,7 @@
 type reachabilityMonitor struct {
 	host    *Host
 	mu      sync.Mutex
-	targets map[string]*targetReachability // by target id
+	targets map[string]*targetReachability // by target ID
 	// dataCentreLastHeard is when any target of a data centre last sent something.
 	dataCentreLastHeard map[string]time.Time
 	// dataCentreChecks holds the latest check of each data centre.
@@ -99,7 +99,7 @@
 	delete(m.targets, target)
 }
 
-// handleRestart drops the state of a target that has restarted under the same id, and ends the
+// handleRestart drops the state of a target that has restarted under the same ID, and ends the
 // requests sent to its earlier incarnation, which the new one does not know.
 func (m *reachabilityMonitor) handleRestart(target string) {
 	m.mu.Lock()
--- a/daemon/entry/reachability_test.go
+++ b/daemon/entry/reachability_test.go
@@ -134,7 +134,7 @@
 	})
 }
 
-// A target that restarts under its id does not know the requests of its earlier incarnation:
+// A target that restarts under its ID does not know the requests of its earlier incarnation:
 // they must end at once, and those that may be repeated must be sent again.
 func TestRequestsAtRestartedTargetEnd(t *testing.T) {
 	var s *testSystem
--- a/daemon/entry/stream.go
+++ b/daemon/entry/stream.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// deliverEvents forwards whole events until the stream ends, and sets lastEventID to the id of
+// deliverEvents forwards whole events until the stream ends, and sets lastEventID to the ID of
 // the last one forwarded.
 func (x *exchange) deliverEvents(ctx context.Context, resp *targetpool.Response, lastEventID *string) error {
 	controller := http.NewResponseController(x.w)
--- a/daemon/quorum/loads.go
+++ b/daemon/quorum/loads.go
@@ -11,7 +11,7 @@
 )
 
 // Board returns the member to which the hosts of this data centre send their host reports: of the
-// data centre's members that do not fail, the one with the lowest id, so that hosts agree without
+// data centre's members that do not fail, the one with the lowest ID, so that hosts agree without
 // communication. ok is false if there is none.
 func (c *Client) Board() (board placement.Member, ok bool) {
 	c.mu.Lock()
--- a/daemon/quorum/loads_test.go
+++ b/daemon/quorum/loads_test.go
@@ -15,7 +15,7 @@
 	"github.com/pistachioarch/pistachioarch/core/placement"
 )
 
-// The board is the first member by id of the own data centre that answers, never one of another.
+// The board is the first member by ID of the own data centre that answers, never one of another.
 func TestBoardIsFirstAnsweringMemberOfOwnDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(hangingDialer{}, "a", log.New(io.Discard), nil)
--- a/daemon/quorum/probeset.go
+++ b/daemon/quorum/probeset.go
@@ -11,7 +11,7 @@
 // probeSet holds the members that this host probes whether or not it has requests for them. If there
 // are many members, each host probes a few of each data centre.
 type probeSet struct {
-	// host is a random id by which this host's choice differs from that of others.
+	// host is a random ID by which this host's choice differs from that of others.
 	host    string
 	members map[string]bool
 	// byDataCentre holds the same members by data centre.
--- a/daemon/relay/doc.go
+++ b/daemon/relay/doc.go
@@ -3,11 +3,11 @@
 //
 //	platform --watch--> first relay --rpc--> other relays --rpc--> all other hosts
 //
-// The relays are the first live history hosts by id, one more than the number that may be lost
+// The relays are the first live history hosts by ID, one more than the number that may be lost
 // at once. The first relay follows the platform. Each of the others follows the relays before
 // it, and the platform itself while they fail. Every host is therefore at most three steps away
 // from the platform, and a lost relay is replaced by one that has followed all along. Hosts call
-// only relays with lower ids than their own, so no relay follows itself.
+// only relays with lower IDs than their own, so no relay follows itself.
 //
 // With more than placement.MaxProbeAllMembers history hosts, each data centre has relays of its
 // own. The first member of a data centre follows the first relays of all, and the other members
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -154,7 +154,7 @@
 // sharedReader makes all views read from one reader.
 func sharedReader(r objects.Reader) func() objects.Reader { return func() objects.Reader { return r } }
 
-// fakePeers reaches servers by member id without a network.
+// fakePeers reaches servers by member ID without a network.
 type fakePeers struct {
 	mu      sync.Mutex
 	relays  []string
@@ -208,7 +208,7 @@
 	return nil, failure.New(failure.PeerUnavailable, "%s does not answer", member)
 }
 
-// relayPeers gives the relay id the relays before it.
+// relayPeers are the peers of the relay with this ID, which follows only the relays before it.
 type relayPeers struct {
 	*fakePeers
 	id string
--- a/daemon/relay/source.go
+++ b/daemon/relay/source.go
@@ -16,7 +16,7 @@
 
 // Peers reaches the relays.
 type Peers interface {
-	// Relays returns the ids of the members to call, in order. The result is the same at all
+	// Relays returns the IDs of the members to call, in order. The result is the same at all
 	// hosts as long as the same members answer them. For a member that is a relay itself,
 	// it contains only the relays before it.
 	Relays() []string
@@ -71,7 +71,7 @@
 	deltaBases *deltaBases
 }
 
-// NewSource returns a source for the host with the given id, which reads from platform where no
+// NewSource returns a source for the host with the given ID, which reads from platform where no
 // relay can serve it.
 func NewSource(host string, platform objects.Reader, peers Peers, logger *log.Logger) *Source {
 	h := fnv.New32a()
--- a/wire/delta/delta.go
+++ b/wire/delta/delta.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// dictionaryID is the id of the only dictionary of a frame.
+	// dictionaryID is the ID of the only dictionary of a frame.
 	dictionaryID = 1
 	// MaxBytes bounds the size of a decoded version, so that a frame of a few bytes cannot
 	// exhaust the memory.
--- a/wire/ownheaders/ownheaders.go
+++ b/wire/ownheaders/ownheaders.go
@@ -86,7 +86,7 @@
 	h.Set(RetryAfter, strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-// Echo sets the id of the request in an answer that the system itself gives.
+// Echo sets the ID of the request in an answer that the system itself gives.
 func (Headers) Echo(h http.Header, id string) {
 	if id != "" {
 		h.Set(ID, id)
--- a/wire/target/target.go
+++ b/wire/target/target.go
@@ -8,7 +8,7 @@
 //	GET    /v1/cache              Cache
 //	DELETE /v1/cache/PROGRAM      releases the program's KV cache
 //
-// Every call carries the call id and a fencing token of slot and epoch. An engine that
+// Every call carries the call ID and a fencing token of slot and epoch. An engine that
 // checks fencing tokens rejects an older epoch of the slot with 412. The statuses 429, 412
 // and, with NotStartedHeader, 503 prove that a call did not start.
 package target
--- a/wire/targetpool/exchange.go
+++ b/wire/targetpool/exchange.go
@@ -22,7 +22,7 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the id that the answer must echo if it echoes one.
+	// ID is the ID that the answer must echo if it echoes one.
 	ID string
 	// MaxIdle bounds the idle time of a reused connection. Requests that must not be
 	// repeated set a smaller value.
--- a/wire/targetpool/pool.go
+++ b/wire/targetpool/pool.go
@@ -5,7 +5,7 @@
 //
 //   - a request that failed before any byte was passed to the connection did not run;
 //   - a request that failed later may have run, and this package never repeats it;
-//   - an answer is matched to its request by the id that it echoes: a late answer to an
+//   - an answer is matched to its request by the ID that it echoes: a late answer to an
 //     earlier request is read and discarded;
 //   - a connection with unread bytes, or whose request was not sent in full, is closed.
 package targetpool
