--- a/daemon/cmd/pistachiod/entry.go
+++ b/daemon/cmd/pistachiod/entry.go
@@ -61,8 +61,8 @@
 	logger        *log.Logger
 }
 
-// start follows every kind of object that the host needs until ctx ends, and returns the sources
-// by kind.
+// start starts to follow every kind of object that the host needs, until ctx ends, and returns the
+// sources by kind.
 func (f platformFollower) start(ctx context.Context, host *entry.Host) map[string]*relay.Source {
 	config, targets, slots := f.newSource(), f.newSource(), f.slotMapSource()
 	targets.WithSubset(f.set.Host, f.set.DataCentre, platform.DecodeTargetGroup)
@@ -91,8 +91,8 @@
 	return source
 }
 
-// newSource returns a source of any other kind. If seeds are configured, it waits until the slots
-// are assigned.
+// newSource returns a source of any other kind. If seeds are configured, the source waits until the
+// slots are assigned.
 func (f platformFollower) newSource() *relay.Source {
 	if len(f.set.Seeds) == 0 {
 		return relay.NewSource(f.set.Host, f.store, f.historyClient, f.logger).WithStartTimeout(relay.StartTimeout)
--- a/daemon/cmd/pistachiod/history.go
+++ b/daemon/cmd/pistachiod/history.go
@@ -13,8 +13,9 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// minTargetWatchInterval is the minimum time between two reads of changed targets. Among many
-// targets some change all the time, and the reported state is seconds old already.
+// minTargetWatchInterval is the minimum time between two reads of changed targets. Without it, the
+// reads would follow one another, as some of many targets change all the time. The delay matters
+// little, since the reported state is seconds old already.
 const minTargetWatchInterval = 150 * time.Millisecond
 
 // runHistory runs a history host until ctx ends, then closes it.
@@ -53,9 +54,9 @@
 }
 
 // relayedKinds returns the kinds of platform objects that a history host reads for other hosts.
-// No watch timeout exceeds the contact window: a watch that starts during an outage of the
+// Their watch timeouts are within the contact window: a watch that starts during an outage of the
 // platform may hang until its timeout, and a host that takes over from a lost relay meanwhile
-// knows of no changes, including slots that have moved.
+// receives no changes, not even of slots that have moved.
 func relayedKinds(set *settings.Role) []relay.Kind {
 	return []relay.Kind{
 		{Name: platform.ConfigKind, WatchTimeout: set.RelayedConfigWatchTimeout(), ForwardConfirmations: set.MaxKeyRemovalDelay > 0},
--- a/daemon/cmd/pistachiod/main.go
+++ b/daemon/cmd/pistachiod/main.go
@@ -33,6 +33,7 @@
 	exitSettings = 2
 )
 
+// options are the command-line options of a host that owns programs.
 type options struct {
 	Settings string `long:"settings" value-name:"FILE.ini" required:"true" description:"settings file of this host"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
@@ -40,6 +41,8 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run runs a role, if the first argument names one, or else a host that owns programs. It returns
+// the exit code.
 func run(args []string) int {
 	if len(args) > 0 {
 		if role, ok := roles[args[0]]; ok {
@@ -81,8 +84,8 @@
 		logger.Error("settings not loaded", "error", err.Error())
 		return
 	}
-	for _, f := range invalid {
-		logger.Error("invalid setting", "section", f.Section, "key", f.Key, "reason", f.Reason)
+	for _, s := range invalid {
+		logger.Error("invalid setting", "section", s.Section, "key", s.Key, "reason", s.Reason)
 	}
 }
 
--- a/daemon/cmd/pistachiod/role.go
+++ b/daemon/cmd/pistachiod/role.go
@@ -28,17 +28,18 @@
 // roles maps the first command-line argument to its role.
 var roles = map[string]roleFunc{"entry": runEntry, "history": runHistory}
 
+// roleOptions are the command-line options of a role.
 type roleOptions struct {
 	Settings string `long:"settings" value-name:"FILE.ini" description:"settings file of this role; by default the one that the users' platform provides"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
 const (
-	// memoryLimitFraction is the fraction of the memory limit given to the garbage collector;
-	// the rest is for stacks, sockets and the runtime.
+	// memoryLimitFraction is the fraction of the role's memory limit that is set as the limit of
+	// the garbage collector; the rest is for stacks, sockets and the runtime.
 	memoryLimitFraction = 0.75
-	// gcPercent, in percent of the live heap, keeps the heap small: peak memory costs more than
-	// the CPU time of additional collections.
+	// gcPercent is the growth of the heap that starts a collection, in percent of the live heap.
+	// It is small because peak memory costs more than the CPU time of additional collections.
 	gcPercent = 50
 )
 
@@ -89,8 +90,8 @@
 }
 
 // catchSignals prevents SIGHUP and SIGUSR1 from terminating the process at any time. Their
-// handlers start later and stop earlier than the process: without it, an entry host that was
-// told to reload while it drained was terminated together with its streams.
+// handlers start later and stop earlier than the process: without catchSignals, an entry host that
+// received SIGHUP while it drained was terminated together with its streams.
 func catchSignals() {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP, syscall.SIGUSR1)
 }
