--- a/daemon/settings/reload.go
+++ b/daemon/settings/reload.go
@@ -48,7 +48,7 @@
 	return out
 }
 
-// replace sets a changeable setting and records the change.
+// replace changes a setting that needs no restart, and records the change.
 func replace[T string | int64](out *Reloaded, name string, current *T, next T) {
 	if *current == next {
 		return
--- a/daemon/settings/role.go
+++ b/daemon/settings/role.go
@@ -13,11 +13,15 @@
 
 // Role holds the settings of an entry or history role.
 type Role struct {
+	// Host and DataCentre are the names of the host and its data centre; DataDir is its data
+	// directory.
 	Host, DataCentre, DataDir string
 	// Regions is the region of each data centre.
 	Regions map[string]string
 	// Address is the host's own IP address.
-	Address                   string
+	Address string
+	// CallerListen and ReadyListen are the addresses on which an entry host listens for callers and
+	// for readiness checks.
 	CallerListen, ReadyListen string
 	// MetricsPort is the port of metrics and state; 0 if they are not served.
 	MetricsPort int
@@ -26,14 +30,16 @@
 	// Seeds are addresses of history hosts as given by the platform; they may be stale.
 	Seeds           []string
 	PlatformAddress string
-	MemoryBytes     int64
-	Descriptors     int
+	// MemoryBytes and Descriptors are the limits of the process on memory and file descriptors; 0
+	// if there is none.
+	MemoryBytes int64
+	Descriptors int
 	// ToleratedHostFaults is the number of history hosts that may be lost at once.
 	ToleratedHostFaults int
 	// GracePeriod is the time between the request to stop and the kill.
 	GracePeriod time.Duration
-	// ContactWindow is how long the platform must have answered without errors before the bounds
-	// on the time until its changes are in force apply.
+	// ContactWindow is the time for which the platform must have answered without errors. Only
+	// after it must the platform's changes be in force within their bounds.
 	ContactWindow time.Duration
 	// MaxKeyRemovalDelay is the time after which no host accepts a removed key, even if it cannot
 	// reach the platform; 0 if only hosts that reach the platform must apply the removal.
@@ -58,7 +64,8 @@
 	// minKeyWatchTimeout replaces minWatchTimeout if keys are accepted only up to a maximum age of
 	// the configuration.
 	minKeyWatchTimeout = 200 * time.Millisecond
-	// minWatchTimeout prevents watches from becoming polls if the contact window is short.
+	// minWatchTimeout prevents watches from becoming polls if the contact window is short. It takes
+	// precedence over the contact window: a watch may then end after it.
 	minWatchTimeout = 500 * time.Millisecond
 )
 
@@ -69,11 +76,11 @@
 	return max(minWatchTimeout, r.ContactWindow-watchTimeoutMargin)
 }
 
-// keyRemoval reads the bound on the removal of keys; 0 unless removal_strict is true.
-func (r *reader) keyRemoval() time.Duration {
+// maxKeyRemovalDelay reads the bound on the removal of keys; 0 unless removal_strict is true.
+func (r *reader) maxKeyRemovalDelay() time.Duration {
 	const section, key = "keys", "removal_ms"
 	if r.oneOf(section, "removal_strict", "false", "true") != "true" {
-		r.text(section, key, "") // a known key, but not used
+		r.text(section, key, "") // marks the key as known; its value is not used
 		return 0
 	}
 	bound := r.milliseconds(section, key, 1, 0)
@@ -97,8 +104,8 @@
 	// unknownKeyAgeFraction is the maximum age of a host's configuration for rejecting a key as
 	// unknown, as a fraction of MaxKeyRemovalDelay.
 	unknownKeyAgeFraction = 0.4
-	// unknownKeyMaxWatches is that maximum age if removal is not strict, in watch timeouts: one for
-	// each hop.
+	// unknownKeyMaxWatches is the same maximum age, in watch timeouts, if removal is not strict: one
+	// watch for each hop.
 	unknownKeyMaxWatches = 3
 )
 
@@ -186,7 +193,7 @@
 		ToleratedHostFaults: int(r.integer("faults", "hosts", 1, 0, 16)),
 		GracePeriod:         r.milliseconds("timing", "grace_s", 1000, 8000),
 		ContactWindow:       r.milliseconds("timing", "contact_ms", 1, 3000),
-		MaxKeyRemovalDelay:  r.keyRemoval(),
+		MaxKeyRemovalDelay:  r.maxKeyRemovalDelay(),
 		MaxEvacuationDelay:  r.milliseconds("evacuations", "bound_ms", 1, 0),
 		QuotaWindow:         r.milliseconds("quotas", "window_s", 1000, 0),
 		QuotaOverage:        r.fraction("quotas", "overage"),
@@ -253,10 +260,10 @@
 // ExchangesLoads reports whether hosts may exchange their observations of targets.
 func (r *Role) ExchangesLoads() bool { return r.LoadExchange != loadExchangeOff }
 
-// maxFraction exceeds any meaningful tolerance.
+// maxFraction is the largest value that fraction accepts; it exceeds any meaningful tolerance.
 const maxFraction = 1e6
 
-// maxTimingMs is one day in milliseconds; longer times are taken for typing errors.
+// maxTimingMs is one day in milliseconds; longer times are assumed to be typing errors.
 const maxTimingMs = 24 * 60 * 60 * 1000
 
 // required rejects an empty value.
--- a/daemon/settings/role_test.go
+++ b/daemon/settings/role_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// Optional values that a deployment does not define are rendered as empty settings.
+// The template renders optional values that a deployment does not define as empty settings.
 func TestKeyAndQuotaSettingsMayBeEmpty(t *testing.T) {
 	absent := strings.NewReplacer("removal_strict = true", "removal_strict = ", "removal_ms = 5000", "removal_ms =",
 		"window_s = 5", "window_s =", "overage = 0.1", "overage =", "slack = 20", "slack =").Replace(roleText)
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -25,13 +25,16 @@
 	// set at startup.
 	Host host.Config
 
+	// CallerListen, OperatorListen and PeerListen are the addresses to listen on.
 	CallerListen, OperatorListen, PeerListen string
 	// PeerAdvertise is the address advertised to peers; empty for the listener's address.
 	PeerAdvertise string
-	Seeds         []string
+	// Seeds are the addresses of peers that are given in the settings.
+	Seeds []string
 
 	PlatformURL, PlatformToken string
-	OperatorTokenSHA256        string
+	// OperatorTokenSHA256 is the SHA-256 of the operators' token, in hex digits.
+	OperatorTokenSHA256 string
 
 	// PeerCert, PeerKey and PeerCA are files for TLS between hosts; all three or none are set.
 	PeerCert, PeerKey, PeerCA string
@@ -39,11 +42,16 @@
 	DataDir  string
 	LogLevel string
 
-	MaxBodyBytes       int64
+	// MaxBodyBytes is the maximum size of a caller's request body.
+	MaxBodyBytes int64
+	// ClientWriteTimeout bounds a write of an answer to a caller.
 	ClientWriteTimeout time.Duration
-	ForwardTimeout     time.Duration
-	ReportInterval     time.Duration
-	SweepInterval      time.Duration
+	// ForwardTimeout is the time after which a request is no longer retried at the owner of its slot.
+	ForwardTimeout time.Duration
+	// ReportInterval is the interval between reads of the engines' loads.
+	ReportInterval time.Duration
+	// SweepInterval is the interval between reads of the programs in the engines' caches.
+	SweepInterval time.Duration
 }
 
 // InvalidSetting describes one invalid setting.
@@ -57,9 +65,9 @@
 type InvalidSettings []InvalidSetting
 
 // Error implements error.
-func (f InvalidSettings) Error() string {
-	lines := make([]string, len(f))
-	for i, x := range f {
+func (s InvalidSettings) Error() string {
+	lines := make([]string, len(s))
+	for i, x := range s {
 		lines[i] = fmt.Sprintf("[%s] %s: %s", x.Section, x.Key, x.Reason)
 	}
 	return strings.Join(lines, "\n")
@@ -90,9 +98,10 @@
 	return s, nil
 }
 
-// reader reads keys and collects the invalid ones.
+// reader reads settings and collects the invalid ones.
 type reader struct {
-	file    *ini.File
+	file *ini.File
+	// used holds the keys read so far, as section, NUL and key.
 	used    map[string]bool
 	invalid InvalidSettings
 }
@@ -171,10 +180,12 @@
 	s.SweepInterval = r.duration("limits", "sweep_every", time.Second, 10*time.Millisecond)
 }
 
+// reject records an invalid setting.
 func (r *reader) reject(section, key, format string, args ...any) {
 	r.invalid = append(r.invalid, InvalidSetting{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
+// text reads a value and marks its key as known; def if the key is missing.
 func (r *reader) text(section, key, def string) string {
 	r.used[section+"\x00"+key] = true
 	s, err := r.file.GetSection(section)
@@ -273,6 +284,7 @@
 	return values
 }
 
+// oneOf reads one of the given values; the first one is the default.
 func (r *reader) oneOf(section, key, first string, others ...string) string {
 	v := cmp.Or(r.text(section, key, ""), first)
 	if v != first && !slices.Contains(others, v) {
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -26,11 +26,11 @@
 	assert.Equal(t, "default", s.Host.Policy)
 }
 
-func TestInvalidSettings(t *testing.T) {
+func TestParseRejectsInvalidSettings(t *testing.T) {
 	for name, c := range map[string]struct{ text, section, key string }{
 		"unknown key":     {validSettings + "[log]\ncolour = red\n", "log", "colour"},
 		"unknown section": {validSettings + "[moon]\nphase = full\n", "moon", "phase"},
-		"choice":          {validSettings + "[log]\nlevel = loud\n", "log", "level"},
+		"unknown level":   {validSettings + "[log]\nlevel = loud\n", "log", "level"},
 		"duration":        {validSettings + "[timing]\nlease = soon\n", "timing", "lease"},
 		"lease too short": {validSettings + "[timing]\nlease = 3s\nrenew = 2s\n", "timing", "renew"},
 		"not an IP":       {validSettings + "[listen]\ncallers = example:80\n", "listen", "callers"},
@@ -65,7 +65,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]byte(text))
 		if (s == nil) == (err == nil) {
-			t.Fatal("either settings or an error")
+			t.Fatal("want either settings or an error")
 		}
 	})
 }
