--- a/daemon/logsink/logsink.go
+++ b/daemon/logsink/logsink.go
@@ -21,7 +21,7 @@
 // New returns a sink that writes to another writer in a goroutine of its own.
 func New(to io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, bufferLines)}
-	go s.drain(to)
+	go s.writeLines(to)
 	return s
 }
 
@@ -39,14 +39,15 @@
 // Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-func (s *Sink) drain(to io.Writer) {
+// writeLines writes the buffered lines and, after dropped ones, a line with the total dropped.
+func (s *Sink) writeLines(to io.Writer) {
 	reported := int64(0)
 	for line := range s.lines {
 		// A failure to write logs cannot be reported anywhere.
 		_, _ = to.Write(line)
-		if lost := s.dropped.Load(); lost > reported {
-			_, _ = fmt.Fprintf(to, `{"level":"warn","msg":"log lines dropped","total":%d}`+"\n", lost)
-			reported = lost
+		if dropped := s.dropped.Load(); dropped > reported {
+			_, _ = fmt.Fprintf(to, `{"level":"warn","msg":"log lines dropped","total":%d}`+"\n", dropped)
+			reported = dropped
 		}
 	}
 }
--- a/daemon/logsink/logsink_test.go
+++ b/daemon/logsink/logsink_test.go
@@ -20,33 +20,33 @@
 	written chan struct{}
 }
 
-func (g *blockingWriter) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	n, err := g.text.Write(p)
-	g.written <- struct{}{}
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	<-w.open
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	n, err := w.text.Write(p)
+	w.written <- struct{}{}
 	return n, err
 }
 
 func TestWriteDoesNotBlockOnBlockedWriter(t *testing.T) {
-	g := &blockingWriter{open: make(chan struct{}), written: make(chan struct{}, 2*bufferLines)}
-	s := New(g)
+	w := &blockingWriter{open: make(chan struct{}), written: make(chan struct{}, 2*bufferLines)}
+	s := New(w)
 	for range bufferLines + 100 {
 		n, err := s.Write([]byte("{}\n"))
 		require.NoError(t, err)
 		require.Equal(t, 3, n)
 	}
-	lost := s.Dropped()
-	require.GreaterOrEqual(t, lost, int64(99), "one line may be held by the writer")
-	close(g.open)
-	for range bufferLines + 100 - int(lost) + 1 {
-		<-g.written
+	dropped := s.Dropped()
+	require.GreaterOrEqual(t, dropped, int64(99), "one line may be held by the writer")
+	close(w.open)
+	for range bufferLines + 100 - int(dropped) + 1 {
+		<-w.written
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	require.Contains(t, g.text.String(), `"msg":"log lines dropped"`)
-	require.Equal(t, bufferLines+100-int(lost), strings.Count(g.text.String(), "{}\n"))
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	require.Contains(t, w.text.String(), `"msg":"log lines dropped"`)
+	require.Equal(t, bufferLines+100-int(dropped), strings.Count(w.text.String(), "{}\n"))
 }
 
 func BenchmarkLine(b *testing.B) {
--- a/daemon/meter/meter.go
+++ b/daemon/meter/meter.go
@@ -70,7 +70,7 @@
 	if m == nil {
 		return
 	}
-	// The registry rejects a second gauge with the same name; the first one stays.
+	// Register fails only if the name is taken.
 	_ = m.registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
@@ -114,6 +114,7 @@
 
 func formatLine(name string, value int64) string { return name + " " + strconv.FormatInt(value, 10) }
 
+// histogramLines returns the count, the maximum and the quantiles of a histogram.
 func histogramLines(name string, h metrics.Histogram) []string {
 	lines := []string{formatLine(name+"_count", h.Count()), formatLine(name+"_max", h.Max())}
 	for i, v := range h.Percentiles(quantiles) {
--- a/daemon/meter/store.go
+++ b/daemon/meter/store.go
@@ -12,6 +12,7 @@
 // platform_calls_OP_RESULT.
 func CountStoreCalls(s objects.Store, m *Meter) objects.Store { return &countingStore{s, m} }
 
+// countingStore is an objects.Store that counts the calls to another one.
 type countingStore struct {
 	objects.Store
 	meter *Meter
