--- a/ctl/always/always_test.go
+++ b/ctl/always/always_test.go
@@ -1,7 +1,7 @@
-// Package always proves what must always hold. Every test runs over one table
-// of fault cases; each case runs the real daemon code of five hosts in two data
-// centres once, on virtual time, and the tests judge by what the stand-ins of the
-// platform, the engines and the service recorded, and by what callers got.
+// Package always tests the invariants of the system. Every test checks all cases of
+// one table of faults. Each case runs once: the daemon code of five hosts in two data
+// centres, on virtual time. The tests check the records of the stand-ins for the
+// platform, the engines and the service, and the answers that callers received.
 package always
 
 import (
@@ -25,71 +25,72 @@
 	"github.com/pistachioarch/pistachioarch/ctl/standin"
 )
 
-// outcome is what one case left behind.
+// outcome holds the records of one fault case.
 type outcome struct {
-	report    *load.Report
-	orders    map[string]int
-	calls     map[string][]standin.EngineCall // by engine
-	cached    map[string][]string             // by engine, at the end
-	versions  map[string][]uint64             // by incarnation
-	final     map[string]uint64               // version at each live host at the end
-	config    []standin.Write                 // accepted declarations
-	overspent []string
-	// learnt is when all hosts could know of the leaving target, at the latest.
-	learnt time.Time
-	// late are hosts that had not the declaration in force 2 s after learnt.
-	late []string
+	report            *load.Report
+	orders            map[string]int
+	engineCalls       map[string][]standin.EngineCall // by engine
+	cachedPrograms    map[string][]string             // by engine, at the end of the case
+	configVersions    map[string][]uint64             // by incarnation
+	finalVersions     map[string]uint64               // by running host, at the end of the case
+	acceptedConfigs   []standin.Write                 // in order
+	overspentPrograms []string
+	// knownAt is the latest time at which all hosts could learn of the draining target.
+	knownAt time.Time
+	// staleHosts are the hosts without the newest declaration maxConfigDelay after knownAt.
+	staleHosts []string
 }
 
-// inForceWithin is the goal for a change of the declaration.
-const inForceWithin = 2 * time.Second
+// maxConfigDelay bounds the time until all hosts apply a change of the declaration.
+const maxConfigDelay = 2 * time.Second
 
-// settle is how long the cluster runs on after the load and the faults.
-const settle = time.Minute
+// settleDuration is the time that the cluster runs on after the end of the load and the faults.
+const settleDuration = time.Minute
 
-// onlyCase, from the environment, limits the table to one case.
+// onlyCase, read from ALWAYS_CASE, restricts the table to one case.
 var onlyCase = os.Getenv("ALWAYS_CASE")
 
-// manyPrograms, from the environment, replaces the number of programs of each
+// programsOverride, read from ALWAYS_PROGRAMS, replaces the number of programs of each
 // case, for measurements.
-var manyPrograms, _ = strconv.Atoi(os.Getenv("ALWAYS_PROGRAMS"))
+var programsOverride, _ = strconv.Atoi(os.Getenv("ALWAYS_PROGRAMS"))
 
 var (
 	casesOnce sync.Once
-	done      = map[string]*outcome{}
-	// whileStopping is what answersWhileStopping returned.
-	whileStopping []bool
+	outcomes  = map[string]*outcome{}
+	// closedWhileDraining is the result of sendWhileDraining.
+	closedWhileDraining []bool
 )
 
-// runAll carries every case out, once for all tests. They share one bubble of
-// virtual time, since yamux keeps timers in a pool of the process.
-func runAll(t *testing.T) {
+// runAllCases runs every case once, for all tests. The cases share one synctest bubble,
+// since yamux keeps timers in a pool of the process.
+func runAllCases(t *testing.T) {
 	casesOnce.Do(func() {
 		synctest.Test(t, func(t *testing.T) {
 			for _, fc := range faultCases {
 				if onlyCase == "" || onlyCase == fc.name {
 					t.Log("case", fc.name)
-					done[fc.name] = carryOut(t, fc)
+					outcomes[fc.name] = runFaultCase(t, fc)
 				}
 			}
 			if onlyCase == "" {
-				whileStopping = answersWhileStopping(t)
+				closedWhileDraining = sendWhileDraining(t)
 			}
 		})
 	})
 }
 
-// answersWhileStopping stops a host to which a connection is kept, and sends it requests until
-// it is gone. It returns, for each answer since, whether it was the last on its connection.
-func answersWhileStopping(t *testing.T) (last []bool) {
+// sendWhileDraining drains a host while a client holds a connection to it, and sends requests
+// until the host has stopped. It returns, for each answer received meanwhile, whether the
+// host asked to close the connection.
+func sendWhileDraining(t *testing.T) (closed []bool) {
 	c := newCluster(t)
 	defer c.close()
-	c.apply("", "first")
+	c.applyDeclaration("", "first")
 	time.Sleep(5 * time.Second)
-	client := c.clientAt("10.9.0.9")
+	client := c.newClient("10.9.0.9")
 	defer client.CloseIdleConnections()
-	ask := func() (closes bool, err error) {
-		resp, err := client.Post("http://"+c.members["h1"].place+":1/v1/programs", "application/json", nil)
+	sendRequest := func() (closes bool, err error) {
+		resp, err := client.Post("http://"+c.members["h1"].ip+":1/v1/programs", "application/json", nil)
 		if err != nil {
 			return false, err
 		}
@@ -97,114 +98,116 @@
 		_ = resp.Body.Close()
 		return resp.Close, err
 	}
-	_, err := ask()
+	_, err := sendRequest()
 	require.NoError(t, err)
-	c.stop("h1")
+	c.drainHost("h1")
 	for {
 		time.Sleep(50 * time.Millisecond)
-		closes, err := ask()
+		closes, err := sendRequest()
 		if err != nil {
-			return last
+			return closed
 		}
-		last = append(last, closes)
+		closed = append(closed, closes)
 	}
 }
 
-// A host that stops does not leave callers connections that it is about to close.
-func TestAlwaysAnswersWhileStoppingCloseTheirConnections(t *testing.T) {
-	runAll(t)
+// Guards against requests lost because a draining host closes a connection on which a
+// caller has just sent one: each of its answers must close the connection.
+func TestAlwaysDrainingHostClosesConnectionsWithItsAnswers(t *testing.T) {
+	runAllCases(t)
 	if onlyCase != "" {
 		return
 	}
-	require.NotEmpty(t, whileStopping)
-	require.NotContains(t, whileStopping, false)
+	require.NotEmpty(t, closedWhileDraining)
+	require.NotContains(t, closedWhileDraining, false)
 }
 
-func carryOut(t *testing.T, fc faultCase) *outcome {
+func runFaultCase(t *testing.T, fc faultCase) *outcome {
 	c := newCluster(t)
 	defer c.close()
-	c.apply("", "first")
+	c.applyDeclaration("", "first")
 	time.Sleep(5 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
-	background.Go(func() { c.watch(ctx) })
-	o := &outcome{calls: map[string][]standin.EngineCall{}, cached: map[string][]string{}, final: map[string]uint64{}}
-	faults := make(chan struct{})
+	background.Go(func() { c.sampleHosts(ctx) })
+	o := &outcome{engineCalls: map[string][]standin.EngineCall{}, cachedPrograms: map[string][]string{}, finalVersions: map[string]uint64{}}
+	faultsOver := make(chan struct{})
 	go func() {
 		fc.inject(c)
-		close(faults)
+		close(faultsOver)
 	}()
 	background.Go(func() {
 		time.Sleep(2500 * time.Millisecond)
-		c.apply("e2", "the operator")
-		if fc.cutOff {
-			<-faults
+		c.applyDeclaration("e2", "the operator")
+		if fc.delaysConfig {
+			<-faultsOver
 		}
-		o.learnt = time.Now()
-		time.Sleep(inForceWithin)
-		o.late = c.behind()
+		o.knownAt = time.Now()
+		time.Sleep(maxConfigDelay)
+		o.staleHosts = c.staleHosts()
 	})
 	programs := fc.programs
 	if programs == 0 {
 		programs = defaultPrograms
 	}
-	if manyPrograms > 0 {
-		programs = manyPrograms
+	if programsOverride > 0 {
+		programs = programsOverride
 	}
 	var err error
-	o.report, err = load.Run(context.Background(), c.plan(programs, 1))
+	o.report, err = load.Run(context.Background(), c.loadPlan(programs, 1))
 	require.NoError(t, err)
-	<-faults
-	time.Sleep(settle)
+	<-faultsOver
+	time.Sleep(settleDuration)
 	cancel()
 	background.Wait()
-	c.collect(o)
+	c.collectOutcome(o)
 	return o
 }
 
-// behind lists the live hosts that do not have the newest declaration.
-func (c *cluster) behind() []string {
+// staleHosts returns the running hosts that do not have the newest declaration.
+func (c *cluster) staleHosts() []string {
 	writes := c.platform.History(host.ConfigKey)
 	var newest host.ConfigObject
 	_ = json.Unmarshal(writes[len(writes)-1].Body, &newest) // written by package store
-	var late []string
-	for name, n := range c.live() {
+	var stale []string
+	for name, n := range c.liveNodes() {
 		if n.Status().ConfigVersion < newest.Version {
-			late = append(late, name)
+			stale = append(stale, name)
 		}
 	}
-	return late
+	return stale
 }
 
-func (c *cluster) collect(o *outcome) {
-	o.orders = c.orders()
-	o.config = c.platform.History(host.ConfigKey)
+func (c *cluster) collectOutcome(o *outcome) {
+	o.orders = c.executedOrders()
+	o.acceptedConfigs = c.platform.History(host.ConfigKey)
 	for name, e := range c.engines {
-		o.calls[name] = e.Calls()
-		if c.net.Listening(enginePlace(name) + ":80") {
-			o.cached[name] = e.Cached()
+		o.engineCalls[name] = e.Calls()
+		if c.net.Listening(engineIP(name) + ":80") {
+			o.cachedPrograms[name] = e.Cached()
 		}
 	}
-	for name, n := range c.live() {
-		o.final[name] = n.Status().ConfigVersion
+	for name, n := range c.liveNodes() {
+		o.finalVersions[name] = n.Status().ConfigVersion
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o.versions, o.overspent = c.versions, c.overspent
+	o.configVersions, o.overspentPrograms = c.configVersions, c.overspentPrograms
 }
 
-// awaitOrders waits until n orders were executed.
+// awaitOrders waits until the service has executed n orders.
 func (c *cluster) awaitOrders(n int) {
 	for len(c.service.Orders()) < n {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// ownerOfLastOrder finds the host that owns the program of the last order.
+// ownerOfLastOrder returns the host that owns the program of the last order, or h1 if
+// no host owns it.
 func (c *cluster) ownerOfLastOrder() string {
 	orders := c.service.Orders()
 	program, _, _ := strings.Cut(orders[len(orders)-1].Call, "/")
-	for name, n := range c.live() {
+	for name, n := range c.liveNodes() {
 		for _, p := range n.Dump().Programs {
 			if p.Program == program {
 				return name
@@ -214,21 +217,22 @@
 	return "h1"
 }
 
-// always runs check over every case.
-func always(t *testing.T, check func(t *testing.T, fc faultCase, o *outcome)) {
-	runAll(t)
+// forEachCase runs check on the outcome of every case, in a subtest each.
+func forEachCase(t *testing.T, check func(t *testing.T, fc faultCase, o *outcome)) {
+	runAllCases(t)
 	for _, fc := range faultCases {
-		if o := done[fc.name]; o != nil {
+		if o := outcomes[fc.name]; o != nil {
 			t.Run(fc.name, func(t *testing.T) { check(t, fc, o) })
 		}
 	}
 }
 
-// violations filters what the load found by its text.
-func violations(o *outcome, contain ...string) []string {
+// violations returns the violations found by the load that contain any of the
+// substrings.
+func violations(o *outcome, substrings ...string) []string {
 	var found []string
 	for _, v := range o.report.Violations {
-		for _, c := range contain {
+		for _, c := range substrings {
 			if strings.Contains(v, c) {
 				found = append(found, v)
 			}
@@ -237,49 +241,49 @@
 	return found
 }
 
-func TestAlwaysProgramOrder(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
+func TestAlwaysCallsRunInProgramOrder(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
 		var all []standin.EngineCall
-		for _, calls := range o.calls {
+		for _, calls := range o.engineCalls {
 			all = append(all, calls...)
 		}
 		assert.Empty(t, load.OrderViolations(all))
 	})
 }
 
-func TestAlwaysHistoryKept(t *testing.T) {
-	always(t, func(t *testing.T, fc faultCase, o *outcome) {
-		assert.Empty(t, violations(o, "answered"), "an answer to another history")
-		assert.Zero(t, o.report.NotRun, "calls given up although patience was left: %v", o.report.Failures)
+func TestAlwaysHistoryIsPreserved(t *testing.T) {
+	forEachCase(t, func(t *testing.T, fc faultCase, o *outcome) {
+		assert.Empty(t, violations(o, "answered"), "answers to a different history")
+		assert.Zero(t, o.report.NotRun, "calls abandoned before the retry timeout: %v", o.report.Failures)
 		assert.LessOrEqual(t, o.report.Unknown, fc.unknownOrders)
 		assert.Equal(t, o.report.Calls, o.report.Answered+o.report.Unknown)
 	})
 }
 
-func TestAlwaysWithinBudget(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, o.overspent) })
+func TestAlwaysBudgetHolds(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, o.overspentPrograms) })
 }
 
-func TestAlwaysCacheReleased(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
-		for engine, programs := range o.cached {
-			assert.Empty(t, programs, "cache kept at %s for programs that have ended", engine)
+func TestAlwaysCacheIsReleased(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		for engine, programs := range o.cachedPrograms {
+			assert.Empty(t, programs, "cache at %s still holds programs that have ended", engine)
 		}
 	})
 }
 
-func TestAlwaysWholeAnswerToItsCaller(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
+func TestAlwaysCompleteAnswerReachesItsCaller(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
 		assert.Empty(t, violations(o, "answered", "got the answer of", "streamed another text"))
 	})
 }
 
-func TestAlwaysNotRunIsTrue(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, violations(o, "was told no")) })
+func TestAlwaysNotRunStatusIsTrue(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) { assert.Empty(t, violations(o, "was told no")) })
 }
 
 func TestAlwaysAtMostOnce(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
 		for id, n := range o.orders {
 			assert.LessOrEqual(t, n, 1, "%s", id)
 		}
@@ -287,19 +291,19 @@
 	})
 }
 
-func TestAlwaysLeavingTargetIdle(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
-		limit := o.learnt.Add(inForceWithin)
-		for _, call := range o.calls["e2"] {
-			assert.False(t, call.At.After(limit), "%s was started %s after its target had left", call.ID, call.At.Sub(o.learnt))
+func TestAlwaysDrainingTargetGetsNoNewRequests(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		deadline := o.knownAt.Add(maxConfigDelay)
+		for _, call := range o.engineCalls["e2"] {
+			assert.False(t, call.At.After(deadline), "call %s started %s after all hosts could know that its target was draining", call.ID, call.At.Sub(o.knownAt))
 		}
 	})
 }
 
-func TestAlwaysStopCutsNothing(t *testing.T) {
-	always(t, func(t *testing.T, fc faultCase, o *outcome) {
-		if !fc.planned {
-			t.Skip("not a planned stop")
+func TestAlwaysPlannedStopInterruptsNoRequest(t *testing.T) {
+	forEachCase(t, func(t *testing.T, fc faultCase, o *outcome) {
+		if !fc.plannedStopsOnly {
+			t.Skip("case has unplanned faults")
 		}
 		assert.Zero(t, o.report.Cut)
 		assert.Equal(t, o.report.Calls, o.report.Answered)
@@ -307,22 +311,22 @@
 	})
 }
 
-func TestAlwaysConfigInForce(t *testing.T) {
-	always(t, func(t *testing.T, _ faultCase, o *outcome) {
-		assert.Empty(t, o.late, "not in force after %s", inForceWithin)
-		for member, versions := range o.versions {
+func TestAlwaysConfigurationIsAppliedInTime(t *testing.T) {
+	forEachCase(t, func(t *testing.T, _ faultCase, o *outcome) {
+		assert.Empty(t, o.staleHosts, "newest declaration not applied after %s", maxConfigDelay)
+		for member, versions := range o.configVersions {
 			for i := 1; i < len(versions); i++ {
-				assert.GreaterOrEqual(t, versions[i], versions[i-1], "%s went back", member)
+				assert.GreaterOrEqual(t, versions[i], versions[i-1], "config version of %s decreased", member)
 			}
 		}
 		newest := uint64(0)
-		for _, w := range o.config {
+		for _, w := range o.acceptedConfigs {
 			var c host.ConfigObject
 			require.NoError(t, json.Unmarshal(w.Body, &c))
-			assert.Equal(t, newest+1, c.Version, "two accepted changes with one version")
+			assert.Equal(t, newest+1, c.Version, "accepted versions are not consecutive")
 			newest = c.Version
 		}
-		for name, v := range o.final {
+		for name, v := range o.finalVersions {
 			assert.Equal(t, newest, v, fmt.Sprintf("at %s", name))
 		}
 	})
--- a/ctl/always/cluster_test.go
+++ b/ctl/always/cluster_test.go
@@ -29,20 +29,20 @@
 )
 
 const (
-	platformPlace = "10.9.0.1"
-	clientPlace   = "10.9.0.9"
-	servicePlace  = "10.3.0.1"
-	token         = "secret"
+	platformIP = "10.9.0.1"
+	clientIP   = "10.9.0.9"
+	serviceIP  = "10.3.0.1"
+	token      = "secret"
 )
 
-// member is one host of the cluster under test.
+// member is one host of the cluster.
 type member struct {
-	name, dc, place string
-	node            *node.Node // of the last start; nil while it is dead
+	name, dataCentre, ip string
+	node                 *node.Node // nil while the host is not running
 }
 
-// cluster runs the real daemon code of several hosts with stand-ins, all in one
-// bubble of virtual time.
+// cluster runs the daemon code of several hosts with stand-ins for the platform, the
+// engines and the service, on the virtual time of one synctest bubble.
 type cluster struct {
 	t        *testing.T
 	net      *vnet.Network
@@ -54,59 +54,59 @@
 	client   *http.Client
 	seed     uint64
 
-	mu        sync.Mutex          // guards below, and node of each member
-	versions  map[string][]uint64 // config versions seen at each incarnation, in order
-	overspent []string
-	stopping  sync.WaitGroup
+	mu                sync.Mutex          // guards configVersions, overspentPrograms and member.node
+	configVersions    map[string][]uint64 // by incarnation, in the order of observation
+	overspentPrograms []string
+	drains            sync.WaitGroup
 }
 
-// engineNames are the engines; e3 does not check fencing.
+// engineNames lists the engines; e3 does not check fencing tokens.
 var engineNames = []string{"e1", "e2", "e3"}
 
-func enginePlace(name string) string { return "10.2.0." + name[1:] }
+func engineIP(name string) string { return "10.2.0." + name[1:] }
 
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{
 		t: t, net: vnet.New(), platform: standin.NewPlatform(), engines: map[string]*standin.Engine{},
-		service: standin.NewService(), members: map[string]*member{}, servers: map[string]*http.Server{}, versions: map[string][]uint64{},
+		service: standin.NewService(), members: map[string]*member{}, servers: map[string]*http.Server{}, configVersions: map[string][]uint64{},
 	}
-	c.client = c.clientAt(clientPlace)
-	c.serve(platformPlace, c.platform.Handler())
-	c.serve(servicePlace, c.service.Handler())
+	c.client = c.newClient(clientIP)
+	c.startServer(platformIP, c.platform.Handler())
+	c.startServer(serviceIP, c.service.Handler())
 	for _, name := range engineNames {
 		c.engines[name] = standin.NewEngine(standin.EngineConfig{
 			Batch: 4, CacheTokens: 4000, OutputTokens: 12, Prefill: 20 * time.Microsecond, Decode: 5 * time.Millisecond,
 			ChecksFencing: name != "e3", ReportLag: 500 * time.Millisecond,
 		})
-		c.serve(enginePlace(name), c.engines[name].Handler())
+		c.startServer(engineIP(name), c.engines[name].Handler())
 	}
-	for i, m := range []member{{name: "h1", dc: "sapporo-a"}, {name: "h2", dc: "sapporo-a"}, {name: "h3", dc: "sapporo-a"}, {name: "h4", dc: "seeb"}, {name: "h5", dc: "seeb"}} {
-		m.place = fmt.Sprintf("10.1.0.%d", i+1)
+	for i, m := range []member{{name: "h1", dataCentre: "sapporo-a"}, {name: "h2", dataCentre: "sapporo-a"}, {name: "h3", dataCentre: "sapporo-a"}, {name: "h4", dataCentre: "seeb"}, {name: "h5", dataCentre: "seeb"}} {
+		m.ip = fmt.Sprintf("10.1.0.%d", i+1)
 		c.members[m.name] = &m
-		c.start(m.name)
+		c.startHost(m.name)
 	}
 	return c
 }
 
-func (c *cluster) clientAt(place string) *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: vnet.Dialer{Net: c.net, From: place}.DialContext, IdleConnTimeout: time.Second}}
+func (c *cluster) newClient(ip string) *http.Client {
+	return &http.Client{Transport: &http.Transport{DialContext: vnet.Dialer{Net: c.net, From: ip}.DialContext, IdleConnTimeout: time.Second}}
 }
 
-func (c *cluster) serve(place string, h http.Handler) {
+func (c *cluster) startServer(ip string, h http.Handler) {
 	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard).StandardLog()}
-	c.servers[place] = s
-	l := c.net.Listen(place + ":80")
+	c.servers[ip] = s
+	l := c.net.Listen(ip + ":80")
 	go func() { _ = s.Serve(l) }()
 }
 
-// stopServer kills a stand-in's process.
-func (c *cluster) stopServer(place string) {
-	_ = c.servers[place].Close()
-	c.net.Crash(place)
+// killServer stops a stand-in like a crash of its process.
+func (c *cluster) killServer(ip string) {
+	_ = c.servers[ip].Close()
+	c.net.Crash(ip)
 }
 
 func (c *cluster) settings(m *member) *settings.Settings {
-	set, err := settings.Parse(fmt.Appendf(nil, `
+	parsed, err := settings.Parse(fmt.Appendf(nil, `
 [host]
 name = %s
 data_centre = %s
@@ -119,9 +119,9 @@
 [limits]
 forward_patience = 20s
 sweep_every = 10s
-`, m.name, m.dc, platformPlace, digest(token)))
+`, m.name, m.dataCentre, platformIP, digest(token)))
 	require.NoError(c.t, err)
-	return set
+	return parsed
 }
 
 func digest(s string) string {
@@ -129,13 +129,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (c *cluster) start(name string) {
+func (c *cluster) startHost(name string) {
 	m := c.members[name]
 	c.seed++
 	opt := node.Options{
-		Settings: c.settings(m), Log: log.NewWithOptions(logTo, log.Options{Formatter: log.JSONFormatter, Level: log.DebugLevel, ReportTimestamp: true, TimeFormat: "15:04:05.000"}),
-		Dialer: vnet.Dialer{Net: c.net, From: m.place}, Seed: c.seed,
-		Callers: c.net.Listen(m.place + ":1"), Operators: c.net.Listen(m.place + ":2"), Peers: c.net.Listen(m.place + ":3"),
+		Settings: c.settings(m), Log: log.NewWithOptions(hostLog, log.Options{Formatter: log.JSONFormatter, Level: log.DebugLevel, ReportTimestamp: true, TimeFormat: "15:04:05.000"}),
+		Dialer: vnet.Dialer{Net: c.net, From: m.ip}, Seed: c.seed,
+		Callers: c.net.Listen(m.ip + ":1"), Operators: c.net.Listen(m.ip + ":2"), Peers: c.net.Listen(m.ip + ":3"),
 	}
 	n, err := node.New(opt)
 	require.NoError(c.t, err)
@@ -145,19 +145,20 @@
 	m.node = n
 }
 
-// take returns the running node of a host and, if it is to end, marks it dead.
-func (c *cluster) take(name string, end bool) *node.Node {
+// runningNode returns the running node of a host, nil if there is none. With markDead, the
+// host counts as not running from now on.
+func (c *cluster) runningNode(name string, markDead bool) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.members[name].node
-	if end {
+	if markDead {
 		c.members[name].node = nil
 	}
 	return n
 }
 
-// live returns the running nodes by name.
-func (c *cluster) live() map[string]*node.Node {
+// liveNodes returns the running nodes by host name.
+func (c *cluster) liveNodes() map[string]*node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	nodes := map[string]*node.Node{}
@@ -169,68 +170,69 @@
 	return nodes
 }
 
-// logTo is where the hosts' logs go; a test being debugged changes it.
-var logTo io.Writer = io.Discard
+// hostLog receives the logs of all hosts; change it to debug a test.
+var hostLog io.Writer = io.Discard
 
-// kill ends a host as kill -9 would.
-func (c *cluster) kill(name string) {
-	n := c.take(name, true)
+// killHost stops a host like kill -9.
+func (c *cluster) killHost(name string) {
+	n := c.runningNode(name, true)
 	if n == nil {
 		return
 	}
-	c.net.Crash(c.members[name].place)
+	c.net.Crash(c.members[name].ip)
 	n.Kill()
-	c.net.Crash(c.members[name].place)
+	c.net.Crash(c.members[name].ip)
 }
 
-// stop ends a host in good order, in the background.
-func (c *cluster) stop(name string) {
-	n := c.take(name, false)
-	c.stopping.Go(func() {
+// drainHost drains a host in the background; c.drains waits for the end.
+func (c *cluster) drainHost(name string) {
+	n := c.runningNode(name, false)
+	c.drains.Go(func() {
 		if n.Drain(context.Background()) == nil {
-			c.take(name, true)
+			c.runningNode(name, true)
 		}
 	})
 }
 
-// cutCentre cuts a data centre's hosts off from the platform, or from the other
-// hosts, or both.
-func (c *cluster) cutCentre(dc string, fromPlatform, fromOthers, on bool) {
+// partitionDataCentre sets whether the hosts of a data centre are partitioned from the
+// platform, from the hosts of other data centres, or from both.
+func (c *cluster) partitionDataCentre(dataCentre string, fromPlatform, fromOthers, partitioned bool) {
 	for _, m := range c.members {
-		if m.dc != dc {
+		if m.dataCentre != dataCentre {
 			continue
 		}
 		if fromPlatform {
-			c.net.Cut(m.place, platformPlace, on)
+			c.net.Cut(m.ip, platformIP, partitioned)
 		}
 		for _, o := range c.members {
-			if fromOthers && o.dc != dc {
-				c.net.Cut(m.place, o.place, on)
+			if fromOthers && o.dataCentre != dataCentre {
+				c.net.Cut(m.ip, o.ip, partitioned)
 			}
 		}
 	}
 }
 
-// declaration is the operators' file; leaving names a target that leaves.
-func (c *cluster) declaration(leaving string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "[service \"agent-llm\"]\nkind = engine\nretry_ratio = 1\ntimeout = 5s\nidle_timeout = 10m\n[service \"orders\"]\nkind = plain\ntimeout = 5s\n")
-	fmt.Fprintf(&b, "[target \"orders\"]\nservice = orders\ndata_centre = seeb\nurl = http://%s:80\n", servicePlace)
+// declaration returns the operators' declaration; drainingTarget names the target that
+// drains, if any.
+func (c *cluster) declaration(drainingTarget string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "[service \"agent-llm\"]\nkind = engine\nretry_ratio = 1\ntimeout = 5s\nidle_timeout = 10m\n[service \"orders\"]\nkind = plain\ntimeout = 5s\n")
+	fmt.Fprintf(&text, "[target \"orders\"]\nservice = orders\ndata_centre = seeb\nurl = http://%s:80\n", serviceIP)
 	for _, name := range engineNames {
-		fmt.Fprintf(&b, "[target %q]\nservice = agent-llm\ndata_centre = sapporo-a\nurl = http://%s:80\nbatch = 4\ncache_tokens = 4000\nchecks_fencing = %v\nleaving = %v\n",
-			name, enginePlace(name), name != "e3", name == leaving)
+		fmt.Fprintf(&text, "[target %q]\nservice = agent-llm\ndata_centre = sapporo-a\nurl = http://%s:80\nbatch = 4\ncache_tokens = 4000\nchecks_fencing = %v\nleaving = %v\n",
+			name, engineIP(name), name != "e3", name == drainingTarget)
 	}
-	fmt.Fprintf(&b, "[caller \"crew\"]\ntoken_sha256 = %s\nbudget = 100000\n[rule \"all\"]\nthen = retry 6\n", digest(token))
-	return b.String()
+	fmt.Fprintf(&text, "[caller \"crew\"]\ntoken_sha256 = %s\nbudget = 100000\n[rule \"all\"]\nthen = retry 6\n", digest(token))
+	return text.String()
 }
 
-// apply puts a declaration in force, trying until the platform answers.
-func (c *cluster) apply(leaving, author string) {
-	s := store.New(platform.New(c.client, "http://"+platformPlace+":80", ""))
+// applyDeclaration applies a declaration and retries until the platform accepts it.
+func (c *cluster) applyDeclaration(drainingTarget, author string) {
+	s := store.New(platform.New(c.client, "http://"+platformIP+":80", ""))
 	for {
-		current, from, err := s.Current(context.Background())
+		current, revision, err := s.Current(context.Background())
 		if err == nil {
-			if _, err = s.Apply(context.Background(), c.declaration(leaving), author, current, from); err == nil {
+			if _, err = s.Apply(context.Background(), c.declaration(drainingTarget), author, current, revision); err == nil {
 				return
 			}
 		}
@@ -238,39 +240,39 @@
 	}
 }
 
-// watch samples what the hosts say of themselves until ctx ends.
-func (c *cluster) watch(ctx context.Context) {
+// sampleHosts records the dumps of the running hosts every 50 ms until ctx ends.
+func (c *cluster) sampleHosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, n := range c.live() {
-			c.sample(n.Dump())
+		for _, n := range c.liveNodes() {
+			c.recordDump(n.Dump())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (c *cluster) sample(d *host.Dump) {
+func (c *cluster) recordDump(d *host.Dump) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.versions[d.Member] = append(c.versions[d.Member], d.ConfigVersion)
+	c.configVersions[d.Member] = append(c.configVersions[d.Member], d.ConfigVersion)
 	for _, p := range d.Programs {
 		if p.Spent+p.Reserved > p.Budget {
-			c.overspent = append(c.overspent, fmt.Sprintf("%s: spent %d, reserved %d of %d", p.Program, p.Spent, p.Reserved, p.Budget))
+			c.overspentPrograms = append(c.overspentPrograms, fmt.Sprintf("%s: spent %d, reserved %d of %d", p.Program, p.Spent, p.Reserved, p.Budget))
 		}
 	}
 }
 
-// callerAddresses are where callers reach the hosts.
+// callerAddresses returns the hosts' addresses for callers.
 func (c *cluster) callerAddresses() []string {
-	var all []string
+	var addresses []string
 	for _, name := range slices.Sorted(maps.Keys(c.members)) {
-		all = append(all, c.members[name].place+":1")
+		addresses = append(addresses, c.members[name].ip+":1")
 	}
-	return all
+	return addresses
 }
 
-// plan is the callers' side: short and long programs, streamed and not, with
-// sub-agents and orders that must not be repeated.
-func (c *cluster) plan(programs int, seed uint64) load.Plan {
+// loadPlan returns the load: short and long programs, streamed and not, with sub-agents
+// and with orders that must not be repeated.
+func (c *cluster) loadPlan(programs int, seed uint64) load.Plan {
 	kind := load.Kind{Caller: "crew", Token: token, Service: "agent-llm", Words: 8, Pause: 200 * time.Millisecond, MaxTokens: 40}
 	short, long, order := kind, kind, kind
 	short.Name, short.Turns = "short", 3
@@ -279,12 +281,12 @@
 	return load.Plan{
 		Hosts: c.callerAddresses(), Kinds: []load.Kind{short, long, order}, Programs: programs, Parallel: 12, Seed: seed,
 		Patience: 10 * time.Minute, Client: c.client,
-		Orders: []string{"http://" + servicePlace + ":80"},
+		Orders: []string{"http://" + serviceIP + ":80"},
 	}
 }
 
-// orders counts the executed orders by their id.
-func (c *cluster) orders() map[string]int {
+// executedOrders returns the number of executions of each order by its ID.
+func (c *cluster) executedOrders() map[string]int {
 	executed := map[string]int{}
 	for _, o := range c.service.Orders() {
 		var body map[string]string
@@ -295,15 +297,15 @@
 	return executed
 }
 
-// close ends everything, so that the bubble can end.
+// close stops all hosts and stand-ins, so that the synctest bubble can end.
 func (c *cluster) close() {
 	c.net.Heal()
 	for _, name := range slices.Sorted(maps.Keys(c.members)) {
-		c.kill(name)
+		c.killHost(name)
 	}
-	c.stopping.Wait()
+	c.drains.Wait()
 	c.client.CloseIdleConnections()
-	for _, place := range slices.Sorted(maps.Keys(c.servers)) {
-		c.stopServer(place)
+	for _, ip := range slices.Sorted(maps.Keys(c.servers)) {
+		c.killServer(ip)
 	}
 }
--- a/ctl/always/faults_test.go
+++ b/ctl/always/faults_test.go
@@ -6,115 +6,116 @@
 	"github.com/pistachioarch/pistachioarch/ctl/standin"
 )
 
-// faultCase is one row of the table that every TestAlways test runs over.
+// faultCase is one row of the table that every test checks.
 type faultCase struct {
 	name string
-	// inject brings the faults about while the load runs; it returns when all
-	// of them are over.
+	// inject injects the faults while the load runs. It returns when the
+	// temporary faults are over; permanent ones last to the end of the case.
 	inject func(c *cluster)
-	// planned says that only planned stops happen: nothing may be cut.
-	planned bool
-	// programs to run; 0 is defaultPrograms.
+	// plannedStopsOnly reports that the case has no faults but planned stops, which must
+	// interrupt no request.
+	plannedStopsOnly bool
+	// programs is the number of programs to run; 0 means defaultPrograms.
 	programs int
-	// unknownOrders is how many orders may end as "ran: unknown".
+	// unknownOrders bounds the orders that may end as "ran: unknown".
 	unknownOrders int
-	// cutOff says that some hosts cannot learn of a new declaration while the
-	// faults last, so that it is looked for only from their end.
-	cutOff bool
+	// delaysConfig reports that some hosts cannot learn of a new declaration during
+	// the faults. The time until it is applied then counts from their end.
+	delaysConfig bool
 }
 
 const defaultPrograms = 48
 
-// firstFault is when the first fault comes after the load has begun.
-const firstFault = 1200 * time.Millisecond
+// firstFaultDelay is the time from the start of the load to the first fault.
+const firstFaultDelay = 1200 * time.Millisecond
 
 func wait(d time.Duration) { time.Sleep(d) }
 
-// faultCases is the table. Times are of the bubble.
+// faultCases is the table of faults. Times are virtual, of the synctest bubble.
 var faultCases = []faultCase{
-	{name: "no fault", inject: func(*cluster) {}, planned: true},
+	{name: "no fault", inject: func(*cluster) {}, plannedStopsOnly: true},
 	{name: "host killed", unknownOrders: 4, inject: func(c *cluster) {
-		wait(firstFault)
-		c.kill("h1")
+		wait(firstFaultDelay)
+		c.killHost("h1")
 	}},
-	{name: "host killed and started again", unknownOrders: 4, inject: func(c *cluster) {
-		wait(firstFault)
-		c.kill("h1")
+	{name: "host killed and restarted", unknownOrders: 4, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.killHost("h1")
 		wait(300 * time.Millisecond)
-		c.start("h1")
+		c.startHost("h1")
 	}},
 	{name: "host killed with orders between intent and answer", unknownOrders: 16, inject: func(c *cluster) {
 		c.service.SetFaults(standin.ServiceFaults{SlowMS: 400})
 		c.awaitOrders(2)
-		c.kill(c.ownerOfLastOrder())
+		c.killHost(c.ownerOfLastOrder())
 		wait(2 * time.Second)
 		c.service.SetFaults(standin.ServiceFaults{})
 	}},
 	{name: "two hosts of a data centre killed", unknownOrders: 8, inject: func(c *cluster) {
-		wait(firstFault)
-		c.kill("h1")
+		wait(firstFaultDelay)
+		c.killHost("h1")
 		wait(2 * time.Second)
-		c.kill("h2")
+		c.killHost("h2")
 	}},
-	{name: "all hosts of a data centre killed and started again", unknownOrders: 16, inject: func(c *cluster) {
-		wait(firstFault)
-		c.kill("h4")
-		c.kill("h5")
+	{name: "all hosts of a data centre killed and restarted", unknownOrders: 16, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.killHost("h4")
+		c.killHost("h5")
 		wait(time.Second)
-		c.start("h4")
-		c.start("h5")
-	}},
-	{name: "data centre lost for good", unknownOrders: 16, inject: func(c *cluster) {
-		wait(firstFault)
-		c.kill("h4")
-		c.kill("h5")
-	}},
-	{name: "graceful restart", planned: true, inject: func(c *cluster) {
-		wait(firstFault)
-		c.stop("h1")
-		c.stopping.Wait()
-		c.start("h1")
-	}},
-	{name: "every host gracefully restarted in turn", planned: true, programs: 2 * defaultPrograms, inject: func(c *cluster) {
-		wait(firstFault)
+		c.startHost("h4")
+		c.startHost("h5")
+	}},
+	{name: "data centre lost permanently", unknownOrders: 16, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.killHost("h4")
+		c.killHost("h5")
+	}},
+	{name: "graceful restart", plannedStopsOnly: true, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.drainHost("h1")
+		c.drains.Wait()
+		c.startHost("h1")
+	}},
+	{name: "every host gracefully restarted in turn", plannedStopsOnly: true, programs: 2 * defaultPrograms, inject: func(c *cluster) {
+		wait(firstFaultDelay)
 		for _, name := range []string{"h1", "h2", "h3", "h4", "h5"} {
-			c.stop(name)
-			c.stopping.Wait()
-			c.start(name)
+			c.drainHost(name)
+			c.drains.Wait()
+			c.startHost(name)
 			wait(2 * time.Second)
 		}
 	}},
-	{name: "host killed while it hands over", unknownOrders: 4, inject: func(c *cluster) {
-		wait(firstFault)
-		c.stop("h1")
+	{name: "host killed during its handover", unknownOrders: 4, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.drainHost("h1")
 		wait(250 * time.Millisecond)
-		c.kill("h1")
+		c.killHost("h1")
 	}},
-	{name: "host killed while slots are handed to it", unknownOrders: 4, inject: func(c *cluster) {
-		wait(firstFault)
-		c.stop("h1")
+	{name: "host killed while it receives slots", unknownOrders: 4, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.drainHost("h1")
 		wait(220 * time.Millisecond)
-		c.kill("h2")
+		c.killHost("h2")
 	}},
-	{name: "host frozen past its lease and woken", unknownOrders: 4, cutOff: true, inject: func(c *cluster) {
-		wait(firstFault)
+	{name: "host frozen beyond its lease and resumed", unknownOrders: 4, delaysConfig: true, inject: func(c *cluster) {
+		wait(firstFaultDelay)
 		c.net.Freeze("10.1.0.1", true)
 		wait(12 * time.Second)
 		c.net.Freeze("10.1.0.1", false)
 	}},
 	{name: "platform down for five minutes", inject: func(c *cluster) {
-		wait(firstFault)
+		wait(firstFaultDelay)
 		c.platform.SetFaults(standin.PlatformFaults{Down: true})
 		wait(5 * time.Minute)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "platform slow", inject: func(c *cluster) {
-		wait(firstFault)
+		wait(firstFaultDelay)
 		c.platform.SetFaults(standin.PlatformFaults{SlowMS: 700})
 		wait(40 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
-	{name: "replies of writes lost", inject: func(c *cluster) {
+	{name: "replies to writes lost", inject: func(c *cluster) {
 		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 3})
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
@@ -129,60 +130,60 @@
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
-	{name: "data centre cut from the platform", inject: func(c *cluster) {
-		wait(firstFault)
-		c.cutCentre("sapporo-a", true, false, true)
+	{name: "data centre partitioned from the platform", inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.partitionDataCentre("sapporo-a", true, false, true)
 		wait(time.Minute)
-		c.cutCentre("sapporo-a", true, false, false)
+		c.partitionDataCentre("sapporo-a", true, false, false)
 	}},
-	{name: "data centre cut from the others", unknownOrders: 8, inject: func(c *cluster) {
-		wait(firstFault)
-		c.cutCentre("seeb", false, true, true)
+	{name: "data centre partitioned from the other hosts", unknownOrders: 8, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.partitionDataCentre("seeb", false, true, true)
 		wait(time.Minute)
-		c.cutCentre("seeb", false, true, false)
+		c.partitionDataCentre("seeb", false, true, false)
 	}},
-	{name: "data centre cut from all", unknownOrders: 8, cutOff: true, inject: func(c *cluster) {
-		wait(firstFault)
-		c.cutCentre("seeb", true, true, true)
+	{name: "data centre partitioned from the platform and the other hosts", unknownOrders: 8, delaysConfig: true, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.partitionDataCentre("seeb", true, true, true)
 		wait(time.Minute)
-		c.cutCentre("seeb", true, true, false)
+		c.partitionDataCentre("seeb", true, true, false)
 	}},
-	{name: "host cut from the platform alone", inject: func(c *cluster) {
-		wait(firstFault)
-		c.net.Cut("10.1.0.1", platformPlace, true)
+	{name: "host partitioned from the platform only", inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.net.Cut("10.1.0.1", platformIP, true)
 		wait(time.Minute)
-		c.net.Cut("10.1.0.1", platformPlace, false)
+		c.net.Cut("10.1.0.1", platformIP, false)
 	}},
 	{name: "target killed", inject: func(c *cluster) {
-		wait(firstFault)
-		c.stopServer(enginePlace("e1"))
+		wait(firstFaultDelay)
+		c.killServer(engineIP("e1"))
 	}},
 	{name: "target restarted", inject: func(c *cluster) {
-		wait(firstFault)
-		c.stopServer(enginePlace("e1"))
+		wait(firstFaultDelay)
+		c.killServer(engineIP("e1"))
 		wait(time.Second)
 		c.engines["e1"].Restart()
-		c.serve(enginePlace("e1"), c.engines["e1"].Handler())
+		c.startServer(engineIP("e1"), c.engines["e1"].Handler())
 	}},
 	{name: "target hangs", inject: func(c *cluster) {
-		wait(firstFault)
+		wait(firstFaultDelay)
 		c.engines["e1"].SetFaults(standin.EngineFaults{Freeze: true})
 		wait(20 * time.Second)
 		c.engines["e1"].SetFaults(standin.EngineFaults{})
 	}},
-	{name: "answers broken off", inject: func(c *cluster) {
+	{name: "answers interrupted", inject: func(c *cluster) {
 		c.engines["e1"].SetFaults(standin.EngineFaults{Break: 5})
 		c.engines["e3"].SetFaults(standin.EngineFaults{Break: 7})
 	}},
 	{name: "answers crossed", inject: func(c *cluster) {
 		c.engines["e1"].SetFaults(standin.EngineFaults{Cross: 6})
 	}},
-	{name: "target refuses", inject: func(c *cluster) {
+	{name: "target rejects requests", inject: func(c *cluster) {
 		c.engines["e1"].SetFaults(standin.EngineFaults{Refuse: true})
 		wait(5 * time.Second)
 		c.engines["e1"].SetFaults(standin.EngineFaults{})
 	}},
-	{name: "orders to targets lost and cache reports with gaps", inject: func(c *cluster) {
+	{name: "cache releases lost and cache reports incomplete", inject: func(c *cluster) {
 		for _, e := range c.engines {
 			e.SetFaults(standin.EngineFaults{LoseOrders: 2, HideCache: 3})
 		}
@@ -190,13 +191,13 @@
 	}},
 	{name: "target ignores fencing", unknownOrders: 4, inject: func(c *cluster) {
 		c.engines["e1"].SetFaults(standin.EngineFaults{IgnoreFencing: true})
-		wait(firstFault)
-		c.kill("h1")
+		wait(firstFaultDelay)
+		c.killHost("h1")
 	}},
 	{name: "plain service loses replies", unknownOrders: 16, inject: func(c *cluster) {
 		c.service.SetFaults(standin.ServiceFaults{LoseReply: 2})
 	}},
-	{name: "plain service refuses", unknownOrders: 0, inject: func(c *cluster) {
+	{name: "plain service rejects requests", unknownOrders: 0, inject: func(c *cluster) {
 		c.service.SetFaults(standin.ServiceFaults{Refuse: true})
 		wait(6 * time.Second)
 		c.service.SetFaults(standin.ServiceFaults{})
@@ -206,56 +207,56 @@
 		wait(8 * time.Second)
 		c.service.SetFaults(standin.ServiceFaults{})
 	}},
-	{name: "two operators race", inject: func(c *cluster) {
+	{name: "two operators apply declarations concurrently", inject: func(c *cluster) {
 		for i := range 5 {
-			go c.apply("e2", "racer")
-			c.apply("e2", "other racer")
+			go c.applyDeclaration("e2", "racer")
+			c.applyDeclaration("e2", "other racer")
 			wait(time.Duration(i) * 10 * time.Millisecond)
 		}
 	}},
-	// Two at once.
+	// Combined faults.
 	{name: "platform down and a host killed", unknownOrders: 8, inject: func(c *cluster) {
-		wait(firstFault)
+		wait(firstFaultDelay)
 		c.platform.SetFaults(standin.PlatformFaults{Down: true})
 		wait(time.Second)
-		c.kill("h1")
+		c.killHost("h1")
 		wait(time.Minute)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "replies lost and a host killed", unknownOrders: 8, inject: func(c *cluster) {
 		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 2})
-		wait(firstFault)
-		c.kill("h1")
+		wait(firstFaultDelay)
+		c.killHost("h1")
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
 	{name: "stale reads and a host killed", unknownOrders: 8, inject: func(c *cluster) {
 		c.platform.SetFaults(standin.PlatformFaults{StaleReads: 2})
-		wait(firstFault)
-		c.kill("h1")
+		wait(firstFaultDelay)
+		c.killHost("h1")
 		wait(30 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
-	{name: "host frozen and a target killed", unknownOrders: 8, cutOff: true, inject: func(c *cluster) {
-		wait(firstFault)
+	{name: "host frozen and a target killed", unknownOrders: 8, delaysConfig: true, inject: func(c *cluster) {
+		wait(firstFaultDelay)
 		c.net.Freeze("10.1.0.2", true)
-		c.stopServer(enginePlace("e2"))
+		c.killServer(engineIP("e2"))
 		wait(15 * time.Second)
 		c.net.Freeze("10.1.0.2", false)
 	}},
-	{name: "data centre cut from all and a host stopped", unknownOrders: 8, cutOff: true, inject: func(c *cluster) {
-		wait(firstFault)
-		c.cutCentre("sapporo-a", true, true, true)
+	{name: "data centre partitioned from the platform and the other hosts, and a host drained", unknownOrders: 8, delaysConfig: true, inject: func(c *cluster) {
+		wait(firstFaultDelay)
+		c.partitionDataCentre("sapporo-a", true, true, true)
 		wait(2 * time.Second)
-		c.stop("h1")
+		c.drainHost("h1")
 		wait(40 * time.Second)
-		c.cutCentre("sapporo-a", true, true, false)
-		c.stopping.Wait()
+		c.partitionDataCentre("sapporo-a", true, true, false)
+		c.drains.Wait()
 	}},
-	{name: "lost replies and operators racing in a slow platform", inject: func(c *cluster) {
+	{name: "replies lost and two operators apply declarations concurrently on a slow platform", inject: func(c *cluster) {
 		c.platform.SetFaults(standin.PlatformFaults{LoseReply: 2, SlowMS: 100})
-		go c.apply("e2", "racer")
-		c.apply("e2", "other racer")
+		go c.applyDeclaration("e2", "racer")
+		c.applyDeclaration("e2", "other racer")
 		wait(10 * time.Second)
 		c.platform.SetFaults(standin.PlatformFaults{})
 	}},
