--- a/ctl/standin/engine.go
+++ b/ctl/standin/engine.go
@@ -61,8 +61,8 @@
 	Epoch    uint64    // of the fencing token; 0 without one
 	At       time.Time // start
 	Done     bool      // ran to its end
-	Prompt   int64     // tokens
-	Output   int64     // tokens; 0 until Done
+	Prompt   int64     // length in tokens
+	Output   int64     // length in tokens; 0 until Done
 }
 
 // Engine is a stand-in for a model engine with continuous batching and a prefix
@@ -80,7 +80,7 @@
 	fencingEpochs  map[string]uint64 // highest epoch received, by slot
 	calls          []EngineCall
 	lastID         string // call id of the latest call, for CrossEvery
-	// lastChunks is the answer of the call lastID.
+	// lastChunks is the answer to the call lastID.
 	lastChunks  []string
 	faultCounts map[string]int // events by fault that affects each n-th one
 	loadHistory []loadSample   // oldest first
@@ -256,8 +256,8 @@
 	return slot, epoch
 }
 
-// acquireCapacity waits until the batch has room for a call and adds it. It returns
-// false if the client ends the request first.
+// acquireCapacity waits until fewer than BatchSize calls run and adds one to the batch.
+// It returns false if the client ends the request first.
 func (e *Engine) acquireCapacity(r *http.Request) bool {
 	e.mu.Lock()
 	e.queued++
@@ -362,8 +362,8 @@
 	return len(e.calls) - 1, cached
 }
 
-// finishCall records that a call ran to its end, and caches its output unless the program was
-// evicted meanwhile.
+// finishCall records that a call ran to its end, and caches its output unless the
+// program was evicted meanwhile.
 func (e *Engine) finishCall(index int, program string, prompt, output int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/ctl/standin/objects.go
+++ b/ctl/standin/objects.go
@@ -11,8 +11,8 @@
 	"github.com/pistachioarch/pistachioarch/wire/objects"
 )
 
-// storeLatency is the duration of one call: a few milliseconds, as in the stores that
-// users run.
+// storeLatency is the duration of one call; the stores that users run also take a few
+// milliseconds.
 const storeLatency = 4 * time.Millisecond
 
 // Objects is an object store in memory. ViewFrom returns the objects.Store of one host,
@@ -26,7 +26,7 @@
 	changed        chan struct{} // closed and replaced by each change
 	down           bool
 	partitioned    map[string]bool // by IP address of the host
-	answersToLose  int             // writes
+	answersToLose  int             // number of next writes whose answers are lost
 	calls          map[string]int  // by IP address of the host
 }
 
@@ -84,15 +84,15 @@
 	s.wakeWatches()
 }
 
-// Put writes an object without latency or faults, in ip of an operator or a target.
+// Put writes an object without latency or faults, as an operator or a target does.
 func (s *Objects) Put(kind, name string, spec []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.putObject(kind, objects.Object{Name: name, Spec: spec})
 }
 
-// Remove removes an object, if there is one, without latency or faults, in ip of its
-// owner.
+// Remove removes an object, if there is one, without latency or faults, as its owner
+// does.
 func (s *Objects) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ctl/standin/platform.go
+++ b/ctl/standin/platform.go
@@ -190,8 +190,8 @@
 	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
-// isStaleRead counts a read and reports whether it gets the object's previous state. The
-// caller holds mu.
+// isStaleRead counts a read and reports whether it returns the object's previous state.
+// The caller holds mu.
 func (p *Platform) isStaleRead() bool {
 	if p.faults.StaleReadEvery == 0 {
 		return false
--- a/ctl/standin/turn_engine.go
+++ b/ctl/standin/turn_engine.go
@@ -38,7 +38,8 @@
 	mu     sync.Mutex
 	active int // requests under way
 	runs   []Run
-	// answersToLose is the number of requests whose connection breaks after they ran.
+	// answersToLose is the number of next requests whose connections break after they
+	// ran.
 	answersToLose int
 }
 
@@ -91,7 +92,7 @@
 }
 
 // startRun records a request that starts. ok is false if the engine is at capacity;
-// loseAnswer says that the connection must break instead of an answer.
+// loseAnswer reports whether the connection must break in place of an answer.
 func (e *TurnEngine) startRun(run Run) (loseAnswer, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
