--- a/ctl/replay/audit.go
+++ b/ctl/replay/audit.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// recordStart checks a call that an engine starts: its repetition, order and history.
-// It returns the tokens of the history.
+// recordStart checks a call that an engine starts: whether it may run again, its order
+// and its history. It returns the number of tokens of the history.
 func (sim *simulation) recordStart(e *engine, c *engineCall) int64 {
 	a, id := sim.audit, c.send.Call
 	if a.attempts[id.Program] == nil {
--- a/ctl/replay/callers.go
+++ b/ctl/replay/callers.go
@@ -42,6 +42,7 @@
 	onCreated []func() // starts of sub-agents
 }
 
+// newCallers schedules the programs and the faults of the trace.
 func newCallers(sim *simulation) *callers {
 	c := &callers{sim: sim, programs: map[string]*programRun{}, byID: map[ident.Program]*programRun{}, nextHost: map[string]int{}, unfinished: len(sim.trace.Programs)}
 	for _, p := range sim.trace.Programs {
@@ -61,7 +62,8 @@
 	return call.PromptTokens, call.OutputTokens
 }
 
-// selectHost returns a live host of the data centre, or of any if it has none, or nil.
+// selectHost returns the next live host of the data centre; if it has none, of those of
+// other data centres that it reaches; nil if there is none.
 func (c *callers) selectHost(dc string) *entryHost {
 	var near, reachable []*entryHost
 	for _, e := range c.sim.hosts {
@@ -211,7 +213,7 @@
 // passes its outcome to done.
 func (r *programRun) send(dc string, program ident.Program, newEvent func(waiter uint64) host.Event, done func(host.Outcome)) {
 	sim := r.callers.sim
-	client := simclock.Milliseconds(sim.trace.Header.ClientMS)
+	clientDelay := simclock.Milliseconds(sim.trace.Header.ClientMS)
 	e := r.callers.selectHost(dc)
 	if e == nil {
 		sim.After(callerRetryDelay, func() {
@@ -219,9 +221,9 @@
 		})
 		return
 	}
-	sim.After(client, func() {
+	sim.After(clientDelay, func() {
 		req := &forwardedRequest{sim: sim, entry: e, incarnation: e.incarnation, program: program, newEvent: newEvent, deadline: sim.Now() + forwardTimeout}
-		req.done = func(out host.Outcome) { sim.After(client, func() { done(out) }) }
+		req.done = func(out host.Outcome) { sim.After(clientDelay, func() { done(out) }) }
 		req.attempt()
 	})
 }
@@ -262,8 +264,8 @@
 	})
 }
 
-// owner returns the host that must run the request as far as the entry host knows, or
-// nil.
+// owner returns the host that owns the request's slot according to the entry host, or the
+// one that creates new programs; nil if the owner is unknown.
 func (req *forwardedRequest) owner() *entryHost {
 	if req.program == "" {
 		if address := req.entry.host.NewProgramAddress(); address != "" {
--- a/ctl/replay/engine.go
+++ b/ctl/replay/engine.go
@@ -39,7 +39,7 @@
 type engineCall struct {
 	send         host.Send
 	sender       *entryHost
-	promptTokens int64 // tokens that the history does not contain
+	promptTokens int64 // without those of the history
 	outputTokens int64
 	done         func(*host.TargetDone)
 }
@@ -74,7 +74,7 @@
 	})
 }
 
-// fillBatch starts waiting calls while the batch has room.
+// fillBatch starts waiting calls until the batch is full. A frozen engine starts none.
 func (e *engine) fillBatch() {
 	for !e.frozen && len(e.running) < e.header.BatchSize && len(e.waiting) > 0 {
 		best := 0
--- a/ctl/replay/regression_test.go
+++ b/ctl/replay/regression_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// failedSchedules are fault schedules, by name, that TestRandomFaults found to fail before
-// the fault in the code was repaired.
+// failedSchedules are fault schedules, by name, with which TestRandomFaults failed before a
+// bug in the code was fixed. The comment above each states the bug.
 var failedSchedules = map[string]string{
 	// The model of an engine continued the calls of a host that had died.
 	"owner restarts while a target is frozen": `
--- a/ctl/replay/replay_test.go
+++ b/ctl/replay/replay_test.go
@@ -18,8 +18,8 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// traces is the folder of the recorded traces.
-const traces = "../../traces"
+// tracesDir is the directory of the recorded traces.
+const tracesDir = "../../traces"
 
 // TestMain fixes the seed of the property test unless one is given, so that runs of CI
 // are reproducible.
@@ -37,7 +37,7 @@
 
 // readTrace reads a recorded trace.
 func readTrace(t testing.TB, name string) *Trace {
-	f, err := os.Open(filepath.Join(traces, name+".jsonl"))
+	f, err := os.Open(filepath.Join(tracesDir, name+".jsonl"))
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }() // opened for reading only
 	trace, err := Read(f)
@@ -69,7 +69,7 @@
 	for _, w := range Workloads(1) {
 		var b bytes.Buffer
 		require.NoError(t, w.Generate(&b))
-		recorded, err := os.ReadFile(filepath.Join(traces, w.Name+".jsonl"))
+		recorded, err := os.ReadFile(filepath.Join(tracesDir, w.Name+".jsonl"))
 		require.NoError(t, err)
 		assert.True(t, bytes.Equal(b.Bytes(), recorded), w.Name)
 	}
@@ -179,12 +179,12 @@
 }
 
 // TestRandomFaults checks random fault schedules against the decision code. rapid shrinks
-// a failing schedule and prints the shortest one; the flag -rapid.seed, which CI and
-// `make soak` set, fixes its seed.
+// a failing schedule and prints the shortest one. The seed is 1 (TestMain) unless the
+// flag -rapid.seed is given; `make soak` sets the number of schedules (-rapid.checks).
 func TestRandomFaults(t *testing.T) { rapid.Check(t, checkRandomFaults) }
 
-// failedSeeds are seeds of TestRandomFaults that failed before the fault in the code was
-// repaired.
+// failedSeeds are seeds with which TestRandomFaults failed before a bug in the code was
+// fixed.
 var failedSeeds = []string{"518748", "2288"}
 
 func TestFailedSeeds(t *testing.T) {
--- a/ctl/replay/run.go
+++ b/ctl/replay/run.go
@@ -45,7 +45,7 @@
 
 // Durations of a replay, on virtual time.
 const (
-	settleTime    = 45 * time.Second // after the last program, for cache releases and the sweep
+	settleTime    = 45 * time.Second // after the last program, for cache releases and those that reports trigger (host.NoteSwept)
 	maxReplayTime = 6 * time.Hour    // until all programs have ended
 )
 
--- a/ctl/replay/simulation.go
+++ b/ctl/replay/simulation.go
@@ -121,11 +121,11 @@
 	cfg.Incarnation = fmt.Sprintf("i%d", e.incarnation)
 	cfg.Seed = e.sim.seed
 	cfg.Policy = e.sim.policy
-	m, err := host.New(cfg)
+	h, err := host.New(cfg)
 	if err != nil {
 		return err
 	}
-	e.host, e.alive, e.waiters = m, true, map[uint64]func(host.Outcome){}
+	e.host, e.alive, e.waiters = h, true, map[uint64]func(host.Outcome){}
 	e.step(&host.Start{Seeds: e.seeds()})
 	e.tick(e.incarnation)
 	return nil
