--- a/ctl/load/check.go
+++ b/ctl/load/check.go
@@ -35,7 +35,7 @@
 	for id, order := range r.orders {
 		executions := executed[id]
 		if executions > 1 || order.outcome == "answered" && executions == 0 || order.outcome == string(failure.RanNo) && executions > 0 {
-			report.Violations = append(report.Violations, fmt.Sprintf("%s: %s was executed %d times, its caller was told %s", order.program, id, executions, order.outcome))
+			report.Violations = append(report.Violations, fmt.Sprintf("%s: %s was executed %d times, but its caller received the outcome %s", order.program, id, executions, order.outcome))
 		}
 	}
 	sort.Strings(report.Violations)
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -113,7 +113,7 @@
 type placedOrder struct{ program, outcome string }
 
 // Run runs the programs of a plan and checks the results. The report contains the
-// violations; the error states a fault of the plan or the end of the context.
+// violations; the error states that the plan is invalid or that the context ended.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	if len(plan.Hosts) == 0 || len(plan.Kinds) == 0 {
 		return nil, failure.New(failure.Usage, "plan has no hosts or no kinds of programs")
@@ -168,7 +168,7 @@
 	kind     Kind
 	id       string
 	sequence uint32        // of the next call
-	messages []api.Message // all answered turns
+	messages []api.Message // of all answered turns, with the answers
 	result   *ProgramResult
 }
 
@@ -268,8 +268,8 @@
 	return f.RetryAfter == 0
 }
 
-// askEngine sends one question to an engine, checks its answer and reports whether
-// there was one.
+// askEngine sends one question to an engine, checks its answer and reports whether it
+// was answered.
 func (c *conversation) askEngine(ctx context.Context, question string) bool {
 	turn := []api.Message{{Role: "user", Content: question}}
 	turnJSON, _ := json.Marshal(turn) // strings always encode
