--- a/ctl/command/command.go
+++ b/ctl/command/command.go
@@ -165,7 +165,7 @@
 	return api.NewClient(a.http, "http://"+host, a.globals.Token)
 }
 
-// print writes v as JSON or rows as a table, as the --output option says.
+// print writes v as JSON or rows as a table, depending on the --output option.
 func (a *app) print(v any, header string, rows []string) error {
 	if a.globals.Output == "json" {
 		e := json.NewEncoder(a.out)
--- a/ctl/command/load.go
+++ b/ctl/command/load.go
@@ -13,16 +13,16 @@
 )
 
 type loadCommand struct {
-	app         *app
-	Name        string        `long:"name" default:"load" description:"name at the start of the summary line"`
-	CallerHosts []string      `long:"caller-host" required:"true" value-name:"IP:PORT" description:"callers' address of an entry host; may be given several times"`
-	Plan        string        `long:"plan" required:"true" value-name:"FILE.ini" description:"kinds of programs"`
-	Declaration string        `long:"declaration" value-name:"FILE.ini" description:"declaration whose stand-ins are checked at the end"`
-	Programs    int           `long:"programs" default:"20" description:"programs to run"`
-	Parallel    int           `long:"parallel" default:"10" description:"programs that run at the same time"`
-	Seed        uint64        `long:"seed" default:"1" description:"seed of all choices, and part of the program keys"`
-	Patience    time.Duration `long:"patience" default:"45s" description:"time limit for retries of one call"`
-	Progress    string        `long:"progress-file" description:"file to which a line is written for each program"`
+	app          *app
+	Name         string        `long:"name" default:"load" description:"name at the start of the summary line"`
+	CallerHosts  []string      `long:"caller-host" required:"true" value-name:"IP:PORT" description:"callers' address of an entry host; may be given several times"`
+	Plan         string        `long:"plan" required:"true" value-name:"FILE.ini" description:"kinds of programs"`
+	Declaration  string        `long:"declaration" value-name:"FILE.ini" description:"declaration whose stand-ins are checked at the end"`
+	Programs     int           `long:"programs" default:"20" description:"programs to run"`
+	Parallel     int           `long:"parallel" default:"10" description:"programs that run at the same time"`
+	Seed         uint64        `long:"seed" default:"1" description:"seed of all choices, and part of the program keys"`
+	RetryTimeout time.Duration `long:"patience" default:"45s" description:"time limit for retries of one call"`
+	Progress     string        `long:"progress-file" description:"file to which a line is written for each program"`
 }
 
 // Execute implements flags.Commander.
@@ -32,7 +32,7 @@
 		return err
 	}
 	plan := load.Plan{
-		Hosts: c.CallerHosts, Kinds: kinds, Programs: c.Programs, Parallel: c.Parallel, Seed: c.Seed, RetryTimeout: c.Patience,
+		Hosts: c.CallerHosts, Kinds: kinds, Programs: c.Programs, Parallel: c.Parallel, Seed: c.Seed, RetryTimeout: c.RetryTimeout,
 		Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Parallel}},
 	}
 	if err := c.addStandins(&plan); err != nil {
--- a/ctl/command/replay.go
+++ b/ctl/command/replay.go
@@ -33,7 +33,7 @@
 	if c.Trace == "" {
 		return failure.New(failure.Usage, "--trace or --pattern is needed")
 	}
-	t, want, err := readTrace(c.Trace)
+	t, expected, err := readTrace(c.Trace)
 	if err != nil {
 		return err
 	}
@@ -57,12 +57,12 @@
 			return err
 		}
 	}
-	return c.print(results, want)
+	return c.print(results, expected)
 }
 
 // print writes one JSON object per policy, or a table. It checks the result of the default policy
 // against the expected outcome; if several policies ran, the others are baselines and not checked.
-func (c *replayCommand) print(results []*replay.Result, want *replay.ExpectedOutcome) error {
+func (c *replayCommand) print(results []*replay.Result, expected *replay.ExpectedOutcome) error {
 	if c.app.globals.Output == "json" {
 		e := json.NewEncoder(c.app.out)
 		for _, r := range results {
@@ -73,14 +73,14 @@
 	} else if err := c.printTable(results); err != nil {
 		return err
 	}
-	if want == nil {
+	if expected == nil {
 		return nil
 	}
 	for _, r := range results {
 		if len(results) > 1 && r.Policy != sched.PolicyDefault {
 			continue
 		}
-		if err := want.Check(r); err != nil {
+		if err := expected.Check(r); err != nil {
 			return &outcomeError{code: ExitOutcome, err: err}
 		}
 	}
@@ -110,11 +110,11 @@
 	if os.IsNotExist(err) {
 		return t, nil, nil
 	}
-	want := &replay.ExpectedOutcome{}
+	expected := &replay.ExpectedOutcome{}
 	if err == nil {
-		err = json.Unmarshal(body, want)
+		err = json.Unmarshal(body, expected)
 	}
-	return t, want, failure.Wrap(err, failure.Usage, "expected outcome")
+	return t, expected, failure.Wrap(err, failure.Usage, "expected outcome")
 }
 
 func (c *replayCommand) generate() error {
--- a/ctl/command/status.go
+++ b/ctl/command/status.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// drain tells one host to drain and waits until it no longer answers.
+// drain requests one host to drain and waits until it no longer answers.
 func (c *drainCommand) drain(host string) error {
 	ctx, cancel := c.app.withTimeout()
 	defer cancel()
