--- a/ctl/lineplot/lineplot.go
+++ b/ctl/lineplot/lineplot.go
@@ -35,12 +35,12 @@
 
 // Save draws the chart and writes it to a PNG file. The error is a Failure of kind Usage if the
 // file cannot be written.
-func (p Chart) Save(file string) error {
+func (c Chart) Save(file string) error {
 	out := plot.New()
-	out.Title.Text, out.X.Label.Text, out.Y.Label.Text = p.Title, p.XLabel, p.YLabel
+	out.Title.Text, out.X.Label.Text, out.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	out.Y.Min, out.Y.Max = 0, 1
 	out.BackgroundColor = color.White
-	for i, l := range p.Lines {
+	for i, l := range c.Lines {
 		points := make(plotter.XYs, len(l.Points))
 		for j, x := range l.Points {
 			points[j] = plotter.XY(x)
--- a/ctl/simclock/clock.go
+++ b/ctl/simclock/clock.go
@@ -11,12 +11,12 @@
 type Clock struct {
 	now    time.Duration
 	events eventHeap
-	added  uint64
+	added  uint64 // number of events added so far
 }
 
 type event struct {
 	at    time.Duration
-	order uint64
+	order uint64 // among events at the same time
 	run   func()
 }
 
--- a/ctl/store/store.go
+++ b/ctl/store/store.go
@@ -126,11 +126,11 @@
 			return nil
 		}
 		if r.Status == host.OpConflict || r.Status == host.OpLost {
-			back := s.client.Do(ctx, host.PlatformOp{Kind: host.OpGet, Key: key})
+			readBack := s.client.Do(ctx, host.PlatformOp{Kind: host.OpGet, Key: key})
 			switch {
-			case back.Status == host.OpOK && bytes.Equal(back.Body, body):
+			case readBack.Status == host.OpOK && bytes.Equal(readBack.Body, body):
 				return nil
-			case back.Status == host.OpOK && back.Version > ifVersion:
+			case readBack.Status == host.OpOK && readBack.Version > ifVersion:
 				return failure.New(failure.Conflict, "another change was accepted in the meantime")
 			}
 		}
