--- a/ctl/system/api_test.go
+++ b/ctl/system/api_test.go
@@ -1,5 +1,5 @@
-// Package system tests whole hosts over real sockets and, where needed, as real processes. Results
-// depend on outcomes, not on timing.
+// Package system tests complete hosts over real sockets and, where needed, as real processes. The
+// tests check outcomes, not timing.
 package system
 
 import (
@@ -35,8 +35,8 @@
 	deskDigest = "143120b01b279ac7898289942868c04df870491a92cb0fb9375298baa8db8f40"
 )
 
-// readyTimeout is the time for a host to become ready. It is long, so that a slow machine only
-// slows the test down.
+// readyTimeout bounds the time until a host is ready, and until an engine has released a cache. It is
+// long, so that a slow machine only slows the test down.
 const readyTimeout = time.Minute
 
 type fixture struct {
@@ -127,7 +127,7 @@
 
 const helloCall = `{"sequence":0,"messages":[{"role":"user","content":"hello"}]}`
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	x := newFixture(t)
 	p, err := x.client("crew-3-secret").Create(context.Background(), api.CreateProgram{Service: "llm"})
 	require.NoError(t, err)
--- a/ctl/system/process_test.go
+++ b/ctl/system/process_test.go
@@ -38,7 +38,8 @@
 	return dir
 }
 
-// startProcess runs a binary and waits for a JSON line with the key on its standard error or output.
+// startProcess runs a binary and waits for a JSON line with the key on its standard error, or on its
+// standard output if stderr is false.
 func startProcess(t *testing.T, stderr bool, key, path string, args ...string) *process {
 	p := &process{cmd: exec.Command(path, args...)}
 	var pipe io.Reader
