--- a/scripts/check-core.sh
+++ b/scripts/check-core.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Checks that the packages of module core are pure: none imports network or
-# operating system packages, reads a clock, starts a goroutine or uses a global
-# random source. Test files and the generated package peerpb are exempt.
+# Checks that the packages of module core are pure: none imports packages for the
+# network, the operating system, synchronisation, the runtime or logs, reads a clock,
+# starts a goroutine or uses a global random source. Test files and the generated
+# package peerpb are exempt.
 set -u
 cd "$(dirname "$0")/../core"
 status=0
