--- a/ctl/replay/object_store.go
+++ b/ctl/replay/object_store.go
@@ -11,7 +11,7 @@
 type objectStore struct {
 	down     bool
 	revision uint64
-	byKey    map[string]*storedObject // with deleted ones
+	byKey    map[string]*storedObject // including deleted ones
 	keys     []string                 // of byKey, sorted
 	watchers []*watcher
 	calls    uint64 // operations so far
--- a/ctl/replay/simulation.go
+++ b/ctl/replay/simulation.go
@@ -32,7 +32,7 @@
 	hosts         []*entryHost
 	hostsByName   map[string]*entryHost
 	engines       map[string]*engine
-	partitioned   map[string]bool // data centres separated from all others and the platform
+	partitioned   map[string]bool // data centres partitioned from all others and from the platform
 	draining      map[string]bool // targets
 	configVersion uint64          // of the declaration
 	hostConfig    host.Config
@@ -192,8 +192,8 @@
 		e.sendMessage(m)
 	}
 	for _, id := range ready.Cancels {
-		for _, t := range sim.engines {
-			t.cancel(id)
+		for _, target := range sim.engines {
+			target.cancel(id)
 		}
 	}
 	for _, s := range ready.Sends {
@@ -241,7 +241,7 @@
 	to.after(e.sim.linkDelay(e.dc, to.dc), func() { to.step(&host.PeerFrame{Frame: m.Frame}) })
 }
 
-// isPartitioned reports whether two data centres are separated from each other.
+// isPartitioned reports whether two data centres are partitioned from each other.
 func (sim *simulation) isPartitioned(a, b string) bool {
 	return a != b && (sim.partitioned[a] || sim.partitioned[b])
 }
@@ -257,21 +257,21 @@
 // sendCall sends a call to an engine and its outcome back.
 func (e *entryHost) sendCall(s host.Send) {
 	sim := e.sim
-	t := sim.engines[s.Target.Name]
-	delay := sim.linkDelay(e.dc, t.header.DataCentre)
+	target := sim.engines[s.Target.Name]
+	delay := sim.linkDelay(e.dc, target.header.DataCentre)
 	c := &engineCall{send: s, sender: e, done: func(d *host.TargetDone) {
-		if sim.isPartitioned(e.dc, t.header.DataCentre) && d.Outcome == host.TargetAnswered {
+		if sim.isPartitioned(e.dc, target.header.DataCentre) && d.Outcome == host.TargetAnswered {
 			return // the partition drops the answer
 		}
 		e.after(delay, func() { e.step(d) })
 	}}
 	c.promptTokens, c.outputTokens = sim.callers.callTokens(s.Call)
 	e.after(delay, func() {
-		if sim.isPartitioned(e.dc, t.header.DataCentre) {
+		if sim.isPartitioned(e.dc, target.header.DataCentre) {
 			c.finish(host.TargetRefused, host.Usage{})
 			return
 		}
-		t.submit(c)
+		target.submit(c)
 	})
 }
 
@@ -279,13 +279,13 @@
 // counts as released.
 func (e *entryHost) sendRelease(r host.Release) {
 	sim := e.sim
-	t := sim.engines[r.Target.Name]
-	e.after(sim.linkDelay(e.dc, t.header.DataCentre), func() {
-		ok := t.alive && !t.frozen && !sim.isPartitioned(e.dc, t.header.DataCentre)
+	target := sim.engines[r.Target.Name]
+	e.after(sim.linkDelay(e.dc, target.header.DataCentre), func() {
+		ok := target.alive && !target.frozen && !sim.isPartitioned(e.dc, target.header.DataCentre)
 		if ok {
-			t.evict(r.Program)
+			target.evict(r.Program)
 		}
-		e.step(&host.ReleaseDone{Target: r.Target.Name, Program: r.Program, OK: ok || !t.alive})
+		e.step(&host.ReleaseDone{Target: r.Target.Name, Program: r.Program, OK: ok || !target.alive})
 	})
 }
 
@@ -293,10 +293,10 @@
 // reachable engine to every host.
 func (sim *simulation) broadcastReports() {
 	for _, name := range sim.engineNames() {
-		t := sim.engines[name]
+		target := sim.engines[name]
 		for _, e := range sim.hosts {
-			if t.alive && !t.frozen && !sim.isPartitioned(e.dc, t.header.DataCentre) {
-				e.step(&host.TargetReport{Target: name, Queued: t.reportedQueue(), CachedPrograms: slices.Clone(t.recentPrograms)})
+			if target.alive && !target.frozen && !sim.isPartitioned(e.dc, target.header.DataCentre) {
+				e.step(&host.TargetReport{Target: name, Queued: target.reportedQueue(), CachedPrograms: slices.Clone(target.recentPrograms)})
 			}
 		}
 	}
@@ -318,9 +318,9 @@
 	case FaultTargetDies:
 		sim.engines[f.Target].die()
 	case FaultTargetReturns:
-		t := sim.engines[f.Target]
-		t.alive, t.frozen = true, false
-		t.fillBatch()
+		target := sim.engines[f.Target]
+		target.alive, target.frozen = true, false
+		target.fillBatch()
 	case FaultTargetFreezes:
 		sim.engines[f.Target].frozen = true
 	case FaultTargetDrains:
--- a/ctl/replay/workloads.go
+++ b/ctl/replay/workloads.go
@@ -17,7 +17,7 @@
 func scaleCount(n int, factor float64) int { return max(1, int(float64(n)*factor)) }
 
 // mizuchi is the workload of leak detection in Hokkaido: many short questions of crews,
-// some long conversations of supervisors, a caller with many programs, programs that loop
+// some long conversations of supervisors, a caller with many programs, looping programs
 // and hung tools.
 func mizuchi(name string, seed uint64, load, burst float64, faults []Line) Workload {
 	return Workload{
