--- a/ctl/standin/objects.go
+++ b/ctl/standin/objects.go
@@ -16,7 +16,7 @@
 const storeLatency = 4 * time.Millisecond
 
 // Objects is an object store in memory. ViewFrom returns the objects.Store of one host,
-// so that hosts can be separated from the store one by one.
+// so that hosts can be partitioned from the store one by one.
 type Objects struct {
 	mu             sync.Mutex
 	revision       uint64
--- a/ctl/standin/platform.go
+++ b/ctl/standin/platform.go
@@ -221,7 +221,7 @@
 	required, ok := requiredVersion(r)
 	if !ok || required != current {
 		p.mu.Unlock()
-		http.Error(w, "another version", http.StatusPreconditionFailed)
+		http.Error(w, "object has another version", http.StatusPreconditionFailed)
 		return
 	}
 	version := p.writeObject(key, body, false)
