--- a/ctl/command/inspect.go
+++ b/ctl/command/inspect.go
@@ -107,7 +107,7 @@
 		return row(host, "history", s.Epoch, fmt.Sprintf("%d slots, %d joining, %d programs", s.SlotsActive, s.SlotsJoining, s.Programs)), nil
 	}
 	if s.Ready == nil || s.ConfigVersion == nil || s.Active == nil {
-		return "", failure.New(failure.BadAnswer, "response of %s is no role's state", host)
+		return "", failure.New(failure.BadAnswer, "response of %s is not the state of an entry or history role", host)
 	}
 	var history historyState
 	if err := json.Unmarshal(s.History, &history); err != nil {
--- a/ctl/command/inspect_test.go
+++ b/ctl/command/inspect_test.go
@@ -52,7 +52,7 @@
 	require.Contains(t, errText, "404")
 	code, _, errText = run("--host", startRole(t, map[string]string{"/state": "{}"}), "inspect")
 	require.Equal(t, ExitFailure, code)
-	require.Contains(t, errText, "no role's state")
+	require.Contains(t, errText, "not the state of an entry or history role")
 	code, _, _ = run("inspect")
 	require.Equal(t, ExitUsage, code)
 }
