--- a/ctl/store/store.go
+++ b/ctl/store/store.go
@@ -88,7 +88,7 @@
 		return next, failure.Wrap(err, failure.Internal, "declaration")
 	}
 	if len(body) > platform.MaxObjectBytes {
-		return next, failure.New(failure.TooLarge, "a declaration takes at most %d bytes at the platform", platform.MaxObjectBytes)
+		return next, failure.New(failure.TooLarge, "stored declaration exceeds %d bytes, the limit of a platform object", platform.MaxObjectBytes)
 	}
 	return next, s.write(ctx, host.ConfigKey, objectVersion, body)
 }
@@ -116,8 +116,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// write puts an object if it has version ifVersion. It reads the object back to determine the
-// outcome after a lost reply.
+// write puts an object if it has version ifVersion. After a conflict or a lost reply it reads the
+// object back to determine the outcome of its own write.
 func (s *Store) write(ctx context.Context, key string, ifVersion uint64, body []byte) error {
 	retryDelay := backoff.NewExponentialBackOff(backoff.WithInitialInterval(50 * time.Millisecond))
 	for range maxWriteAttempts {
@@ -160,5 +160,5 @@
 }
 
 func unavailable(operation string) error {
-	return failure.Retry(failure.PlatformUnavailable, time.Second, "the platform does not answer the %s", operation)
+	return failure.Retry(failure.PlatformUnavailable, time.Second, "the platform does not answer %s requests", operation)
 }
