--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -42,16 +42,16 @@
 
 func newTestbed(b *testing.B) *testbed {
 	engine := standin.NewEngine(standin.EngineConfig{BatchSize: 4096, CacheTokens: 1 << 40, OutputTokens: 1, PrefillPerToken: 1, DecodePerToken: 1})
-	plat := httptest.NewServer(standin.NewPlatform().Handler())
-	eng := httptest.NewServer(engine.Handler())
-	b.Cleanup(plat.Close)
-	b.Cleanup(eng.Close)
-	x := &testbed{engine: eng.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
+	platformServer := httptest.NewServer(standin.NewPlatform().Handler())
+	engineServer := httptest.NewServer(engine.Handler())
+	b.Cleanup(platformServer.Close)
+	b.Cleanup(engineServer.Close)
+	x := &testbed{engine: engineServer.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 	for i := range 2 {
-		x.startHost(b, fmt.Sprintf("h%d", i+1), plat.URL)
+		x.startHost(b, fmt.Sprintf("h%d", i+1), platformServer.URL)
 	}
-	s := store.New(platform.New(x.client, plat.URL, ""))
-	text := fmt.Sprintf("[service \"llm\"]\nqueue_limit = 100000\nrepeat_limit = 0\nturn_limit = 1000000\nhistory_tokens = 1000000000\n[target \"e\"]\nservice = llm\ndata_centre = a\nurl = %s\nbatch = 4096\ncache_tokens = 1000000000\n[caller \"c\"]\ntoken_sha256 = %s\nbudget = 1000000000000\n", eng.URL, secretDigest)
+	s := store.New(platform.New(x.client, platformServer.URL, ""))
+	text := fmt.Sprintf("[service \"llm\"]\nqueue_limit = 100000\nrepeat_limit = 0\nturn_limit = 1000000\nhistory_tokens = 1000000000\n[target \"e\"]\nservice = llm\ndata_centre = a\nurl = %s\nbatch = 4096\ncache_tokens = 1000000000\n[caller \"c\"]\ntoken_sha256 = %s\nbudget = 1000000000000\n", engineServer.URL, secretDigest)
 	_, err := s.Apply(context.Background(), text, "bench", host.ConfigObject{}, 0)
 	require.NoError(b, err)
 	require.Eventually(b, func() bool {
--- a/ctl/system/process_test.go
+++ b/ctl/system/process_test.go
@@ -69,7 +69,8 @@
 	return p
 }
 
-func (p *process) text(key string) string { return fmt.Sprint(p.line[key]) }
+// field returns the value of a key of the line as text.
+func (p *process) field(key string) string { return fmt.Sprint(p.line[key]) }
 
 // TestProcessesKilledAndSuspended runs four host processes under load, kills one with SIGKILL and
 // suspends another with SIGSTOP until its lease is revoked. Each call must be answered or end with
@@ -77,31 +78,31 @@
 func TestProcessesKilledAndSuspended(t *testing.T) {
 	bin := buildBinaries(t)
 	ctl, daemon := filepath.Join(bin, "pistachioctl"), filepath.Join(bin, "pistachiod")
-	plat := startProcess(t, false, "listening", ctl, "standin", "platform").text("listening")
+	platformAddress := startProcess(t, false, "listening", ctl, "standin", "platform").field("listening")
 	var engines []string
 	for range 3 {
-		engines = append(engines, "http://"+startProcess(t, false, "listening", ctl, "standin", "engine", "--decode", "2ms").text("listening"))
+		engines = append(engines, "http://"+startProcess(t, false, "listening", ctl, "standin", "engine", "--decode", "2ms").field("listening"))
 	}
-	orders := "http://" + startProcess(t, false, "listening", ctl, "standin", "service").text("listening")
+	orders := "http://" + startProcess(t, false, "listening", ctl, "standin", "service").field("listening")
 	var hosts []*process
 	plan := load.Plan{Programs: 60, Parallel: 10, Seed: 1, RetryTimeout: 2 * time.Minute, Engines: engines, OrderServices: []string{orders}, Client: &http.Client{}}
 	seeds := ""
 	for i := range 4 {
 		file := filepath.Join(t.TempDir(), "host.ini")
 		text := fmt.Sprintf("[host]\nname = h%d\ndata_centre = %s\n[platform]\nurl = http://%s\n[operators]\ntoken_sha256 = %s\n[peers]\nseeds = %s\n[timing]\nlease = 2s\nrenew = 500ms\nheartbeat = 100ms\nsuspect = 500ms\n",
-			i+1, string(rune('a'+i/2)), plat, deskDigest, strings.TrimPrefix(seeds, ","))
+			i+1, string(rune('a'+i/2)), platformAddress, deskDigest, strings.TrimPrefix(seeds, ","))
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		h := startProcess(t, true, "callers", daemon, "--settings", file)
-		seeds += "," + h.text("peers")
+		seeds += "," + h.field("peers")
 		hosts = append(hosts, h)
-		plan.Hosts = append(plan.Hosts, h.text("callers"))
+		plan.Hosts = append(plan.Hosts, h.field("callers"))
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service \"agent-llm\"]\nretry_ratio = 1\ntimeout = 10s\n[service \"orders\"]\nkind = plain\n[target \"o\"]\nservice = orders\ndata_centre = a\nurl = %s\n[caller \"crew\"]\ntoken_sha256 = %s\n", orders, crewDigest)
 	for i, url := range engines {
 		fmt.Fprintf(&b, "[target \"e%d\"]\nservice = agent-llm\ndata_centre = a\nurl = %s\n", i, url)
 	}
-	_, err := store.New(platform.New(http.DefaultClient, "http://"+plat, "")).Apply(context.Background(), b.String(), "test", host.ConfigObject{}, 0)
+	_, err := store.New(platform.New(http.DefaultClient, "http://"+platformAddress, "")).Apply(context.Background(), b.String(), "test", host.ConfigObject{}, 0)
 	require.NoError(t, err)
 	kind := load.Kind{Token: "crew-3-secret", Service: "agent-llm", QuestionWords: 10, MaxTokens: 40, Turns: 6, Pause: 20 * time.Millisecond}
 	ordering, streaming := kind, kind
@@ -116,7 +117,7 @@
 			assert.NoError(t, hosts[2].cmd.Process.Signal(syscall.SIGSTOP))
 			go func() {
 				defer close(resumed)
-				awaitLeaseRevocation(t, plat, "b/h3.")
+				awaitLeaseRevocation(t, platformAddress, "b/h3.")
 				assert.NoError(t, hosts[2].cmd.Process.Signal(syscall.SIGCONT))
 			}()
 		}
@@ -131,8 +132,8 @@
 }
 
 // awaitLeaseRevocation waits until the lease of the suspended host is revoked.
-func awaitLeaseRevocation(t *testing.T, plat, member string) {
-	client := platform.New(http.DefaultClient, "http://"+plat, "")
+func awaitLeaseRevocation(t *testing.T, platformAddress, member string) {
+	client := platform.New(http.DefaultClient, "http://"+platformAddress, "")
 	for range 3000 {
 		r := client.Do(context.Background(), host.PlatformOp{Kind: host.OpList, Key: host.LeasePrefix + member})
 		for _, o := range r.Objects {
