--- a/core/host/call.go
+++ b/core/host/call.go
@@ -99,8 +99,8 @@
 	return ident.Hash(b)
 }
 
-// access returns a program to its caller. Another caller gets the same failure
-// as for a program that does not exist.
+// access returns a program if it belongs to the caller. Another caller gets the
+// same failure as for a program that does not exist.
 func (h *Host) access(id ident.Program, caller string) (*program, *failure.Failure) {
 	slot, err := id.Slot()
 	if err != nil {
@@ -242,7 +242,7 @@
 }
 
 // enqueueCall passes the call to the scheduler, and fails it if the queue is
-// full. retry says that the call was queued before.
+// full. retry reports whether the call was queued before.
 func (h *Host) enqueueCall(c *call, retry bool) {
 	p := c.program
 	cacheTargetName, cachedTokens := p.largestCache()
@@ -304,8 +304,8 @@
 	}
 }
 
-// startAttempt begins an attempt at a target. It records the intent first, which
-// also tells a new owner which targets may hold cache of the program. A call
+// startAttempt begins an attempt at a target. It records the intent first; from
+// it a new owner also knows which targets may keep cache of the program. A call
 // that is not idempotent is sent only when the intent is durable.
 func (h *Host) startAttempt(c *call, target *sched.Target) {
 	c.lastAttempt++
@@ -343,7 +343,7 @@
 	h.sendAttempt(c, target)
 }
 
-// withdrawAttempt takes back the scheduler's placement of the call.
+// withdrawAttempt reverts the scheduler's placement of a call that was not sent.
 func (h *Host) withdrawAttempt(c *call) { h.sched.Withdraw(c.target) }
 
 // sendAttempt adds the attempt to the effects of this Step. If the policy evicts
--- a/core/host/config.go
+++ b/core/host/config.go
@@ -9,8 +9,8 @@
 // Config configures a Host. Zero durations, Slots and Max... fields take the
 // values of DefaultConfig.
 type Config struct {
-	// Host and DataCentre name the host and its place; peers reach it at
-	// Address.
+	// Host and DataCentre are the names of the host and its data centre; peers
+	// reach it at Address.
 	Host, DataCentre, Address string
 	// Incarnation is unique to each start of the host.
 	Incarnation string
--- a/core/host/dump.go
+++ b/core/host/dump.go
@@ -60,7 +60,7 @@
 }
 
 // DumpPeer is another member. Heard reports whether its messages still arrive,
-// Gone whether it has left, is revoked or does not run any more.
+// Gone whether it has left, is revoked or is not running.
 type DumpPeer struct {
 	Member             string `json:"member"`
 	DataCentre         string `json:"data_centre"`
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -62,7 +62,7 @@
 type PeerFrame struct{ Frame *peerpb.Frame }
 
 // PeerRefused reports that a peer's host answers but refuses the connection to
-// its address: the process does not run any more.
+// its address: the process is not running.
 type PeerRefused struct{ Address string }
 
 // CreateProgram requests a new program. Budget is in tokens.
@@ -114,7 +114,7 @@
 // The results of an attempt. TargetRefused proves that the call did not start.
 // TargetLost means that there is no usable answer and the call may have run.
 // TargetFenced is a rejection because of an old epoch, TargetInvalid a rejection
-// that any other target would repeat.
+// that every other target would return as well.
 const (
 	TargetAnswered TargetOutcome = iota
 	TargetRefused
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -49,7 +49,9 @@
 // under their own names: Answered, NotRun and Unknown count calls by outcome,
 // Duplicates the results that belong to no active attempt, Crossed the answers
 // with the id of another call, Swept the caches released because a target
-// reported them for ended or unknown programs.
+// reported them for ended or unknown programs, Takeovers the claims of slots
+// from revoked members, SegmentBytes the bytes of segments stored at the
+// platform.
 type Stats struct {
 	Steps, Answered, NotRun, Unknown     uint64
 	Duplicates, Crossed, Retries, Swept  uint64
@@ -235,7 +237,7 @@
 	}
 	h.ready.Lost = true
 	h.addNote(Note{Kind: NoteLeaseLost, Member: h.self, Detail: reason})
-	// Only the new owner can tell the outcome of the calls.
+	// Only the new owner can determine the outcome of the calls.
 	f := failure.Unknown(failure.NotOwner, "%s", reason)
 	f.RetryAfter = time.Second
 	for _, p := range h.sortedActivePrograms() {
--- a/core/host/lease.go
+++ b/core/host/lease.go
@@ -49,7 +49,7 @@
 	renewAt    time.Duration
 	// pendingBody is the renewal that is being written or whose outcome is
 	// unknown. It is sent again unchanged until its outcome is known: a
-	// different body could not be told from a revocation.
+	// different body could not be distinguished from a revocation.
 	pendingBody []byte
 	sentAt      time.Duration
 	writing     bool
@@ -139,17 +139,17 @@
 	return !h.ready.Lost && (h.holdsLease() || h.now < h.servesUntil())
 }
 
-// servesUntil returns the time until which, from what is known now, certainly no
-// other member owns this member's slots.
+// servesUntil returns the time until which, as far as this member knows now,
+// certainly no other member owns its slots.
 //
 // That is so while the lease is valid. After the lease it is so while every peer
 // of the data centre has promised not to take over: either up to
 // DataCentreLeaseDuration after the last renewal, which other data centres wait
 // for, or without that bound if the members of all other data centres have
 // promised too. A peer that is gone (it said goodbye, or its process is dead)
-// needs no promise. Of two hosts, one dead and the other cut off from the
-// platform cannot be told from a partition between the two; then the member does
-// not serve after its lease.
+// needs no promise. With two hosts, a member that cannot reach the platform
+// cannot distinguish the death of the other host from a partition between the
+// two; then it does not serve after its lease.
 func (h *Host) servesUntil() time.Duration {
 	if h.ready.Lost || !h.lease.acquired {
 		return 0
--- a/core/host/lifecycle.go
+++ b/core/host/lifecycle.go
@@ -81,8 +81,7 @@
 	return parent.slot, nil
 }
 
-// nextServingSlot returns the slots of this data centre in turn, those that are
-// not serving left out.
+// nextServingSlot returns the next serving slot of this data centre, in rotation.
 func (h *Host) nextServingSlot() (*ownedSlot, *failure.Failure) {
 	owned := h.ownedSlotsIn(h.cfg.DataCentre)
 	for range owned {
--- a/core/host/member.go
+++ b/core/host/member.go
@@ -10,7 +10,7 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// membership is what this host knows of the other members, from three sources:
+// membership is this host's knowledge of the other members, from three sources:
 // the leases at the platform (which lag behind), the heartbeats, and the seeds
 // in the settings.
 type membership struct {
@@ -37,10 +37,10 @@
 	heard     bool
 	suspected bool
 	// gone reports that the member will not act any more: it said goodbye, its
-	// lease is revoked, or its process does not run any more.
+	// lease is revoked, or its process is not running.
 	gone bool
-	// lastSentMS is the sent_ms of its last heartbeat, which our next heartbeat
-	// to it echoes.
+	// lastSentMS is the sent_ms of its last heartbeat, which this member's next
+	// heartbeat to it echoes.
 	lastSentMS int64
 	// receivedPromiseUntil is the time, by this host's clock, until which the
 	// peer has promised not to take over this member's slots; givenPromiseUntil
--- a/core/host/ops.go
+++ b/core/host/ops.go
@@ -66,7 +66,7 @@
 }
 
 // handlePlatformReply completes an operation. Direct operations, except watches,
-// also tell whether the platform is reachable.
+// also show whether the platform is reachable.
 func (h *Host) handlePlatformReply(r *PlatformReply) {
 	p, ok := h.ops.pending[r.ID]
 	if !ok {
@@ -120,8 +120,8 @@
 
 // putObject writes an object whose body no other writer would write. A write
 // without a known result is settled by reading the object back. done gets OpOK,
-// OpConflict, OpUnavailable, or OpLost if reading back did not tell the result
-// either.
+// OpConflict, OpUnavailable, or OpLost if reading back did not determine the
+// result either.
 func (h *Host) putObject(key string, ifVersion uint64, body []byte, done func(OpStatus, uint64)) {
 	h.tryPut(key, ifVersion, body, 1, done)
 }
--- a/core/host/outcome.go
+++ b/core/host/outcome.go
@@ -8,9 +8,10 @@
 	"github.com/pistachioarch/pistachioarch/core/sched"
 )
 
-// handleTargetDone processes the end of an attempt. Only the current attempt
-// counts: a late answer of an earlier attempt, or an answer that belongs to
-// another call, is dropped and counted.
+// handleTargetDone processes the end of an attempt. A result that does not belong
+// to the current attempt, such as a late answer of an earlier one, is dropped and
+// counted. An answer with the id of another call is counted too, and the attempt
+// is lost.
 func (h *Host) handleTargetDone(ev *TargetDone) {
 	p := h.programs[ev.Call.Program]
 	if p == nil || p.activeCall == nil || p.activeCall.state != stateSent || p.activeCall.id() != ev.Call {
--- a/core/host/program.go
+++ b/core/host/program.go
@@ -101,8 +101,7 @@
 	p.cacheTargets = append(p.cacheTargets, cacheTarget{target: target, tokens: tokens})
 }
 
-// removeCacheTarget removes a target that keeps no cache of the program any
-// more.
+// removeCacheTarget removes a target that no longer keeps cache of the program.
 func (p *program) removeCacheTarget(target string) {
 	p.cacheTargets = slices.DeleteFunc(p.cacheTargets, func(cache cacheTarget) bool { return cache.target == target })
 }
@@ -118,8 +117,9 @@
 	p.historyTokens += newTokens(t.accepted.PromptTokens, t.usage, p.historyTokens) + t.usage.Output
 }
 
-// newTokens returns the tokens that a turn added to the prompt. The target
-// counts the whole history. maxTokens, the caller's bound, limits the result.
+// newTokens returns the number of prompt tokens that a turn added to the history.
+// The prompt tokens that the target reports include the history. maxTokens, the
+// caller's bound on the new prompt tokens, limits the result.
 func newTokens(maxTokens int64, u Usage, history int64) int64 {
 	return min(maxTokens, max(0, u.Prompt-history))
 }
@@ -210,8 +210,8 @@
 	}
 }
 
-// removeProgram removes a program from memory, as after its slot was handed
-// over.
+// removeProgram removes a program from memory, when it has expired or its slot
+// was handed over.
 func (h *Host) removeProgram(p *program) {
 	delete(h.programs, p.id)
 	delete(p.slot.programs, p.id)
--- a/core/host/ready.go
+++ b/core/host/ready.go
@@ -57,8 +57,8 @@
 	// ones.
 	Priority int64
 	Timeout  time.Duration
-	// NotAfter is the time after which this member, by what it knows now, may no
-	// longer send for the slot. A driver that would send later, for example
+	// NotAfter is the time after which this member, as far as it knows now, may
+	// no longer send for the slot. A driver that would send later, for example
 	// after a pause of its process, must not send and reports TargetRefused.
 	NotAfter time.Duration
 }
--- a/core/host/rebuild.go
+++ b/core/host/rebuild.go
@@ -13,9 +13,9 @@
 
 // rebuilder rebuilds programs from the records of one or more streams.
 //
-// Each epoch of a slot was written by one member. So the records of a slot,
-// sorted by epoch and then LSN, are its history, independent of the streams that
-// they come from.
+// All records of one epoch of a slot were written by one member. So the records
+// of a slot, sorted by epoch and then LSN, are its history, independent of the
+// streams that they come from.
 type rebuilder struct {
 	slots         map[int]*ownedSlot
 	recordsBySlot map[int][]streamRecord
--- a/core/host/recovery.go
+++ b/core/host/recovery.go
@@ -16,7 +16,7 @@
 // recovery reads the streams of newly owned slots and rebuilds their programs.
 //
 // The stream of a dead member is first ended with a seal: the next segment,
-// which the member, should it run again, then fails to create. Only after the
+// which the member then fails to create if it is still running after all. Only after the
 // seal is the tail of the stream requested from the peers that may keep it.
 // Every step may be repeated.
 type recovery struct {
@@ -47,7 +47,7 @@
 	tailPeer         string // member that keeps the tail, as named by the lease
 	tailRequestedAt  time.Duration
 	tailReceivedFrom map[string]bool
-	// tailPeerGone reports that the tail peer has no lease any more;
+	// tailPeerGone reports whether the tail peer's lease was found deleted;
 	// tailLeaseCheckAt is when to read it again.
 	tailPeerGone     bool
 	tailLeaseCheckAt time.Duration
@@ -57,7 +57,9 @@
 
 const (
 	recoveryRetryDelay = 200 * time.Millisecond
-	maxTailWait        = time.Second
+	// maxTailWait is how long a recovery waits for the tails of peers other than
+	// the one that the lease names.
+	maxTailWait = time.Second
 	// maxRecoveryAttempts attempts to read an object that must exist take about
 	// two minutes. After each attemptsPerBoundsRead attempts the bounds of the
 	// stream are read again.
@@ -217,8 +219,8 @@
 }
 
 // skipMissing counts a failed read of an object that must exist. After
-// maxRecoveryAttempts it returns true, and the records in the object count as
-// missing.
+// maxRecoveryAttempts it returns true: the object is skipped, and its records
+// count as missing.
 func (r *recovery) skipMissing(h *Host, s *streamReader, object string) bool {
 	r.attempts++
 	if r.attempts < maxRecoveryAttempts {
--- a/core/host/release.go
+++ b/core/host/release.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordRelease records that a target keeps no cache of the program any more.
+// recordRelease records that a target no longer keeps cache of the program.
 func (h *Host) recordRelease(p *program, target string) {
 	delete(h.releaseTasks, releaseKey{target, p.id})
 	for i := range p.cacheTargets {
--- a/core/host/shared.go
+++ b/core/host/shared.go
@@ -33,8 +33,8 @@
 
 // declarationState is the declaration in force at this host.
 //
-// Invariant: version never decreases, whether it comes from a read, a watch or a
-// peer.
+// Invariant: version never decreases, whether a declaration comes from a read, a
+// watch or a peer.
 type declarationState struct {
 	version         uint64
 	set             *decl.Set
--- a/core/host/slots.go
+++ b/core/host/slots.go
@@ -62,7 +62,7 @@
 	writeCount  uint64 // number of table writes, for SlotTable.Writer
 	updating    bool   // whether an update of a table is being written
 	checkAt     time.Duration
-	fullClaimAt time.Duration
+	fullClaimAt time.Duration // end of fairShareWindow; 0 before its start
 
 	recoveries    []*recovery
 	createCounter int // modulo the number of owned slots, where the last program was created
@@ -135,7 +135,7 @@
 }
 
 // updateTable changes a copy of a table by conditional update. done, if not nil,
-// is called with whether the change is in force.
+// is called with true if the change is in force.
 func (h *Host) updateTable(old *slotTable, change func(*SlotTable), done func(ok bool)) {
 	next := &slotTable{version: old.version, SlotTable: old.SlotTable}
 	next.Slots = slices.Clone(old.Slots)
--- a/core/host/tail.go
+++ b/core/host/tail.go
@@ -29,8 +29,8 @@
 }
 
 // mayTailPeerAnswer reports whether the tail peer may still answer. A tail peer
-// that is not known here, as after a start, counts as alive until its lease
-// shows that it is not.
+// that this member does not know yet, for example after a start, counts as alive
+// until its lease shows that it is not.
 func (h *Host) mayTailPeerAnswer(s *streamReader) bool {
 	if p := h.members.peers[s.tailPeer]; p != nil {
 		return !p.revoked && !p.gone
