--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -3,7 +3,8 @@
 //
 // A stream is the journal of one member. Its records are numbered by log sequence
 // number (LSN) from 1, its segment objects by segment number from 1. A segment is
-// created once and never changed, so only one writer can create a given number.
+// created once and never changed, so of several writers only the first creates a
+// given number.
 // A new owner ends the stream of a dead member by creating the next segment as a
 // seal.
 package journal
