--- a/daemon/node/doc.go
+++ b/daemon/node/doc.go
@@ -1,4 +1,5 @@
-// Package node runs one entry host: it drives the state machine, a host.Host, and performs its I/O.
+// Package node runs one entry host: it drives the state machine, a host.Host, and
+// performs its I/O.
 //
 // All events pass through Node.step, one at a time, under one mutex. Effects are
 // started under the same mutex, so that messages to a peer keep their order, and
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -35,7 +35,8 @@
 	Log                       *log.Logger
 	// PeerTLS secures connections between hosts; nil means plain TCP.
 	PeerTLS *tls.Config
-	// Seed seeds the host's random source; 0 derives a seed from the current time.
+	// Seed seeds the host's random source; with 0 each incarnation derives its seed from the
+	// current time.
 	Seed uint64
 }
 
@@ -74,7 +75,7 @@
 // configFile is the file of the data directory that holds the last accepted declaration.
 const configFile = "config.json"
 
-// maxConnsPerTarget bounds the connections to one target, and those to the platform.
+// maxConnsPerTarget bounds the connections to one target, and to the platform.
 const maxConnsPerTarget = 512
 
 // New returns a Node that has not been started. It fails if the settings of the
--- a/daemon/node/operators.go
+++ b/daemon/node/operators.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// handleHealth tells the load balancer whether this host accepts requests.
+// handleHealth answers health checks: 200 if this host accepts requests, else a
+// failure of kind Suspended.
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	ready := n.host.Healthy()
--- a/daemon/node/peers.go
+++ b/daemon/node/peers.go
@@ -43,8 +43,8 @@
 	address string
 	frames  chan *peerpb.Frame
 
-	// sessionLock guards session. It is a channel, so that the wait for a slow dial
-	// of another goroutine can be abandoned.
+	// sessionLock guards session; whoever sends to it holds the lock. It is a channel,
+	// so that the wait for a slow dial of another goroutine can be abandoned.
 	sessionLock chan struct{}
 	session     *yamux.Session
 }
--- a/daemon/node/route.go
+++ b/daemon/node/route.go
@@ -37,8 +37,8 @@
 
 // route sends a request to the owner of its slot and returns the outcome. If the
 // owner changes meanwhile, the request is sent again. This is safe, since an owner
-// recognises a repeated request by its program and sequence. Retries end when the
-// forwarding time of the settings has passed.
+// recognises a repeated request by its program and sequence. No retry begins later than
+// ForwardTimeout of the settings after the start.
 func (n *Node) route(ctx context.Context, rq *request) host.Outcome {
 	retryBackoff := backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(minRouteRetryDelay), backoff.WithMaxInterval(maxRouteRetryDelay), backoff.WithMaxElapsedTime(n.settings.ForwardTimeout))
@@ -65,7 +65,7 @@
 }
 
 // discardOnRetry wraps onEvent: before the first event of a later attempt, which
-// streams the answer from its beginning, the receiver is told to discard the events
+// streams the answer from its beginning, the receiver gets an event to discard those
 // of earlier attempts.
 func (rq *request) discardOnRetry() {
 	if rq.onEvent == nil {
@@ -109,7 +109,7 @@
 }
 
 // attemptAtOwner makes one attempt to have the request served by its owner.
-// mayHaveRun reports that the owner may have accepted it although the outcome is a
+// mayHaveRun reports whether the owner may have accepted it although the outcome is a
 // failure.
 func (n *Node) attemptAtOwner(ctx context.Context, rq *request) (out host.Outcome, mayHaveRun bool) {
 	address, self, f := n.owner(rq)
@@ -156,7 +156,7 @@
 }
 
 // awaitOutcome passes on events until the outcome arrives. The call of a caller that
-// has disconnected goes on; its answer can be fetched later.
+// has disconnected continues; its answer can be fetched later.
 func (n *Node) awaitOutcome(ctx context.Context, w *waiter, onEvent func(streamEvent)) host.Outcome {
 	for {
 		select {
@@ -265,7 +265,7 @@
 	}}
 	out := n.submitAndAwait(n.ctx, rq)
 	if n.ctx.Err() != nil {
-		return // no outcome, as from a crashed host: the sender looks for the new owner
+		return // no outcome, as after a crash: the sender retries at the new owner
 	}
 	_ = frame.Write(stream, &peerpb.ForwardReply{Body: &peerpb.ForwardReply_Outcome{Outcome: outcomeToWire(out)}}) // on failure the sender, if alive, retries
 }
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -14,7 +14,7 @@
 
 // Drain stops the host gracefully: it hands over its programs and answers every
 // request that it has accepted. It returns nil when the host has stopped, or a
-// Failure if ctx ends first; the host then goes on draining.
+// Failure if ctx ends first; the host then continues to drain.
 func (n *Node) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
