--- a/core/host/log.go
+++ b/core/host/log.go
@@ -157,8 +157,8 @@
 }
 
 // timeOutWaits reports failures whose record is still not durable at their
-// timeout. Such a failure is no longer "ran: no": a new owner might not have the
-// record and run the call.
+// timeout. Such a failure is no longer "ran: no": a new owner that lacks
+// the record may run the call.
 func (h *Host) timeOutWaits() {
 	kept := h.log.waits[:0]
 	var due []durableWait
